--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -10,7 +10,7 @@
 from bench._lab._load import Day
 from bench._lab._tally import Figures, tally
 from firhook._instance import load_services
-from firhook.cell import Book, Step
+from firhook.cell import JobTable, Step
 from firhook.decide.schedule import Round, RoundResult, WorkerView
 from firhook.decide.seats import SeatPlan
 from firhook.decide.tickets import TicketBook
@@ -77,7 +77,7 @@
 
     def place(
         self,
-        book: Book,
+        book: JobTable,
         workers: dict[str, WorkerView],
         tickets: TicketBook,
         now: float,
@@ -113,7 +113,7 @@
         avoid: set[str],
     ) -> WorkerView | None:
         for worker in sorted(workers, key=lambda w: w.name):
-            if worker.name not in avoid and worker.free.covers(step.spec.held):
+            if worker.name not in avoid and worker.free.covers(step.spec.reserved):
                 return worker
         return None
 
@@ -121,11 +121,11 @@
         chosen: list[WorkerView] = []
         for worker in sorted(workers, key=lambda w: w.name):
             left = step.spec.count - len(chosen)
-            chosen += [worker] * worker.free.copies(step.spec.held, left)
+            chosen += [worker] * worker.free.count_fitting(step.spec.reserved, left)
         if len(chosen) < step.spec.count:
             return None
         for worker in chosen:
-            worker.take(step.spec.held)
+            worker.take(step.spec.reserved)
         return chosen
 
     def _reserve(self, step: Step, workers: list[WorkerView]) -> None:
--- a/src/firhook/cell/__init__.py
+++ b/src/firhook/cell/__init__.py
@@ -1,6 +1,5 @@
 """The cell: its configuration, jobs, workers and state, without I/O."""
 
-from firhook.cell._book import Book, Job, Run, Step, Task
 from firhook.cell._config import (
     AdvicePolicy,
     CellConfig,
@@ -9,6 +8,7 @@
     Team,
     key_digest,
 )
+from firhook.cell._job_table import Job, JobTable, Run, Step, Task
 from firhook.cell._records import (
     AcceptedJob,
     JobState,
@@ -21,45 +21,45 @@
     TaskState,
 )
 from firhook.cell._replica import JobView, Replica
-from firhook.cell._resources import NOTHING, Resources
+from firhook.cell._resources import NO_RESOURCES, Resources
 from firhook.cell._spec import JobSpec, StepSpec
 from firhook.cell._workers import (
     Advice,
-    End,
     EndedRow,
-    Look,
     OrderAnswer,
     OrderOutcome,
+    PollReply,
+    RunEnd,
     RunningRow,
     StartOrder,
     WorkerEntry,
 )
 
 __all__ = [
-    "NOTHING",
+    "NO_RESOURCES",
     "AcceptedJob",
     "Advice",
     "AdvicePolicy",
-    "Book",
     "CellConfig",
-    "End",
     "EndedRow",
     "Job",
     "JobSpec",
     "JobState",
     "JobStatus",
+    "JobTable",
     "JobView",
     "LeadRecord",
-    "Look",
     "MeshKeys",
     "OrderAnswer",
     "OrderOutcome",
     "PeerRecord",
+    "PollReply",
     "Pool",
     "Queue",
     "Replica",
     "Resources",
     "Run",
+    "RunEnd",
     "RunState",
     "RunningRow",
     "StartOrder",
--- a/src/firhook/cell/_config.py
+++ b/src/firhook/cell/_config.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from firhook.cell._resources import NOTHING, Resources
+from firhook.cell._resources import NO_RESOURCES, Resources
 
 
 def key_digest(key: str) -> bytes:
@@ -30,7 +30,7 @@
     per_worker_s: float
     valid_s: float
 
-    def takes_s(self, workers: int) -> float:
+    def answer_s(self, workers: int) -> float:
         """Return how long an answer about so many workers takes."""
         return self.base_s + self.per_worker_s * workers
 
@@ -80,7 +80,7 @@
     name: str
     key_digests: frozenset[bytes]
     weight: float = 1.0
-    limit: Resources = NOTHING
+    limit: Resources = NO_RESOURCES
 
     def permits(self, running: Resources) -> bool:
         """Return whether the team may have so much running."""
@@ -103,7 +103,7 @@
     """
 
     name: str
-    guards_capacity: bool = False
+    enforces_capacity: bool = False
     standby: bool = False
 
 
--- a/src/firhook/cell/_book.py
+++ b/src/firhook/cell/_job_table.py
@@ -20,19 +20,19 @@
     RunState,
     StepState,
     TaskState,
-    WorkerLife,
+    WorkerIncarnation,
 )
-from firhook.cell._resources import NOTHING, Resources
+from firhook.cell._resources import NO_RESOURCES, Resources
 from firhook.cell._spec import StepSpec
-from firhook.cell._workers import End, EndedRow, Look, RunningRow
+from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
 
 #: A worker's progress is known well enough to go by from so many percent on.
 _TELLING_PERCENT = 5.0
 #: An order that got no answer may be carried out up to 12 s later.
-LATE_ORDER_S = 12.5
+MAX_ORDER_DELAY_S = 12.5
 #: That a job began waits for so long to be stored together with others.  Callers'
 #: count of waiting jobs may be 2 s old, and an append for each start is spared.
-BEGUN_WAIT_S = 0.25
+BEGUN_STORE_DELAY_S = 0.25
 #: Workers that the adviser is asked about when a job's chain is estimated; the
 #: objectives of jobs allow for one call about so many.
 _ADVISED_WORKERS = 30
@@ -42,30 +42,30 @@
 class Run:
     """One start of a task on one worker.
 
-    :param life: the life of the worker that it was ordered at or seen on.
+    :param incarnation: the life of the worker that it was ordered at or seen on.
     :ivar stored: whether its assignment is on the log; nothing is sent before.
     :ivar confirmed: whether the worker said that it runs.
-    :ivar unanswered: starts that were sent and got no answer; each may yet be
+    :ivar unanswered_starts: starts that were sent and got no answer; each may yet be
         carried out, seconds later.
     :ivar sent_at: when the last start was sent.
     :ivar settled_at: a look that was sent later than this and does not list the
         run proves that it is not there and will not come.
     :ivar ticket: the adviser's permission, if its queue needs one.
-    :ivar stopping: why it is to be stopped; empty if it is not.
+    :ivar stop_reason: why it is to be stopped; empty if it is not.
     """
 
     task: "Task"
     number: int
     worker: str
-    life: int
-    begun_at: float
+    incarnation: int
+    assigned_at: float
     stored: bool = False
     confirmed: bool = False
-    unanswered: int = 0
+    unanswered_starts: int = 0
     sent_at: float = -math.inf
-    settled_at: float = math.inf
+    absence_conclusive_after: float = math.inf
     ticket: str = ""
-    stopping: str = ""
+    stop_reason: str = ""
     first_percent: float = -1.0
     first_percent_at: float = 0.0
     percent: float = 0.0
@@ -76,17 +76,17 @@
         """Its task's name and its number, by which workers know it."""
         return (self.task.name, self.number)
 
-    def note_progress(self, row: RunningRow, now: float) -> None:
+    def update_progress(self, row: RunningRow, now: float) -> None:
         """Take in what the worker says of it."""
         self.confirmed = True
         if row.checkpoint:
-            self.task.take_checkpoint(row.checkpoint)
+            self.task.update_checkpoint(row.checkpoint)
         if self.first_percent < 0:
             self.first_percent, self.first_percent_at = row.percent, now
         if row.percent != self.percent or not self.percent_at:
             self.percent, self.percent_at = row.percent, now
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return about how long it will go on.
 
         Estimates are off by up to 90%, so that the worker's own word on the
@@ -97,7 +97,7 @@
             per_percent = (self.percent_at - self.first_percent_at) / made
             left = (100.0 - self.percent) * per_percent
             return max(left - (now - self.percent_at), 0.0)
-        return max(self.task.step.spec.estimate_s - (now - self.begun_at), 0.05)
+        return max(self.task.step.spec.estimate_s - (now - self.assigned_at), 0.05)
 
 
 @attrs.define(slots=True, eq=False)
@@ -117,7 +117,7 @@
         """Its name on the workers' interface."""
         return f"{self.step.name}.{self.index}"
 
-    def take_checkpoint(self, checkpoint: str) -> None:
+    def update_checkpoint(self, checkpoint: str) -> None:
         """Keep the newest checkpoint; a gang shares one."""
         if not self.step.spec.checkpoints:
             return
@@ -131,7 +131,9 @@
         if not self.last_run and not self.done:
             return None
         rows = tuple(
-            RunState(r.number, workers.setdefault((r.worker, r.life), len(workers)))
+            RunState(
+                r.number, workers.setdefault((r.worker, r.incarnation), len(workers))
+            )
             for r in self.runs
         )
         checkpoint = "" if self.done else self.step.start_checkpoint(self)
@@ -146,7 +148,7 @@
         the longest chain.
     :ivar ready_at: when its turn came; ``None`` if it has not.
     :ivar idle: the tasks that wait for a worker, by index.
-    :ivar left: the tasks that are not done.
+    :ivar remaining: the tasks that are not done.
     :ivar checkpoint: the newest checkpoint of a gang, good for each member.
     """
 
@@ -154,11 +156,11 @@
     occurrence: int
     number: int
     spec: StepSpec
-    tail_s: float
+    critical_path_s: float
     tasks: list[Task] = attrs.field(factory=list)
     ready_at: float | None = None
     idle: dict[int, Task] = attrs.field(factory=dict)
-    left: int = 0
+    remaining: int = 0
     checkpoint: str = ""
 
     @property
@@ -182,7 +184,7 @@
 
     def latest_start(self) -> float:
         """Return when it must start for the job to meet its objective."""
-        return self.job.objective_at(self.occurrence) - self.tail_s
+        return self.job.objective_at(self.occurrence) - self.critical_path_s
 
     def to_state(self, workers: dict[tuple[str, int], int]) -> StepState:
         """Return what is stored of it."""
@@ -208,7 +210,7 @@
     next_occurrence: int = 0
     first_occurrence: int = 0
     due_at: dict[int, float] = attrs.field(factory=dict)
-    chain_s: float = 0.0
+    critical_path_s: float = 0.0
     reported: bool = False
 
     @property
@@ -221,20 +223,22 @@
         """The team that it belongs to."""
         return self.accepted.team
 
-    def began_at(self, occurrence: int) -> float:
+    def released_at(self, occurrence: int) -> float:
         """Return when an occurrence was due or accepted, on the boot clock."""
         return self.due_at.get(occurrence, self.accepted_at)
 
     def objective_at(self, occurrence: int) -> float:
         """Return until when an occurrence should be done, on the boot clock."""
-        start = self.began_at(occurrence)
-        return start + self.queue.slack_factor * self.chain_s + self.queue.target_s
+        start = self.released_at(occurrence)
+        return (
+            start + self.queue.slack_factor * self.critical_path_s + self.queue.target_s
+        )
 
-    def tails_s(self) -> list[float]:
+    def critical_paths_s(self) -> list[float]:
         """Return for each step the estimated work from its start to the end."""
         advice = self.queue.advice
-        advice_s = advice.takes_s(_ADVISED_WORKERS) if advice else 0.0
-        return tails_s(self.accepted.spec.steps, advice_s)
+        advice_s = advice.answer_s(_ADVISED_WORKERS) if advice else 0.0
+        return critical_paths_s(self.accepted.spec.steps, advice_s)
 
     def runs(self) -> Iterator[Run]:
         """Return the runs that may be going on."""
@@ -258,18 +262,20 @@
                 and step.occurrence >= self.first_occurrence
             )
         )
-        lives = tuple(WorkerLife(name, life) for name, life in workers)
+        incarnations = tuple(
+            WorkerIncarnation(name, incarnation) for name, incarnation in workers
+        )
         return JobState(
             int(self.status),
             self.ended_at,
-            lives,
+            incarnations,
             steps,
             self.first_occurrence,
             version,
         )
 
 
-def tails_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
+def critical_paths_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
     """Return for each step the estimated work from its start to the job's end."""
     tails = [0.0] * len(job_steps)
     for number in range(len(job_steps) - 1, -1, -1):
@@ -282,13 +288,13 @@
     return tails
 
 
-class Book:
+class JobTable:
     """The jobs that are not over, with their tasks and runs.
 
     :ivar open_steps: the steps whose turn has come and that have idle tasks.
     :ivar planned: runs that were assigned since :meth:`take_planned`.
     :ivar to_stop: runs that are to be stopped, since :meth:`take_to_stop`.
-    :ivar ends: the ends that were taken note of, for the owner to log and clear.
+    :ivar ended_runs: the ends that were taken note of, for the owner to log and clear.
     :ivar voided: likewise the runs that are certainly over, each with the reason.
     """
 
@@ -297,11 +303,11 @@
         self.jobs: dict[str, Job] = {}
         self.open_steps: dict[str, Step] = {}
         self.worker_runs: dict[str, dict[tuple[str, int], Run]] = {}
-        self.worker_use: dict[str, Resources] = {}
-        self.team_use: dict[str, Resources] = {}
+        self.worker_usage: dict[str, Resources] = {}
+        self.team_usage: dict[str, Resources] = {}
         self.planned: list[Run] = []
         self.to_stop: list[Run] = []
-        self.ends: list[tuple[Run, End]] = []
+        self.ended_runs: list[tuple[Run, RunEnd]] = []
         self.voided: list[tuple[Run, str]] = []
         self._dirty: dict[str, Job] = {}
         # When each job began of which that is not stored, the oldest first.
@@ -334,14 +340,14 @@
         # The time of day may have jumped between the two clocks.
         age_s = min(max(unix_now - accepted.accepted_at, 0.0), 60.0)
         job = Job(accepted, queue, now - age_s)
-        job.chain_s = max(job.tails_s(), default=0.0)
+        job.critical_path_s = max(job.critical_paths_s(), default=0.0)
         self.jobs[job.id] = job
         if state is not None:
             self._restore(job, state, now)
         if job.status.ended:
             self._forget_if_over(job)
             return job
-        if accepted.spec.timed:
+        if accepted.spec.periodic:
             self._timed[job.id] = job
             self._add_due(job, now, unix_now)
         else:
@@ -377,11 +383,13 @@
         self._timed.pop(job.id, None)
 
     def _add_occurrence(self, job: Job, occurrence: int, now: float) -> None:
-        tails = job.tails_s()
+        tails = job.critical_paths_s()
         for number, spec in enumerate(job.accepted.spec.steps):
             if (occurrence, number) in job.steps:
                 continue
-            step = Step(job, occurrence, number, spec, tails[number], left=spec.count)
+            step = Step(
+                job, occurrence, number, spec, tails[number], remaining=spec.count
+            )
             step.tasks = [Task(step, index) for index in range(spec.count)]
             job.steps[occurrence, number] = step
         for number in range(len(job.accepted.spec.steps)):
@@ -410,17 +418,17 @@
                 continue
             task.done, task.last_run = old.done, old.last_run
             task.failures = old.failures
-            task.take_checkpoint(old.checkpoint)
+            task.update_checkpoint(old.checkpoint)
             for row in old.runs:
                 worker = state.workers[row.worker]
-                run = Run(task, row.number, worker.name, worker.life, now)
+                run = Run(task, row.number, worker.name, worker.incarnation, now)
                 # What the old lead sent is void at a worker once it has seen
                 # the new lead's fencing token, so that any look settles it.
-                run.stored, run.settled_at = True, -math.inf
+                run.stored, run.absence_conclusive_after = True, -math.inf
                 self._enter(run)
                 if step.job.status.ended or task.done:
                     self.stop(run, "job_ended")
-        step.left = sum(not task.done for task in step.tasks)
+        step.remaining = sum(not task.done for task in step.tasks)
 
     def cancel(self, job_id: str, unix_now: float) -> None:
         """Cancel a job, if it is not over."""
@@ -447,11 +455,11 @@
 
     def _turn_has_come(self, step: Step) -> bool:
         return all(
-            step.job.steps[step.occurrence, earlier].left == 0
+            step.job.steps[step.occurrence, earlier].remaining == 0
             for earlier in step.spec.after
         )
 
-    def copy_wanted(self, task: Task) -> None:
+    def allow_duplicate(self, task: Task) -> None:
         """Let a task that may run twice start elsewhere, beside its runs."""
         step = task.step
         if step.spec.duplicates and not task.done and not step.job.status.ended:
@@ -473,10 +481,10 @@
         chosen = list(tasks)
         shared = max(task.last_run for task, _, _ in chosen) + 1
         runs: list[Run] = []
-        for task, worker, life in chosen:
+        for task, worker, incarnation in chosen:
             number = shared if step.spec.gang else task.last_run + 1
             task.last_run = number
-            run = Run(task, number, worker, life, now)
+            run = Run(task, number, worker, incarnation, now)
             self._enter(run)
             runs.append(run)
             step.idle.pop(task.index, None)
@@ -491,17 +499,19 @@
         spec = run.task.step.spec
         team = run.task.step.job.team
         self.worker_runs.setdefault(run.worker, {})[run.key] = run
-        used = self.worker_use.get(run.worker, NOTHING)
-        self.worker_use[run.worker] = used.plus(spec.held)
-        self.team_use[team] = self.team_use.get(team, NOTHING).plus(spec.need)
+        used = self.worker_usage.get(run.worker, NO_RESOURCES)
+        self.worker_usage[run.worker] = used.add(spec.reserved)
+        self.team_usage[team] = self.team_usage.get(team, NO_RESOURCES).add(spec.need)
 
     def _leave(self, run: Run) -> None:
         run.task.runs.remove(run)
         spec = run.task.step.spec
         team = run.task.step.job.team
         del self.worker_runs[run.worker][run.key]
-        self.worker_use[run.worker] = self.worker_use[run.worker].minus(spec.held)
-        self.team_use[team] = self.team_use[team].minus(spec.need)
+        self.worker_usage[run.worker] = self.worker_usage[run.worker].subtract(
+            spec.reserved
+        )
+        self.team_usage[team] = self.team_usage[team].subtract(spec.need)
 
     def void(self, run: Run, reason: str, now: float) -> None:
         """Take note that a run certainly is not going on and never will."""
@@ -511,31 +521,33 @@
         self.voided.append((run, reason))
         self._leave(run)
         if step.spec.gang and not run.task.done:
-            self.break_gang(step, run.number)
+            self.stop_gang(step, run.number)
         self._after_leaving(step, now)
 
-    def end(self, run: Run, end: End, checkpoint: str, now: float, unix: float) -> None:
+    def end(
+        self, run: Run, end: RunEnd, checkpoint: str, now: float, unix: float
+    ) -> None:
         """Take note of how a run ended."""
         task, step = run.task, run.task.step
         self._leave(run)
-        self.ends.append((run, end))
+        self.ended_runs.append((run, end))
         if checkpoint:
-            task.take_checkpoint(checkpoint)
-        if step.spec.lasting:
+            task.update_checkpoint(checkpoint)
+        if step.spec.long_running:
             self._after_leaving(step, now)
             return
-        if end is End.DONE:
+        if end is RunEnd.DONE:
             self._done(run, unix)
-        elif end is End.FAILED:
+        elif end is RunEnd.FAILED:
             self._failed(task, unix)
         if step.spec.gang and not task.done:
-            self.break_gang(step, run.number)
+            self.stop_gang(step, run.number)
         self._after_leaving(step, now)
 
     def _after_leaving(self, step: Step, now: float) -> None:
         self._dirty[step.job.id] = step.job
         self._review(step, now)
-        if step.left == 0:
+        if step.remaining == 0:
             self._review_followers(step, now)
         self._forget_if_over(step.job)
 
@@ -552,11 +564,11 @@
             if task.done:
                 continue
             task.done, task.checkpoint = True, ""
-            step.left -= 1
+            step.remaining -= 1
             for other in task.runs:
                 if other.number != run.number or not step.spec.gang:
                     self.stop(other, "copy_done")
-        if step.left == 0 and not step.job.status.ended:
+        if step.remaining == 0 and not step.job.status.ended:
             self._complete_if_done(step.job, unix_now)
 
     def _complete_if_done(self, job: Job, unix_now: float) -> None:
@@ -570,7 +582,7 @@
             return False
         numbers = range(len(job.accepted.spec.steps))
         return all(
-            (occurrence, n) in job.steps and job.steps[occurrence, n].left == 0
+            (occurrence, n) in job.steps and job.steps[occurrence, n].remaining == 0
             for n in numbers
         )
 
@@ -582,7 +594,7 @@
         if task.failures >= step.job.queue.max_attempts and not task.done:
             self._end_job(step.job, JobStatus.FAILED, unix_now)
 
-    def break_gang(self, step: Step, number: int) -> None:
+    def stop_gang(self, step: Step, number: int) -> None:
         """Stop what is left of a gang's run; its members cannot end done."""
         for run in step.runs():
             if run.number == number:
@@ -610,21 +622,21 @@
 
     def stop(self, run: Run, reason: str) -> None:
         """Have a run stopped, unless it is to be already."""
-        if run.stopping:
+        if run.stop_reason:
             return
-        run.stopping = reason
+        run.stop_reason = reason
         self.to_stop.append(run)
 
     # What workers say.
 
-    def note_begun(self, job: Job, now: float) -> None:
+    def mark_begun(self, job: Job, now: float) -> None:
         """Take note that a worker began a task of a job; that holds for good."""
         if job.status == JobStatus.QUEUED:
             job.status = JobStatus.RUNNING
             self._begun_at[job.id] = now
 
-    def take_look(
-        self, worker: str, look: Look, sent_at: float, now: float, unix_now: float
+    def apply_poll_reply(
+        self, worker: str, look: PollReply, sent_at: float, now: float, unix_now: float
     ) -> list[tuple[str, int]]:
         """Take in what a worker lists.
 
@@ -638,40 +650,42 @@
         for task, _ in (listed.keys() | ended.keys()) - runs.keys():
             job = self.jobs.get(task.partition(".")[0])
             if job is not None:
-                self.note_begun(job, now)
+                self.mark_begun(job, now)
         for run in list(runs.values()):
-            if run.key in ended and run.life <= look.life:
+            if run.key in ended and run.incarnation <= look.incarnation:
                 # However it ended: what a worker never began, it does not list.
-                self.note_begun(run.task.step.job, now)
-                self._take_end(run, ended[run.key], now, unix_now)
+                self.mark_begun(run.task.step.job, now)
+                self._apply_end(run, ended[run.key], now, unix_now)
             elif run.key in listed:
-                run.life = look.life
-                self.note_begun(run.task.step.job, now)
-                run.note_progress(listed[run.key], now)
+                run.incarnation = look.incarnation
+                self.mark_begun(run.task.step.job, now)
+                run.update_progress(listed[run.key], now)
             else:
-                self._take_absence(run, look, sent_at, now)
+                self._apply_absence(run, look, sent_at, now)
         return [key for key in listed if key not in runs and key not in ended]
 
-    def _take_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
+    def _apply_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
         if run not in run.task.runs:
             # An end before it in the same list has taken this run with it.
             return
         self.end(run, row.end, row.checkpoint, now, unix_now)
 
-    def _take_absence(self, run: Run, look: Look, sent_at: float, now: float) -> None:
+    def _apply_absence(
+        self, run: Run, look: PollReply, sent_at: float, now: float
+    ) -> None:
         if not run.stored or run not in run.task.runs:
             return
-        if look.life > run.life:
-            if run.unanswered:
+        if look.incarnation > run.incarnation:
+            if run.unanswered_starts:
                 # An order that was not answered may reach the new life too.
-                run.life = look.life
+                run.incarnation = look.incarnation
                 self.stop(run, "worker_restarted")
                 return
             self.void(run, "worker_restarted", now)
-        elif run.settled_at < sent_at:
+        elif run.absence_conclusive_after < sent_at:
             self.void(run, "not_there", now)
 
-    def lapse(self, worker: str, now: float) -> None:
+    def expire_lease(self, worker: str, now: float) -> None:
         """Take note that whatever ran on a worker has lost its lease.
 
         A start that got no answer is waited for longer.  It may be carried out
@@ -680,7 +694,7 @@
         task would run beside its next run.
         """
         for run in list(self.worker_runs.get(worker, {}).values()):
-            if run.unanswered and now - run.sent_at < LATE_ORDER_S:
+            if run.unanswered_starts and now - run.sent_at < MAX_ORDER_DELAY_S:
                 continue
             if run.stored:
                 self.void(run, "lease_lapsed", now)
@@ -697,7 +711,7 @@
         for job_id in dirty:
             self._begun_at.pop(job_id, None)
         oldest = next(iter(self._begun_at.values()), math.inf)
-        if now - oldest >= BEGUN_WAIT_S:
+        if now - oldest >= BEGUN_STORE_DELAY_S:
             dirty.update((job_id, self.jobs[job_id]) for job_id in self._begun_at)
             self._begun_at = {}
         return list(dirty.values())
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -31,21 +31,21 @@
 LEAD_KEY = "lead"
 MESH_KEY = "mesh"
 #: The keys between these two, in the order of their bytes, are of instances.
-MEMBERS_AFTER, MEMBERS_UNTIL = LEAD_KEY, STATE_PREFIX
+INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE = LEAD_KEY, STATE_PREFIX
 
 
 #: States that a lead may write; versions begin anew with each epoch.
-VERSIONS_AN_EPOCH = 10**9
+VERSIONS_PER_EPOCH = 10**9
 
 
 def state_version(epoch: int, count: int) -> int:
     """Return the version of a lead's state, above that of every lead before."""
-    return epoch * VERSIONS_AN_EPOCH + count
+    return epoch * VERSIONS_PER_EPOCH + count
 
 
 def epoch_of(version: int) -> int:
     """Return the epoch of the lead that wrote a record with this version."""
-    return version // VERSIONS_AN_EPOCH
+    return version // VERSIONS_PER_EPOCH
 
 
 class JobStatus(enum.IntEnum):
@@ -125,11 +125,11 @@
 
 
 @attrs.frozen(slots=True)
-class WorkerLife:
+class WorkerIncarnation:
     """One life of a worker."""
 
     name: str
-    life: int
+    incarnation: int
 
 
 @attrs.frozen(slots=True)
@@ -145,7 +145,7 @@
 
     status: int
     ended_at: float = 0.0
-    workers: tuple[WorkerLife, ...] = ()
+    workers: tuple[WorkerIncarnation, ...] = ()
     steps: tuple[StepState, ...] = ()
     first_occurrence: int = 0
     version: int = 0
@@ -158,7 +158,7 @@
     :param incarnation: unique for each run of the process.
     :param address: where it listens for its peers.
     :param strength: its processors, in cores.
-    :param reading: whether it has not read the cell's records to their end yet; its
+    :param catching_up: whether it has not read the cell's records to their end yet; its
         link may be full of them.
     """
 
@@ -167,7 +167,7 @@
     address: str
     zone: str
     strength: float = 1.0
-    reading: bool = False
+    catching_up: bool = False
 
 
 @attrs.frozen(slots=True)
@@ -193,7 +193,7 @@
 
 
 @attrs.frozen(slots=True)
-class StoredState:
+class StateSummary:
     """The state of a job as it lies on the log, read as far as callers need it.
 
     Load: the lead writes a job's state anew with each start and each end, 500
@@ -202,17 +202,17 @@
     weakest have half a core; an answer to a caller waited behind them.  Only a
     new lead needs the tasks.
 
-    :param over: whether nothing of the job is left to stop.
+    :param has_no_steps: whether nothing of the job is left to stop.
     :param raw: the state as it was read, which may be a digest.
     """
 
     status: JobStatus
     ended_at: float
-    over: bool
+    has_no_steps: bool
     version: int
     raw: bytes
 
-    def whole(self) -> JobState:
+    def decode(self) -> JobState:
         """Return all of it.
 
         :raises RecordMalformedError: if it cannot be read.
@@ -220,7 +220,7 @@
         return decode_record(JobState, self.raw)
 
 
-def peek_state(raw: bytes) -> StoredState:
+def decode_state_summary(raw: bytes) -> StateSummary:
     """Read of a job's state what callers are told.
 
     :raises RecordMalformedError: if it is no state.
@@ -229,7 +229,7 @@
         row = _RAW_ROW.decode(raw)
         # Rows may end early, where what follows has its default.
         row += [msgspec.Raw(default) for default in _STATE_DEFAULTS[len(row) :]]
-        return StoredState(
+        return StateSummary(
             JobStatus(_INT.decode(row[0])),
             _FLOAT.decode(row[1]),
             not _RAW_ROW.decode(row[3]),
@@ -240,9 +240,9 @@
         raise RecordMalformedError(f"JobState: {exc}") from exc
 
 
-def digest_state(state: StoredState) -> bytes:
+def digest_state(state: StateSummary) -> bytes:
     """Return a state without the tasks; its whole cannot be read any more."""
-    steps = [] if state.over else [None]
+    steps = [] if state.has_no_steps else [None]
     return msgspec.msgpack.encode(
         [int(state.status), state.ended_at, None, steps, 0, state.version]
     )
@@ -263,7 +263,7 @@
 
 def digest_value(value: Any) -> bytes:
     """Return what is told of a record's value that was read."""
-    if isinstance(value, StoredState):
+    if isinstance(value, StateSummary):
         return digest_state(value)
     if isinstance(value, AcceptedJob):
         return encode_record(attrs.evolve(value, spec=JobSpec("", ())))
--- a/src/firhook/cell/_replica.py
+++ b/src/firhook/cell/_replica.py
@@ -18,9 +18,9 @@
     LeadRecord,
     MeshKeys,
     PeerRecord,
-    StoredState,
+    StateSummary,
     decode_record,
-    peek_state,
+    decode_state_summary,
 )
 
 _JOB_PREFIXES = (JOB_PREFIX, CANCEL_PREFIX, STATE_PREFIX)
@@ -41,9 +41,9 @@
     accepted: AcceptedJob | None = None
     owners: frozenset[tuple[str, str]] = frozenset()
     cancelled: bool = False
-    state: StoredState | None = None
+    state: StateSummary | None = None
 
-    def lost(self, owner: tuple[str, str]) -> bool:
+    def is_rejected(self, owner: tuple[str, str]) -> bool:
         """Return whether a submission of this owner came to nothing."""
         if self.accepted is None or self.accepted.owner == owner:
             return False
@@ -99,7 +99,7 @@
         if len(self.dropped) > _DROPS_KEPT:
             del self.dropped[next(iter(self.dropped))]
 
-    def complete(self, listed: set[str], end: int) -> list[str]:
+    def drop_unlisted(self, listed: set[str], end: int) -> list[str]:
         """Drop the keys that are not listed; return them."""
         gone = [
             key
@@ -176,7 +176,7 @@
             job = self.jobs.setdefault(job_id, JobView())
             job.owners |= owners
 
-    def complete(self, partition: int, listed: set[str], end: int) -> list[str]:
+    def drop_unlisted(self, partition: int, listed: set[str], end: int) -> list[str]:
         """Drop what a partition holds no more; return the ids of the jobs changed.
 
         :param listed: the keys that the store has a value of.
@@ -184,18 +184,18 @@
         """
         part = self._partitions.setdefault(partition, _Partition())
         changed = []
-        for key in part.complete(listed, end):
+        for key in part.drop_unlisted(listed, end):
             prefix, slash, name = key.partition("/")
             changed.append(self._show(key, prefix + slash, name))
         return [job_id for job_id in changed if job_id is not None]
 
-    def is_known_state(self, partition: int, key: str, state: StoredState) -> bool:
+    def is_known_state(self, partition: int, key: str, state: StateSummary) -> bool:
         """Return whether a partition's state of a job tells callers the same."""
         part = self._partitions.get(partition)
         if part is None or key not in part.held:
             return False
         held = part.held[key][1]
-        return (held.status, held.over) == (state.status, state.over)
+        return (held.status, held.has_no_steps) == (state.status, state.has_no_steps)
 
     def page(self, partition: int, after: str, most: int) -> list[tuple[int, str, Any]]:
         """Return offset, key and value of so many keys of a partition.
@@ -259,7 +259,7 @@
         job = self.jobs.get(job_id)
         return job if job is not None and job.accepted is not None else None
 
-    def unended(self) -> Iterator[tuple[str, JobView]]:
+    def unfinished_jobs(self) -> Iterator[tuple[str, JobView]]:
         """Return the accepted jobs that may still have something to do.
 
         A job that ended may have runs left that are being stopped.
@@ -267,10 +267,10 @@
         for job_id, job in self.jobs.items():
             if job.accepted is None:
                 continue
-            if not job.status.ended or job.state is None or not job.state.over:
+            if not job.status.ended or job.state is None or not job.state.has_no_steps:
                 yield job_id, job
 
-    def pending(self, address: str) -> int:
+    def pending_count(self, address: str) -> int:
         """Return how many jobs of a queue wait for a worker to begin a task.
 
         :param address: host and path of the queue.
@@ -295,7 +295,7 @@
     that it wrote once it had read everything is the later one.
     """
     later = (v for v in values if v.incarnation == applied.incarnation)
-    return next((v for v in later if not v.reading), applied)
+    return next((v for v in later if not v.catching_up), applied)
 
 
 def _first(values: list[Any], rank: Callable[[Any], Any]) -> Any:
@@ -310,7 +310,7 @@
     if prefix == JOB_PREFIX:
         return decode_record(AcceptedJob, value)
     if prefix == STATE_PREFIX:
-        return peek_state(value)
+        return decode_state_summary(value)
     if prefix == PEER_PREFIX:
         return decode_record(PeerRecord, value)
     if prefix == LEAD_KEY:
--- a/src/firhook/cell/_resources.py
+++ b/src/firhook/cell/_resources.py
@@ -16,7 +16,7 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def plus(self, other: "Resources", times: int = 1) -> "Resources":
+    def add(self, other: "Resources", times: int = 1) -> "Resources":
         """Return the sum of this and ``times`` another."""
         return Resources(
             self.cpu_m + other.cpu_m * times,
@@ -24,9 +24,9 @@
             self.accelerators + other.accelerators * times,
         )
 
-    def minus(self, other: "Resources", times: int = 1) -> "Resources":
+    def subtract(self, other: "Resources", times: int = 1) -> "Resources":
         """Return this less ``times`` another."""
-        return self.plus(other, -times)
+        return self.add(other, -times)
 
     def covers(self, other: "Resources") -> bool:
         """Return whether this is at least another in every amount."""
@@ -36,7 +36,7 @@
             and self.accelerators >= other.accelerators
         )
 
-    def copies(self, need: "Resources", most: int) -> int:
+    def count_fitting(self, need: "Resources", most: int) -> int:
         """Return how many times a need fits, ``most`` at the most."""
         count = most
         if need.cpu_m > 0:
@@ -48,4 +48,4 @@
         return max(count, 0)
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
--- a/src/firhook/cell/_spec.py
+++ b/src/firhook/cell/_spec.py
@@ -39,14 +39,14 @@
     data_rack: str = ""
     per_worker: int = 0
     duplicates: bool = False
-    lasting: bool = False
+    long_running: bool = False
     image: str = ""
     target_s: float = 0.0
     fills: bool = False
     max_unavailable: int = 0
 
     @property
-    def held(self) -> Resources:
+    def reserved(self) -> Resources:
         """What each task takes from a worker's room."""
         if not self.fills:
             return self.need
@@ -70,10 +70,10 @@
     occurrences: int = 0
 
     @property
-    def timed(self) -> bool:
+    def periodic(self) -> bool:
         """Whether its occurrences are due at set times."""
         return self.occurrences > 0
 
     def due(self, occurrence: int) -> float:
         """Return when an occurrence is due, in seconds since 1970."""
-        return self.first_due + occurrence * self.interval_s if self.timed else 0.0
+        return self.first_due + occurrence * self.interval_s if self.periodic else 0.0
--- a/src/firhook/cell/_workers.py
+++ b/src/firhook/cell/_workers.py
@@ -12,7 +12,7 @@
     """A worker as it registered itself.
 
     :param name: its id, which a later life of it may bear again.
-    :param life: when it started, in Unix milliseconds; tells its lives apart.
+    :param incarnation: when it started, in Unix milliseconds; tells its lives apart.
     :param address: ``host:port`` of its interface.
     :param rack: the label that names its rack.
     :param draining: whether it is about to leave and takes no new work.
@@ -20,7 +20,7 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     pool: str
     address: str
     zone: str
@@ -32,17 +32,17 @@
     version: str = ""
 
 
-class End(enum.Enum):
+class RunEnd(enum.Enum):
     """How a run ended."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     #: Another member of its gang ended.
-    BROKEN = "broken"
+    GANG_BROKEN = "broken"
     #: The other members of its gang did not come in time.
-    ALONE = "alone"
+    GANG_TIMED_OUT = "alone"
 
 
 @attrs.frozen(slots=True)
@@ -71,19 +71,19 @@
     number: int
     task: str
     run: int
-    end: End
+    end: RunEnd
     checkpoint: str
 
 
 @attrs.frozen(slots=True)
-class Look:
+class PollReply:
     """A worker's answer to a look at it.
 
-    :param life: the life of the worker that answered.
+    :param incarnation: the life of the worker that answered.
     :param clock_s: its own steady clock, in seconds.
     """
 
-    life: int
+    incarnation: int
     clock_s: float
     running: tuple[RunningRow, ...]
     ended: tuple[EndedRow, ...]
@@ -93,15 +93,15 @@
     """What became of an order to a worker."""
 
     #: It was carried out, now or before.
-    TAKEN = "taken"
+    APPLIED = "taken"
     #: A higher fencing token has been seen there.
     FENCED = "fenced"
     #: The run ended or was stopped there, or a later one was.
-    OLD = "old"
+    SUPERSEDED = "old"
     #: The deadline in the order had passed.
-    LATE = "late"
+    EXPIRED = "late"
     #: It does not fit.
-    NO_ROOM = "room"
+    NO_CAPACITY = "room"
     #: The ticket was missing, wrong or out of date.
     NO_TICKET = "ticket"
     #: The worker is unwell and has done nothing.
@@ -109,7 +109,7 @@
     #: The worker cannot make sense of it, and has done nothing.
     INVALID = "invalid"
     #: Another life of the worker is at the address.
-    WRONG_LIFE = "wrong_life"
+    WRONG_INCARNATION = "wrong_life"
     #: Nothing was sent.
     NOT_SENT = "not_sent"
     #: No answer: it may have been carried out, or may yet be.
@@ -120,12 +120,12 @@
 class OrderAnswer:
     """A worker's answer to an order.
 
-    :param life: the life of the worker that answered; 0 if none did.
+    :param incarnation: the life of the worker that answered; 0 if none did.
     :param clock_s: its own clock in seconds, if it answered.
     """
 
     outcome: OrderOutcome
-    life: int = 0
+    incarnation: int = 0
     clock_s: float | None = None
 
 
--- /dev/null
+++ b/src/firhook/cell/job_table.py
@@ -0,0 +1,23 @@
+"""What the lead knows of the cell's jobs, tasks and runs."""
+
+from firhook.cell._job_table import (
+    BEGUN_STORE_DELAY_S,
+    MAX_ORDER_DELAY_S,
+    Job,
+    JobTable,
+    Run,
+    Step,
+    Task,
+    critical_paths_s,
+)
+
+__all__ = [
+    "BEGUN_STORE_DELAY_S",
+    "MAX_ORDER_DELAY_S",
+    "Job",
+    "JobTable",
+    "Run",
+    "Step",
+    "Task",
+    "critical_paths_s",
+]
--- a/src/firhook/decide/_schedule.py
+++ b/src/firhook/decide/_schedule.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from firhook.cell import Book, Resources, Run, Step, StepSpec, Task
+from firhook.cell import JobTable, Resources, Run, Step, StepSpec, Task
 from firhook.decide.tickets import (
     MAX_ASKED,
     AdviceWish,
@@ -93,9 +93,9 @@
 
     def take(self, need: Resources) -> None:
         """Use up some of what is left."""
-        self.free = self.free.minus(need)
+        self.free = self.free.subtract(need)
         if self.spare is not None:
-            self.spare = self.spare.minus(need)
+            self.spare = self.spare.subtract(need)
 
 
 @attrs.frozen(slots=True)
@@ -135,7 +135,7 @@
     """
     latest = step.latest_start()
     objective_at = step.job.objective_at(step.occurrence)
-    allowed_s = objective_at - step.job.began_at(step.occurrence)
+    allowed_s = objective_at - step.job.released_at(step.occurrence)
     urgent = step.job.queue.priority == 0
     if latest >= now - step.job.queue.target_s:
         if urgent:
@@ -164,7 +164,7 @@
 
     def __init__(
         self,
-        book: Book,
+        book: JobTable,
         workers: dict[str, WorkerView],
         tickets: TicketBook,
         now: float,
@@ -175,7 +175,7 @@
         self._now = now
         self._reserved = 0
         self._suited: dict[tuple[str, str], list[WorkerView]] = {}
-        self._team_use = dict(book.team_use)
+        self._team_use = dict(book.team_usage)
         self.result = RoundResult()
 
     def run(self) -> RoundResult:
@@ -220,12 +220,12 @@
         if team is None:
             return idle
         used = self._team_use.get(team.name, Resources())
-        if team.permits(used.plus(step.spec.need, idle)):
+        if team.permits(used.add(step.spec.need, idle)):
             return idle
         low, high = 0, idle
         while low < high:
             middle = (low + high + 1) // 2
-            if team.permits(used.plus(step.spec.need, middle)):
+            if team.permits(used.add(step.spec.need, middle)):
                 low = middle
             else:
                 high = middle - 1
@@ -240,10 +240,10 @@
         margin_s = self._tickets.margin_s(policy.valid_s)
         permitted = [w for w in suitable if w.name in advice.yes]
         if not advice.asking:
-            has_room = any(w.free.covers(step.spec.held) for w in permitted)
+            has_room = any(w.free.covers(step.spec.reserved) for w in permitted)
             candidates = permitted or suitable
             if len(permitted) > MAX_ASKED:
-                candidates.sort(key=lambda w: not w.free.covers(step.spec.held))
+                candidates.sort(key=lambda w: not w.free.covers(step.spec.reserved))
             asked = [(w.name, w.life) for w in candidates]
             wish = wish_for(step, advice, asked, has_room, self._now, margin_s)
             if wish is not None:
@@ -287,9 +287,9 @@
         for worker in workers:
             room = worker.free
             for run in self._book.worker_runs.get(worker.name, {}).values():
-                if not run.task.step.spec.lasting:
-                    room = room.plus(run.task.step.spec.held)
-            slots += room.copies(spec.held, most)
+                if not run.task.step.spec.long_running:
+                    room = room.add(run.task.step.spec.reserved)
+            slots += room.count_fitting(spec.reserved, most)
             if slots >= wanted:
                 return True
         return False
@@ -334,7 +334,7 @@
             worker = self._best(step, usable, on_worker, avoid)
             if worker is None:
                 break
-            worker.take(step.spec.held)
+            worker.take(step.spec.reserved)
             if step.spec.per_worker:
                 on_worker[worker.name] = on_worker.get(worker.name, 0) + 1
             chosen.append((task, worker.name, worker.life))
@@ -360,11 +360,11 @@
         keeps_urgent = self._keeps_urgent(step)
         best, best_key = None, (True, True, 0)
         for worker in workers:
-            if worker.name in avoid or not worker.free.covers(spec.held):
+            if worker.name in avoid or not worker.free.covers(spec.reserved):
                 continue
             if spec.per_worker and on_worker.get(worker.name, 0) >= spec.per_worker:
                 continue
-            if keeps_urgent and not worker.leaves_urgent(spec.held):
+            if keeps_urgent and not worker.leaves_urgent(spec.reserved):
                 continue
             if not urgent and not self._leaves_reserved(worker, spec):
                 continue
@@ -383,14 +383,14 @@
         return step.job.queue.priority > 0 and waited_s < _URGENT_KEPT_S
 
     def _leaves_reserved(self, worker: WorkerView, spec: StepSpec) -> bool:
-        if worker.spare is None or worker.spare.covers(spec.held):
+        if worker.spare is None or worker.spare.covers(spec.reserved):
             return True
-        return not spec.lasting and self._in_time(worker, spec)
+        return not spec.long_running and self._in_time(worker, spec)
 
     def _choose(self, step: Step, chosen: list[tuple[Task, str, int]]) -> None:
         team = step.job.team
         used = self._team_use.get(team, Resources())
-        self._team_use[team] = used.plus(step.spec.need, len(chosen))
+        self._team_use[team] = used.add(step.spec.need, len(chosen))
         self.result.placements.append(Placement(step, tuple(chosen)))
 
     # Gangs.
@@ -435,10 +435,10 @@
             if worker.spare is not None and not self._in_time(worker, spec):
                 room = _least(room, worker.spare)
             if self._keeps_urgent(step):
-                room = room.minus(Resources(worker.urgent_cpu_m))
-            slots = room.copies(spec.held, most)
+                room = room.subtract(Resources(worker.urgent_cpu_m))
+            slots = room.count_fitting(spec.reserved, most)
             if slots:
-                left = worker.free.cpu_m - slots * spec.held.cpu_m
+                left = worker.free.cpu_m - slots * spec.reserved.cpu_m
                 away = bool(spec.data_rack) and worker.rack != spec.data_rack
                 fits.append((away, worker.slow, left, worker, slots))
         if sum(fit[4] for fit in fits) < spec.count:
@@ -449,7 +449,7 @@
         for _, _, _, worker, slots in fits:
             count = min(slots, spec.count - len(chosen))
             for _ in range(count):
-                worker.take(spec.held)
+                worker.take(spec.reserved)
                 chosen.append(worker)
             if len(chosen) == spec.count:
                 break
@@ -473,17 +473,17 @@
         keeps = self._keeps_urgent(step)
         kept = {w.name: Resources(w.urgent_cpu_m if keeps else 0) for w in workers}
         room = {
-            w.name: (w.free if w.spare is None else w.spare).minus(kept[w.name])
+            w.name: (w.free if w.spare is None else w.spare).subtract(kept[w.name])
             for w in workers
         }
-        slots = {n: room[n].copies(spec.held, most) for n in room}
+        slots = {n: room[n].count_fitting(spec.reserved, most) for n in room}
         total = sum(slots.values())
         ends = self._ends_on(workers)
         at = self._now
         while total < spec.count and ends:
             at, _, name, need = heapq.heappop(ends)
-            room[name] = room[name].plus(need)
-            more = room[name].copies(spec.held, most)
+            room[name] = room[name].add(need)
+            more = room[name].count_fitting(spec.reserved, most)
             total += more - slots[name]
             slots[name] = more
         if total < spec.count:
@@ -495,8 +495,8 @@
             if not count:
                 break
             left -= count
-            left_then = room[worker.name].minus(spec.held, count)
-            worker.spare = left_then.plus(kept[worker.name])
+            left_then = room[worker.name].subtract(spec.reserved, count)
+            worker.spare = left_then.add(kept[worker.name])
             worker.reserved_at = max(worker.reserved_at, at)
 
     def _ends_on(
@@ -506,10 +506,10 @@
         for worker in workers:
             for run in self._book.worker_runs.get(worker.name, {}).values():
                 spec = run.task.step.spec
-                if spec.lasting:
+                if spec.long_running:
                     continue
-                at = self._now + run.left_s(self._now)
-                ends.append((at, len(ends), worker.name, spec.held))
+                at = self._now + run.remaining_s(self._now)
+                ends.append((at, len(ends), worker.name, spec.reserved))
         heapq.heapify(ends)
         return ends
 
@@ -530,7 +530,7 @@
 
 
 def place_round(
-    book: Book, workers: dict[str, WorkerView], tickets: TicketBook, now: float
+    book: JobTable, workers: dict[str, WorkerView], tickets: TicketBook, now: float
 ) -> RoundResult:
     """Decide which waiting tasks start now and where.
 
--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -35,14 +35,19 @@
     of a gang works only from when all are there.
     """
     spec = run.task.step.spec
-    if spec.lasting or not run.confirmed or run.stopping or run.first_percent < 0:
+    if (
+        spec.long_running
+        or not run.confirmed
+        or run.stop_reason
+        or run.first_percent < 0
+    ):
         return False
     if run.percent >= 99:
         # It may be about to end; percentages are rounded.
         return now - run.percent_at > 2 * limit_s(run)
     if run.percent <= 0:
-        return now - run.begun_at > _fresh_limit_s(run)
-    return now - max(run.percent_at, run.begun_at) > limit_s(run)
+        return now - run.assigned_at > _fresh_limit_s(run)
+    return now - max(run.percent_at, run.assigned_at) > limit_s(run)
 
 
 def limit_s(run: Run) -> float:
@@ -70,7 +75,7 @@
     its runs move on, a run that does not is slow rather than stuck, and a gang
     may wait for a member elsewhere.
     """
-    confirmed = [r for r in runs if r.confirmed and not r.task.step.spec.lasting]
+    confirmed = [r for r in runs if r.confirmed and not r.task.step.spec.long_running]
     still = [run for run in confirmed if stalled(run, now)]
     moving = [
         run
--- a/src/firhook/decide/_tickets.py
+++ b/src/firhook/decide/_tickets.py
@@ -197,7 +197,7 @@
         unknown = [w for w in workers if not advice.known(w[0])][:MAX_ASKED]
         return _wish(step, unknown, now) if unknown else None
     ends_at = min(_until(advice, w) for w in usable)
-    cost_s = policy.takes_s(len(usable))
+    cost_s = policy.answer_s(len(usable))
     if cost_s > CHEAP_S:
         due = ends_at - margin_s - cost_s <= now
     else:
@@ -228,7 +228,7 @@
     policy = step.job.queue.advice
     if not workers or policy is None:
         return None
-    cost_s = policy.takes_s(len(workers))
+    cost_s = policy.answer_s(len(workers))
     latest = step.latest_start()
     # What can still be in time goes before what cannot.
     before = latest if latest > now else latest + 1e6
--- a/src/firhook/decide/_waiting.py
+++ b/src/firhook/decide/_waiting.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from firhook.cell import Book, Run, Step
+from firhook.cell import JobTable, Run, Step
 from firhook.decide.schedule import Wait
 from firhook.decide.tickets import TicketBook
 
@@ -36,7 +36,7 @@
 
 
 def longest_waiting(
-    book: Book,
+    book: JobTable,
     waits: Mapping[str, Wait],
     tickets: TicketBook,
     answering: Container[str],
@@ -60,7 +60,7 @@
 
 
 def _waiting(
-    book: Book, answering: Container[str], now: float
+    book: JobTable, answering: Container[str], now: float
 ) -> Iterator[tuple[float, str, Step]]:
     for job in book.jobs.values():
         if job.status.ended:
@@ -68,12 +68,14 @@
         for step in job.steps.values():
             if step.ready_at is None or now - step.ready_at < _TOLD_AFTER_S:
                 continue
-            if step.left and not any(_works(run, answering) for run in step.runs()):
+            if step.remaining and not any(
+                _works(run, answering) for run in step.runs()
+            ):
                 yield step.ready_at, step.name, step
 
 
 def _works(run: Run, answering: Container[str]) -> bool:
-    return run.confirmed and not run.stopping and run.worker in answering
+    return run.confirmed and not run.stop_reason and run.worker in answering
 
 
 def _reason(step: Step, waits: Mapping[str, Wait]) -> tuple[Wait, tuple[str, ...]]:
--- a/src/firhook/decide/_worker_health.py
+++ b/src/firhook/decide/_worker_health.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from firhook.cell import End
+from firhook.cell import RunEnd
 
 #: Failures in a row, of different jobs, after which a worker is left alone.  A
 #: job that can never be done fails wherever it runs, so that failures of one
@@ -34,14 +34,14 @@
     rest_s: float = FIRST_REST_S
     probation: bool = False
 
-    def note(self, job: str, end: End, now: float) -> bool:
+    def note(self, job: str, end: RunEnd, now: float) -> bool:
         """Take note of how a run ended; return whether a rest begins."""
-        if end is End.DONE:
+        if end is RunEnd.DONE:
             self.failed_jobs.clear()
             self.probation = False
             self.rest_s = FIRST_REST_S
             return False
-        if end is not End.FAILED:
+        if end is not RunEnd.FAILED:
             return False
         self.failed_jobs.add(job)
         if not self.probation and len(self.failed_jobs) < FAILURES_IN_A_ROW:
--- a/src/firhook/platform/_config.py
+++ b/src/firhook/platform/_config.py
@@ -89,7 +89,7 @@
 def _pool(row: dict[str, Any]) -> Pool:
     return Pool(
         name=text(row, "name"),
-        guards_capacity=flag(row, "enforce_capacity"),
+        enforces_capacity=flag(row, "enforce_capacity"),
         standby=flag(row, "standby"),
     )
 
--- a/src/firhook/platform/_jobs.py
+++ b/src/firhook/platform/_jobs.py
@@ -81,7 +81,7 @@
         data_rack=text(row, "data_rack", ""),
         per_worker=whole(row, "anti_affinity", 0),
         duplicates=flag(row, "allow_duplicates"),
-        lasting=flag(row, "run_forever"),
+        long_running=flag(row, "run_forever"),
         image=text(row, "image", ""),
         target_s=number(row, "target_ms", 0) / 1000,
         fills=flag(row, "fills"),
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -11,11 +11,11 @@
 from firhook.address import Address
 from firhook.cell import (
     Advice,
-    End,
     EndedRow,
-    Look,
     OrderAnswer,
     OrderOutcome,
+    PollReply,
+    RunEnd,
     RunningRow,
     StartOrder,
     WorkerEntry,
@@ -43,12 +43,12 @@
 
 _REASONS = {
     "fence": OrderOutcome.FENCED,
-    "old": OrderOutcome.OLD,
-    "late": OrderOutcome.LATE,
-    "room": OrderOutcome.NO_ROOM,
+    "old": OrderOutcome.SUPERSEDED,
+    "late": OrderOutcome.EXPIRED,
+    "room": OrderOutcome.NO_CAPACITY,
     "ticket": OrderOutcome.NO_TICKET,
 }
-_ENDS = {end.value: end for end in End}
+_ENDS = {end.value: end for end in RunEnd}
 _STATES = {"ready": False, "draining": True}
 
 
@@ -64,7 +64,7 @@
         return WorkerEntry(
             name=name,
             # The moment at which this life of the worker began.
-            life=whole(data, "born", 0),
+            incarnation=whole(data, "born", 0),
             pool=text(data, "service"),
             address=_host_port(text(data, "address")),
             zone=text(data, "zone"),
@@ -87,9 +87,9 @@
     return value
 
 
-def _look(data: dict[str, Any]) -> Look:
-    return Look(
-        life=whole(data, "born", 0),
+def _look(data: dict[str, Any]) -> PollReply:
+    return PollReply(
+        incarnation=whole(data, "born", 0),
         clock_s=number(data, "timestamp_ms") / 1000,
         running=tuple(_running(row) for row in rows(data, "running")),
         ended=tuple(_ended(row) for row in rows(data, "finished")),
@@ -120,7 +120,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """Renew the lease, forget ends, and return what runs and what ended.
 
         :param ack: all ends up to this number are stored and may be forgotten.
@@ -166,7 +166,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """See :meth:`Workers.look`."""
         body: dict[str, Any] = {"fencing_token": fence, "ack_cursor": ack}
         if lease_until_s is not None:
@@ -247,11 +247,11 @@
     except FieldError:
         data, life, clock_s = {}, 0, None
     if answer.status == 200:
-        outcome = OrderOutcome.TAKEN
+        outcome = OrderOutcome.APPLIED
     elif answer.status == 409:
         outcome = _REASONS.get(str(data.get("reason")), OrderOutcome.UNKNOWN)
     elif answer.status == 421:
-        outcome = OrderOutcome.WRONG_LIFE
+        outcome = OrderOutcome.WRONG_INCARNATION
     elif answer.status in (429, 503):
         outcome = OrderOutcome.BUSY
     elif answer.status == 400:
--- a/src/firhook/services/_advising.py
+++ b/src/firhook/services/_advising.py
@@ -73,7 +73,7 @@
         peers = self._instance.replica.peers.values()
         # The records that an instance reads at its start fill its link for seconds,
         # and a question through it is lost in the meantime.
-        names = {peer.name for peer in peers if not peer.reading}
+        names = {peer.name for peer in peers if not peer.catching_up}
         names.add(self._instance.settings.name)
         if names != set(self._seats):
             self._seats = {n: self._seats.get(n) or AdviserSeat(n) for n in names}
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -228,7 +228,7 @@
         except LogOutcomeUnknownError as exc:
             raise SubmissionUnknownError(exc.detail, retry_after_s=_RETRY_S) from exc
         stored = self.replica.find(job_id)
-        if stored is not None and stored.lost(accepted.owner):
+        if stored is not None and stored.is_rejected(accepted.owner):
             # The lead may have taken this one in first; it says so within a moment.
             raise SubmissionUnknownError(
                 "another job was submitted under this id at the same moment",
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -467,7 +467,7 @@
 
     def _note_rebuilt(self, reader: _Reader, listed: set[str], end: int) -> None:
         """Take note that all keys of a partition are known as of an offset."""
-        for job_id in self.replica.complete(reader.number, listed, end):
+        for job_id in self.replica.drop_unlisted(reader.number, listed, end):
             self.bus.publish(JobChanged(job_id))
         reader.advance(end)
         reader.whole = True
--- a/src/firhook/services/_forgetting.py
+++ b/src/firhook/services/_forgetting.py
@@ -68,6 +68,6 @@
         for job_id, job in replica.jobs.items()
         if job.state is not None
         and job.status.ended
-        and job.state.over
+        and job.state.has_no_steps
         and 0 < job.state.ended_at < before
     ]
--- a/src/firhook/services/_handing_on.py
+++ b/src/firhook/services/_handing_on.py
@@ -19,9 +19,9 @@
 from firhook.cell.records import (
     JOB_PREFIX,
     STATE_PREFIX,
+    decode_state_summary,
     digest_job,
     digest_state,
-    peek_state,
 )
 from firhook.clock import boot_time
 from firhook.decide.fan_out import FanOut, gather_s, plan_fan_out
@@ -127,7 +127,9 @@
         if self._planned is None or now - self._planned_at >= _REPLAN_S:
             unfit = {n: until for n, until in self._unfit_until.items() if until > now}
             # The records that an instance reads at its start fill its link.
-            reading = {p.name: now for p in self._replica.peers.values() if p.reading}
+            reading = {
+                p.name: now for p in self._replica.peers.values() if p.catching_up
+            }
             lead = self._service.settings.name
             others = candidates(self._replica)
             self._planned = plan_fan_out(others, lead, {**reading, **unfit})
@@ -177,7 +179,7 @@
     if value is not None and key.startswith(JOB_PREFIX):
         value = digest_job(value)
     elif value is not None and key.startswith(STATE_PREFIX):
-        state = peek_state(value)
+        state = decode_state_summary(value)
         if replica.is_known_state(partition, key, state):
             return None
         value = digest_state(state)
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -97,7 +97,7 @@
         age_s = await self._bus.ask(ReplicaAge(_PENDING_AGE_S, _READ_ON_S))
         if age_s > _PENDING_AGE_S:
             raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
-        return PendingReply(self._replica.pending(address), age_s)
+        return PendingReply(self._replica.pending_count(address), age_s)
 
     async def _serve_pending(self, msg: PendingAsk) -> PendingReply:
         return await self._count(msg.queue)
@@ -132,7 +132,7 @@
         age_s = await self._bus.ask(ReplicaAge())
         job = self.known(queue, team, job_id)
         found = self._replica.find(job_id)
-        if job is None and found is not None and found.lost(queue.owner(team)):
+        if job is None and found is not None and found.is_rejected(queue.owner(team)):
             raise JobIdTakenError(job_id)
         if job is not None and (_ended_for_good(job) or age_s <= _STATUS_AGE_S):
             return job.status
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -5,8 +5,8 @@
 
 from firhook.cell import PeerRecord, Replica
 from firhook.cell.records import (
-    MEMBERS_AFTER,
-    MEMBERS_UNTIL,
+    INSTANCE_KEYS_AFTER,
+    INSTANCE_KEYS_BEFORE,
     PEER_PREFIX,
     encode_record,
 )
@@ -45,7 +45,9 @@
 
 
 async def _read_range(store: Store, replica: Replica, partition: int) -> int:
-    newest = await store.newest(CELL_TOPIC, partition, MEMBERS_AFTER, MEMBERS_UNTIL)
+    newest = await store.newest(
+        CELL_TOPIC, partition, INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE
+    )
     for row in newest.records:
         try:
             replica.apply(row.offset, row.key, row.value, partition)
--- a/src/firhook/services/_orders.py
+++ b/src/firhook/services/_orders.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any, Protocol
 
-from firhook.cell import Book, OrderAnswer, OrderOutcome, Run, StartOrder
-from firhook.cell.book import LATE_ORDER_S
+from firhook.cell import JobTable, OrderAnswer, OrderOutcome, Run, StartOrder
+from firhook.cell.job_table import MAX_ORDER_DELAY_S
 from firhook.clock import boot_time
 from firhook.decide.tickets import TicketBook
 from firhook.logs import log
@@ -30,7 +30,7 @@
 #: which they wait for each other.
 _GANG_PART = 0.6
 #: Answers to a start after which it is sent once more.
-_TRIED_AGAIN = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.LATE)
+_TRIED_AGAIN = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.EXPIRED)
 
 
 class OrderOwner(Protocol):
@@ -42,7 +42,7 @@
 
     fence: int
     lost: bool
-    book: Book
+    book: JobTable
     tickets: TicketBook
     workers: Workers
 
@@ -93,7 +93,7 @@
         starts = self._unanswered.pop(link.name, {})
         for (task, number), sent_at in starts.items():
             active = (task, number) in term.book.worker_runs.get(link.name, {})
-            if now - sent_at < LATE_ORDER_S and not active:
+            if now - sent_at < MAX_ORDER_DELAY_S and not active:
                 self._spawn(term.workers.stop(link.entry, task, number, term.fence))
 
     def begin(self, runs: list[Run]) -> None:
@@ -101,7 +101,7 @@
         now = boot_time()
         for run in runs:
             run.stored = True
-            if run.stopping or run not in run.task.runs:
+            if run.stop_reason or run not in run.task.runs:
                 # It was cancelled while its assignment was stored; nothing was sent.
                 self._term.book.void(run, "not_sent", now)
                 continue
@@ -143,7 +143,7 @@
     async def _start_until_settled(self, run: Run, began: float) -> None:
         step = run.task.step
         limit_s = self._bounds.gang_s * _GANG_PART if step.spec.gang else _START_TRIES_S
-        while run in run.task.runs and not run.stopping and not self._term.lost:
+        while run in run.task.runs and not run.stop_reason and not self._term.lost:
             if boot_time() - began > limit_s:
                 self._give_up_start(run, "start_unanswered")
                 return
@@ -166,7 +166,7 @@
         )
         # Counted before it is sent: whoever looks meanwhile must take it for
         # one that may yet arrive.
-        run.unanswered += 1
+        run.unanswered_starts += 1
         run.sent_at = boot_time()
         call = link.answers.sent(run.sent_at)
         try:
@@ -177,9 +177,9 @@
             link.doubted = True
             self._unanswered.setdefault(run.worker, {})[run.key] = run.sent_at
         else:
-            run.unanswered -= 1
-        if answer.life:
-            link.heard(answer.life, answer.clock_s, boot_time())
+            run.unanswered_starts -= 1
+        if answer.incarnation:
+            link.heard(answer.incarnation, answer.clock_s, boot_time())
         self._meters.count("starts", answer.outcome.value)
         return answer
 
@@ -187,13 +187,13 @@
         """Return whether the start is settled."""
         outcome = answer.outcome
         step = run.task.step
-        if outcome in (OrderOutcome.TAKEN, OrderOutcome.OLD):
+        if outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
             # Every earlier copy of this start is void now: the run is there.
-            run.unanswered = 0
-            run.settled_at = boot_time()
-            if answer.life > run.life:
-                run.life = answer.life
-            if outcome is OrderOutcome.TAKEN:
+            run.unanswered_starts = 0
+            run.absence_conclusive_after = boot_time()
+            if answer.incarnation > run.incarnation:
+                run.incarnation = answer.incarnation
+            if outcome is OrderOutcome.APPLIED:
                 self._note_started(run, began)
             return True
         if outcome in _TRIED_AGAIN:
@@ -217,12 +217,12 @@
     def _give_up_start(self, run: Run, reason: str) -> None:
         if run not in run.task.runs:
             return
-        if run.unanswered:
+        if run.unanswered_starts:
             # A copy of the start may yet be carried out; only a stop that is
             # answered makes sure that it is not.
             self._term.book.stop(run, reason)
             if run.task.step.spec.gang:
-                self._term.book.break_gang(run.task.step, run.number)
+                self._term.book.stop_gang(run.task.step, run.number)
         else:
             self._term.book.void(run, reason, boot_time())
         self._wake()
@@ -230,9 +230,9 @@
     def _note_started(self, run: Run, began: float) -> None:
         run.confirmed = True
         now = boot_time()
-        self._term.tickets.note_start(now - run.begun_at)
-        run.begun_at = now
-        self._term.book.note_begun(run.task.step.job, now)
+        self._term.tickets.note_start(now - run.assigned_at)
+        run.assigned_at = now
+        self._term.book.mark_begun(run.task.step.job, now)
         self._meters.time("start", "", now - began)
         log(
             "run.started",
@@ -249,7 +249,7 @@
             task=run.task.name,
             run=run.number,
             worker=run.worker,
-            reason=run.stopping,
+            reason=run.stop_reason,
         )
         while run in run.task.runs and not self._term.lost:
             if not run.stored:
@@ -259,9 +259,9 @@
                 answer = await self._term.workers.stop(
                     link.entry, run.task.name, run.number, self._term.fence
                 )
-                if answer.outcome in (OrderOutcome.TAKEN, OrderOutcome.OLD):
-                    run.unanswered = 0
-                    run.settled_at = boot_time()
+                if answer.outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
+                    run.unanswered_starts = 0
+                    run.absence_conclusive_after = boot_time()
                     return
                 if answer.outcome is OrderOutcome.FENCED:
                     self._term.on_fenced(run.worker)
--- a/src/firhook/services/_placing.py
+++ b/src/firhook/services/_placing.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 
-from firhook.cell import NOTHING, Book, Resources, WorkerEntry
+from firhook.cell import NO_RESOURCES, JobTable, Resources, WorkerEntry
 from firhook.clock import boot_time
 from firhook.decide.schedule import RoundResult, Wait, WorkerView, urgent_room_m
 from firhook.decide.speeds import SpeedBook
@@ -21,7 +21,7 @@
 _TELL_EVERY_S = 1.0
 
 PlaceRound = Callable[
-    [Book, dict[str, WorkerView], TicketBook, float],
+    [JobTable, dict[str, WorkerView], TicketBook, float],
     RoundResult,
 ]
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        book: Book,
+        book: JobTable,
         links: Mapping[str, WorkerLink],
         speeds: SpeedBook,
         tickets: TicketBook,
@@ -71,7 +71,7 @@
             for run in self._book.plan(step, placement.tasks, now):
                 run.ticket = self._tickets.text(step, run.worker)
             if step.job.queue.priority == 0:
-                self._note_urgent(step.spec.held.cpu_m)
+                self._note_urgent(step.spec.reserved.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
@@ -96,7 +96,7 @@
                     "step": row.step.name,
                     "why": row.why.value,
                     "ready_s": round(row.ready_s, 2),
-                    "left": row.step.left,
+                    "left": row.step.remaining,
                     "workers": row.workers,
                     "asked": row.asked,
                     "permitted": row.permitted,
@@ -143,9 +143,9 @@
         with each change of one of them.  Harm: worked out anew for all of them it
         was a quarter of a round, during which the lead does nothing else.
         """
-        use = self._book.worker_use.get(link.name, NOTHING)
+        use = self._book.worker_usage.get(link.name, NO_RESOURCES)
         known = self._known_free.get(link.name)
         if known is None or known[0] is not link.entry or known[1] is not use:
-            free = link.entry.capacity.minus(use)
+            free = link.entry.capacity.subtract(use)
             known = self._known_free[link.name] = (link.entry, use, free)
         return known[2]
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -8,14 +8,14 @@
 import attrs
 
 from firhook.cell import (
-    Book,
     CellConfig,
-    End,
     JobStatus,
+    JobTable,
     JobView,
     LeadRecord,
-    Look,
+    PollReply,
     Run,
+    RunEnd,
     WorkerEntry,
 )
 from firhook.cell.records import (
@@ -135,7 +135,7 @@
         self.speeds = SpeedBook()
         config = instance.config.config
         assert config is not None
-        self.book = Book(config)
+        self.book = JobTable(config)
         self._known: set[str] = set()
         self._writer = FencedWriter(self._store, epoch, lead.note_proof)
         self._versions = 0
@@ -251,7 +251,7 @@
                 await asyncio.sleep(_RETRY_S)
         self.doing = "jobs"
         now, unix = boot_time(), unix_time()
-        for job_id, job in list(self._replica.unended()):
+        for job_id, job in list(self._replica.unfinished_jobs()):
             self._known.add(job_id)
             self._add_job(job_id, job, now, unix)
             self._settle_owner(job_id, job)
@@ -304,7 +304,7 @@
         try:
             if view.accepted.is_digest:
                 raise RecordMalformedError("accepted, but not what it runs")
-            state = view.state.whole() if view.state else None
+            state = view.state.decode() if view.state else None
         except RecordMalformedError as exc:
             # Without its state it would be run from the start, beside what may
             # be running; left alone it harms nobody, and an operator is told.
@@ -364,17 +364,17 @@
         runs = list(self.book.worker_runs.get(link.name, {}).values())
         log("worker.draining", worker=link.name, runs=len(runs), left=entry.leaves_in_s)
         for run in runs:
-            if run.stored and run.left_s(now) > entry.leaves_in_s:
+            if run.stored and run.remaining_s(now) > entry.leaves_in_s:
                 self.book.stop(run, "worker_leaves")
         self._wake.set()
 
-    def on_look(self, link: WorkerLink, look: Look, sent_at: float) -> None:
+    def on_look(self, link: WorkerLink, look: PollReply, sent_at: float) -> None:
         """Take in what a worker lists."""
         now, unix = boot_time(), unix_time()
-        strays = self.book.take_look(link.name, look, sent_at, now, unix)
-        for run, end in self.book.ends:
+        strays = self.book.apply_poll_reply(link.name, look, sent_at, now, unix)
+        for run, end in self.book.ended_runs:
             self._note_end(link, run, end, now)
-        self.book.ends.clear()
+        self.book.ended_runs.clear()
         link.has_strays = bool(strays)
         for task, number in strays:
             log("run.stray", worker=link.name, task=task, run=number)
@@ -398,7 +398,7 @@
             self.book.stop(run, "stalled")
             link.health.note_stall(now)
 
-    def _note_end(self, link: WorkerLink, run: Run, end: End, now: float) -> None:
+    def _note_end(self, link: WorkerLink, run: Run, end: RunEnd, now: float) -> None:
         step = run.task.step
         self._meters.count("ends", end.value)
         log(
@@ -408,11 +408,11 @@
             worker=link.name,
             end=end.value,
             gang=step.spec.gang,
-            ran_ms=round((now - run.begun_at) * 1000),
+            ran_ms=round((now - run.assigned_at) * 1000),
         )
-        if end is End.DONE:
-            self.speeds.note(step.name, link.name, now - run.begun_at)
-        if step.left == 0:
+        if end is RunEnd.DONE:
+            self.speeds.note(step.name, link.name, now - run.assigned_at)
+        if step.remaining == 0:
             self.speeds.close(step.name)
         if link.health.note(step.job.id, end, now):
             log("worker.rests", level="warning", worker=link.name)
@@ -427,7 +427,7 @@
         for run in list(self.book.worker_runs.get(link.name, {}).values()):
             others = (self.links.get(other.worker) for other in run.task.runs)
             if all(other is None or other.doubted for other in others):
-                self.book.copy_wanted(run.task)
+                self.book.allow_duplicate(run.task)
         self._wake.set()
 
     # The control loop.
@@ -503,7 +503,7 @@
         for name, runs in list(self.book.worker_runs.items()):
             if runs and name not in self.links:
                 log("worker.lapsed", level="warning", worker=name, registered=False)
-                self.book.lapse(name, now)
+                self.book.expire_lease(name, now)
 
     def _old_leases_lapse_at(self) -> float:
         """Return when every lease has lapsed that a lead before this one gave."""
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -4,7 +4,7 @@
 from collections.abc import Coroutine
 from typing import Any, Protocol
 
-from firhook.cell import Book, Look, WorkerEntry
+from firhook.cell import JobTable, PollReply, WorkerEntry
 from firhook.clock import boot_time
 from firhook.decide.suspicion import AnswerWatch
 from firhook.decide.worker_health import WorkerHealth
@@ -41,13 +41,13 @@
     """What a link needs of the lead's term."""
 
     fence: int
-    book: Book
+    book: JobTable
     workers: Workers
 
     def may_renew(self) -> bool:
         """Return whether leases may be renewed."""
 
-    def on_look(self, link: "WorkerLink", look: Look, sent_at: float) -> None:
+    def on_look(self, link: "WorkerLink", look: PollReply, sent_at: float) -> None:
         """Take in a worker's answer."""
 
     def on_life(self, link: "WorkerLink") -> None:
@@ -108,7 +108,9 @@
             return False
         if self.unlisted_at is not None and now - self.unlisted_at > _UNLISTED_S:
             return False
-        return now - self.answered_at < _SILENT_S and self.life >= self.entry.life
+        return (
+            now - self.answered_at < _SILENT_S and self.life >= self.entry.incarnation
+        )
 
     def lease_until(self) -> float:
         """Return the end of a lease given now, on the worker's clock.
@@ -199,11 +201,11 @@
         self._failed = False
         now = boot_time()
         self._clock_s, self._clock_at = look.clock_s, now
-        if look.life < self.life:
+        if look.incarnation < self.life:
             # An answer from before the restart that another one told of.
             return
-        if look.life > self.life:
-            self._begin_life(look.life)
+        if look.incarnation > self.life:
+            self._begin_life(look.incarnation)
         self.answered_at = now
         self.doubted = False
         if self._dark:
@@ -216,7 +218,7 @@
             await self._wait_stored()
             await asyncio.sleep(_GATHER_S)
 
-    async def _in_time(self, looking: Coroutine[Any, Any, Look]) -> Look:
+    async def _in_time(self, looking: Coroutine[Any, Any, PollReply]) -> PollReply:
         """Wait for a look; not for long if the last one was not answered."""
         try:
             async with asyncio.timeout(_PROBE_S if self._failed else None):
@@ -243,4 +245,4 @@
         self._owner.on_dark(self)
         if now > self.lapse_at and self._owner.book.worker_runs.get(self.name):
             log("worker.lapsed", level="warning", worker=self.name)
-            self._owner.book.lapse(self.name, now)
+            self._owner.book.expire_lease(self.name, now)
--- a/standins/model/_http.py
+++ b/standins/model/_http.py
@@ -36,9 +36,9 @@
 
 _REASONS = {
     OrderOutcome.FENCED: "fence",
-    OrderOutcome.OLD: "old",
-    OrderOutcome.LATE: "late",
-    OrderOutcome.NO_ROOM: "room",
+    OrderOutcome.SUPERSEDED: "old",
+    OrderOutcome.EXPIRED: "late",
+    OrderOutcome.NO_CAPACITY: "room",
     OrderOutcome.NO_TICKET: "ticket",
 }
 #: Requests that come while the sockets are closed are waited for so long; none
@@ -329,7 +329,7 @@
             return _json({"reason": "fence"}, 409)
         return _json(
             {
-                "born": look.life,
+                "born": look.incarnation,
                 "timestamp_ms": int(look.clock_s * 1000),
                 "running": [
                     [r.task, r.run, r.checkpoint, r.percent, r.load]
@@ -352,8 +352,8 @@
 
 def _order_response(answer: OrderAnswer) -> web.Response:
     clock_ms = int((answer.clock_s or 0) * 1000)
-    data = {"timestamp_ms": clock_ms, "born": answer.life}
-    if answer.outcome is OrderOutcome.TAKEN:
+    data = {"timestamp_ms": clock_ms, "born": answer.incarnation}
+    if answer.outcome is OrderOutcome.APPLIED:
         return _json(data)
     return _json({**data, "reason": _REASONS[answer.outcome]}, 409)
 
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from firhook.cell import (
-    End,
     EndedRow,
-    Look,
     OrderAnswer,
     OrderOutcome,
+    PollReply,
     Resources,
+    RunEnd,
     RunningRow,
     StartOrder,
     WorkerEntry,
@@ -82,15 +82,17 @@
         if not run.works and run.task in self.members.get(key, {}):
             worker, _ = self.members[key][run.task]
             worker.checks.alone.append(f"{now():.2f} {run.task} run {run.number}")
-            worker.finish(run, End.ALONE)
+            worker.finish(run, RunEnd.GANG_TIMED_OUT)
 
-    def ended(self, run: _Run, end: End) -> None:
+    def ended(self, run: _Run, end: RunEnd) -> None:
         """End the other members with one."""
         key = (run.task.rpartition(".")[0], run.number)
         members = self.members.pop(key, {})
         members.pop(run.task, None)
         for worker, other in members.values():
-            worker.finish(other, End.DONE if end is End.DONE else End.BROKEN)
+            worker.finish(
+                other, RunEnd.DONE if end is RunEnd.DONE else RunEnd.GANG_BROKEN
+            )
 
 
 class ModelWorker:
@@ -166,7 +168,7 @@
         for run in list(self.runs.values()):
             self._drop(run)
             if run.plan.gang:
-                self._gangs.ended(run, End.BROKEN)
+                self._gangs.ended(run, RunEnd.GANG_BROKEN)
 
     def restart(self) -> None:
         """Come back in a new life that knows nothing."""
@@ -208,7 +210,7 @@
         """Return what all that runs takes, what is being stopped included."""
         total = Resources()
         for run in self.runs.values():
-            total = total.plus(run.plan.need)
+            total = total.add(run.plan.need)
         return total
 
     def begin_work(self, run: _Run, work_s: float) -> None:
@@ -218,13 +220,13 @@
         if self.stands_still:
             return
         if self.fails_all or run.plan.fails:
-            left, end = min(0.2, work_s), End.FAILED
+            left, end = min(0.2, work_s), RunEnd.FAILED
         else:
-            left, end = max(work_s - run.saved_s, 0.01) * self.slow, End.DONE
+            left, end = max(work_s - run.saved_s, 0.01) * self.slow, RunEnd.DONE
         loop = asyncio.get_running_loop()
         run.timers.append(loop.call_later(left, self.finish, run, end))
 
-    def finish(self, run: _Run, end: End) -> None:
+    def finish(self, run: _Run, end: RunEnd) -> None:
         """End a run, if it still goes on."""
         if self.runs.get((run.task, run.number)) is not run:
             return
@@ -236,7 +238,7 @@
         )
         row = EndedRow(self._count, run.task, run.number, end, saved)
         self.ends.append(row)
-        if end is End.DONE:
+        if end is RunEnd.DONE:
             self._done_at[self._count] = now()
         if run.plan.gang:
             self._gangs.ended(run, end)
@@ -266,11 +268,11 @@
     def _lapsed(self) -> None:
         self._done_at.clear()
         for run in list(self.runs.values()):
-            self.finish(run, End.LAPSED)
+            self.finish(run, RunEnd.LEASE_EXPIRED)
 
     # Its interface.
 
-    def look(self, fence: int, ack: int, until_s: float | None) -> Look:
+    def look(self, fence: int, ack: int, until_s: float | None) -> PollReply:
         """See :meth:`Workers.look`."""
         if fence < self.fence:
             raise WorkerFencedError(self.name)
@@ -283,7 +285,7 @@
         if until_s is not None:
             self._extend(until_s)
         rows = tuple(self._running_row(run) for run in self.runs.values())
-        return Look(self.life, self.clock(), rows, tuple(self.ends))
+        return PollReply(self.life, self.clock(), rows, tuple(self.ends))
 
     def _running_row(self, run: _Run) -> RunningRow:
         if not run.works:
@@ -299,11 +301,11 @@
         self.fence = order.fence
         if (order.task, order.run) in self.runs:
             self._extend(order.lease_until_s)
-            return self._answer(OrderOutcome.TAKEN)
+            return self._answer(OrderOutcome.APPLIED)
         if order.run <= self._highest_ended.get(order.task, 0):
-            return self._answer(OrderOutcome.OLD)
+            return self._answer(OrderOutcome.SUPERSEDED)
         if order.lease_until_s < self.clock():
-            return self._answer(OrderOutcome.LATE)
+            return self._answer(OrderOutcome.EXPIRED)
         if order.ticket and float(order.ticket) < now():
             self.late_tickets += 1
             return self._answer(OrderOutcome.NO_TICKET)
@@ -320,7 +322,7 @@
             self._gangs.add(self, run)
         else:
             self.begin_work(run, plan.work_s)
-        return self._answer(OrderOutcome.TAKEN)
+        return self._answer(OrderOutcome.APPLIED)
 
     def stop(self, task: str, number: int, fence: int) -> OrderAnswer:
         """See :meth:`Workers.stop`."""
@@ -334,8 +336,8 @@
         elif not run.stopping:
             run.stopping = True
             loop = asyncio.get_running_loop()
-            loop.call_later(STOP_S, self.finish, run, End.STOPPED)
-        return self._answer(OrderOutcome.TAKEN)
+            loop.call_later(STOP_S, self.finish, run, RunEnd.STOPPED)
+        return self._answer(OrderOutcome.APPLIED)
 
     def _answer(self, outcome: OrderOutcome) -> OrderAnswer:
         return OrderAnswer(outcome, self.life, self.clock())
@@ -393,7 +395,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """See :meth:`Workers.look`."""
         await pause(NET_S)
         target = self._reached(worker.name)
@@ -424,7 +426,7 @@
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
         """See :meth:`Workers.pace`."""
-        return await self._order(worker.name, lambda w: w._answer(OrderOutcome.TAKEN))
+        return await self._order(worker.name, lambda w: w._answer(OrderOutcome.APPLIED))
 
     async def _order(
         self, name: str, act: Callable[[ModelWorker], OrderAnswer]
--- a/tests/cell/test_digests.py
+++ b/tests/cell/test_digests.py
@@ -5,14 +5,20 @@
 
 from firhook._peer_messages import PushedBatch, PushedRecord
 from firhook.cell import AcceptedJob, JobSpec, JobStatus, Queue, Replica, StepSpec
-from firhook.cell._records import JobState, RunState, StepState, TaskState, WorkerLife
+from firhook.cell._records import (
+    JobState,
+    RunState,
+    StepState,
+    TaskState,
+    WorkerIncarnation,
+)
 from firhook.cell._resources import Resources
 from firhook.cell.records import (
     decode_record,
+    decode_state_summary,
     digest_job,
     digest_state,
     encode_record,
-    peek_state,
 )
 from firhook.errors import RecordMalformedError
 from firhook.services._handing_on import digest_of
@@ -32,7 +38,7 @@
     running = TaskState(last_run=1, runs=(RunState(1, 0),))
     return JobState(
         int(status),
-        workers=(WorkerLife("w0", 1),),
+        workers=(WorkerIncarnation("w0", 1),),
         steps=(StepState(0, 0, (running,) * tasks),),
         version=version,
     )
@@ -53,18 +59,20 @@
 
 @pytest.mark.parametrize("tasks", [1, 120])
 def test_digest_of_a_state_does_not_grow_with_the_tasks_of_its_job(tasks):
-    state = peek_state(encode_record(_state(tasks)))
+    state = decode_state_summary(encode_record(_state(tasks)))
     digest = digest_state(state)
-    read = peek_state(digest)
+    read = decode_state_summary(digest)
     assert attrs.evolve(read, raw=b"") == attrs.evolve(state, raw=b"")
     assert len(digest) < 32
 
 
 def test_digest_of_a_state_is_not_taken_for_the_whole_of_it():
     """A lead that went by it would start tasks beside those that run."""
-    digest = peek_state(digest_state(peek_state(encode_record(_state(3)))))
+    digest = decode_state_summary(
+        digest_state(decode_state_summary(encode_record(_state(3))))
+    )
     with pytest.raises(RecordMalformedError):
-        digest.whole()
+        digest.decode()
 
 
 def test_digest_leaves_out_states_that_tell_callers_nothing_new():
@@ -98,7 +106,7 @@
     """
     replica, key, whole = Replica(), "job/" + JOB.id, encode_record(JOB)
     replica.apply(3, key, digest_job(whole))
-    replica.complete(0, {key}, 10)
+    replica.drop_unlisted(0, {key}, 10)
     replica.apply(3, key, whole)
     assert replica.jobs[JOB.id].accepted == JOB
     replica.apply(2, key, digest_job(whole))
--- a/tests/cell/test_book_begun.py
+++ b/tests/cell/test_job_table_begun.py
@@ -4,20 +4,20 @@
 
 from firhook.cell import (
     AcceptedJob,
-    Book,
     CellConfig,
-    End,
     EndedRow,
     JobSpec,
     JobStatus,
-    Look,
+    JobTable,
+    PollReply,
     Pool,
     Queue,
     Resources,
+    RunEnd,
     RunningRow,
     StepSpec,
 )
-from firhook.cell.book import BEGUN_WAIT_S
+from firhook.cell.job_table import BEGUN_STORE_DELAY_S
 
 QUEUE = Queue("plan", "h", "/plan/", "pool", max_attempts=3)
 CONFIG = CellConfig(1, (QUEUE,), (), (Pool("pool"),))
@@ -26,7 +26,7 @@
 
 
 def a_book(*ids, state=None, count=2):
-    book = Book(CONFIG)
+    book = JobTable(CONFIG)
     for job_id in ids:
         step = StepSpec(count, Resources(1000, 100, 0), 1.0)
         accepted = AcceptedJob(job_id, "a", QUEUE, NOW, JobSpec("x", (step,)))
@@ -53,8 +53,8 @@
 def look(book, running=(), ended=(), sent_at=NOW):
     rows = tuple(RunningRow(task, run, "", 0) for task, run in running)
     ends = tuple(EndedRow(i + 1, *row, "") for i, row in enumerate(ended))
-    seen = Look(LIFE, 1.0, rows, ends)
-    return book.take_look("w", seen, sent_at, NOW, NOW)
+    seen = PollReply(LIFE, 1.0, rows, ends)
+    return book.apply_poll_reply("w", seen, sent_at, NOW, NOW)
 
 
 def test_an_assigned_job_is_stored_as_queued_and_so_it_stays_when_its_run_is_void():
@@ -69,7 +69,7 @@
     book = a_book("j")
     run = assign(book, "j")
     book.take_dirty(NOW)
-    book.note_begun(run.task.step.job, NOW)
+    book.mark_begun(run.task.step.job, NOW)
     assert stored(book, NOW) == {}
     assign(book, "j")
     assert stored(book, NOW) == {"j": "RUNNING"}
@@ -82,14 +82,14 @@
     for job_id, at in (("j", NOW), ("k", NOW + 0.2)):
         run = assign(book, job_id)
         book.take_dirty(at)
-        book.note_begun(run.task.step.job, at)
+        book.mark_begun(run.task.step.job, at)
     return book
 
 
 def test_begins_with_nothing_to_ride_along_with_are_stored_together_and_in_time():
     book = two_begun()
-    assert stored(book, NOW + BEGUN_WAIT_S - 0.01) == {}
-    assert stored(book, NOW + BEGUN_WAIT_S) == {"j": "RUNNING", "k": "RUNNING"}
+    assert stored(book, NOW + BEGUN_STORE_DELAY_S - 0.01) == {}
+    assert stored(book, NOW + BEGUN_STORE_DELAY_S) == {"j": "RUNNING", "k": "RUNNING"}
     assert stored(book, NOW + 9) == {}
 
 
@@ -97,14 +97,14 @@
     book = two_begun()
     assign(book, "j")
     assert stored(book, NOW + 0.2) == {"j": "RUNNING"}
-    assert stored(book, NOW + 0.2 + BEGUN_WAIT_S - 0.01) == {}
-    assert stored(book, NOW + 0.2 + BEGUN_WAIT_S) == {"k": "RUNNING"}
+    assert stored(book, NOW + 0.2 + BEGUN_STORE_DELAY_S - 0.01) == {}
+    assert stored(book, NOW + 0.2 + BEGUN_STORE_DELAY_S) == {"k": "RUNNING"}
 
 
 def test_a_job_that_began_is_running_for_good_though_its_run_is_lost():
     book = a_book("j")
     run = assign(book, "j")
-    book.note_begun(run.task.step.job, NOW)
+    book.mark_begun(run.task.step.job, NOW)
     book.void(run, "lease_lapsed", NOW)
     assert stored(book, NOW) == {"j": "RUNNING"}
     again = assign(book, "j")
@@ -117,12 +117,12 @@
     run = assign(book, "j")
     job = run.task.step.job
     book.cancel("j", NOW)
-    book.note_begun(job, NOW)
+    book.mark_begun(job, NOW)
     assert stored(book, NOW) == {"j": "CANCELLED"}
     assert stored(book, NOW + 9) == {}
 
 
-@pytest.mark.parametrize("end", End)
+@pytest.mark.parametrize("end", RunEnd)
 def test_an_end_that_a_worker_lists_tells_that_the_run_was_begun(end):
     book = a_book("j")
     run = assign(book, "j")
@@ -134,7 +134,7 @@
 def test_a_look_that_does_not_list_a_run_leaves_its_job_queued():
     book = a_book("j")
     run = assign(book, "j")
-    run.settled_at = NOW
+    run.absence_conclusive_after = NOW
     look(book, sent_at=NOW + 1)
     assert run not in run.task.runs
     assert stored(book, NOW + 9) == {"j": "QUEUED"}
@@ -160,5 +160,5 @@
     if going_on:
         assert look(book, running=[run.key]) == [run.key]
     else:
-        look(book, ended=[(*run.key, End.LAPSED)])
+        look(book, ended=[(*run.key, RunEnd.LEASE_EXPIRED)])
     assert stored(book, NOW + 9) == {"j": "RUNNING"}
--- a/tests/cell/test_replica.py
+++ b/tests/cell/test_replica.py
@@ -22,7 +22,7 @@
     StepState,
     TaskState,
 )
-from firhook.cell._records import WorkerLife, peek_state
+from firhook.cell._records import WorkerIncarnation, decode_state_summary
 from firhook.cell.records import decode_record, encode_record
 from firhook.errors import RecordMalformedError
 
@@ -32,7 +32,7 @@
 STATE = JobState(
     1,
     0.0,
-    (WorkerLife("w", 7),),
+    (WorkerIncarnation("w", 7),),
     (StepState(0, 0, (TaskState(False, 2, 1, "c", (RunState(2, 0),)), None)),),
 )
 
@@ -54,22 +54,26 @@
     state = attrs.evolve(
         STATE, status=int(status), ended_at=ended_at, steps=steps, version=version
     )
-    seen = peek_state(encode_record(state))
+    seen = decode_state_summary(encode_record(state))
     assert (seen.status, seen.ended_at, seen.version) == (status, ended_at, version)
-    assert seen.over == (steps == ())
-    assert seen.whole() == state
+    assert seen.has_no_steps == (steps == ())
+    assert seen.decode() == state
 
 
 def test_a_state_of_an_older_version_is_peeked_at_with_the_defaults():
     row = msgspec.msgpack.decode(encode_record(STATE))
-    seen = peek_state(msgspec.msgpack.encode(row[:3]))
-    assert (seen.status, seen.over, seen.version) == (JobStatus.RUNNING, True, 0)
+    seen = decode_state_summary(msgspec.msgpack.encode(row[:3]))
+    assert (seen.status, seen.has_no_steps, seen.version) == (
+        JobStatus.RUNNING,
+        True,
+        0,
+    )
 
 
 @given(st.binary(max_size=60))
 def test_other_bytes_are_no_state(raw):
     with contextlib.suppress(RecordMalformedError):
-        assert peek_state(raw).status in JobStatus
+        assert decode_state_summary(raw).status in JobStatus
 
 
 def test_a_record_of_a_newer_version_is_read_without_what_it_adds():
@@ -111,9 +115,9 @@
         replica.apply(offset, f"job/{job.id}", encode_record(job), partition)
     view = replica.jobs[JOB.id]
     assert view.accepted == records[2][2]
-    assert view.lost(QUEUE.owner("b"))
-    assert not view.lost(QUEUE.owner("a"))
-    assert not view.lost(QUEUE.owner("c"))
+    assert view.is_rejected(QUEUE.owner("b"))
+    assert not view.is_rejected(QUEUE.owner("a"))
+    assert not view.is_rejected(QUEUE.owner("c"))
 
 
 @given(
--- a/tests/cell/test_replica_drops.py
+++ b/tests/cell/test_replica_drops.py
@@ -63,13 +63,13 @@
     replica.apply(2, "job/2", ACCEPTED, 1)
     replica.apply(8, "job/3", ACCEPTED, 1)
     replica.apply(1, "job/4", ACCEPTED, 3)
-    assert replica.complete(1, {"job/2"}, 8) == ["1"]
+    assert replica.drop_unlisted(1, {"job/2"}, 8) == ["1"]
     assert sorted(replica.jobs) == ["2", "3", "4"]
 
 
 def test_late_push_of_a_key_that_the_store_listed_no_more_is_not_taken():
     replica = Replica()
-    replica.complete(1, set(), 8)
+    replica.drop_unlisted(1, set(), 8)
     replica.apply(7, "job/1", ACCEPTED, 1)
     assert replica.jobs == {}
     replica.apply(8, "job/1", ACCEPTED, 1)
@@ -81,7 +81,7 @@
     replica.apply(0, "job/1", ACCEPTED, 1)
     replica.apply(1, "cancel/1", b"\x01", 1)
     replica.apply(0, "state/1", encode_record(STATE), 0)
-    replica.complete(1, {"cancel/1"}, 2)
+    replica.drop_unlisted(1, {"cancel/1"}, 2)
     assert replica.find("1") is None
     assert replica.jobs["1"].cancelled
     replica.apply(3, "cancel/1", None, 1)
@@ -97,7 +97,7 @@
     kept = replica._partitions[1].dropped
     assert len(kept) == 20_000
     assert min(kept.values()) == 30_000
-    replica.complete(1, set(), 50_000)
+    replica.drop_unlisted(1, set(), 50_000)
     assert not replica._partitions[1].dropped
 
 
@@ -152,7 +152,7 @@
     listed = [record for record in newest.values() if record[2] is not None]
     for record in listed:
         rebuilt.apply(*record)
-    rebuilt.complete(0, {key for _, key, _ in listed}, end)
+    rebuilt.drop_unlisted(0, {key for _, key, _ in listed}, end)
     for record in records[end:]:
         rebuilt.apply(*record)
     assert seen(straight) == seen(rebuilt)
--- a/tests/decide/test_schedule.py
+++ b/tests/decide/test_schedule.py
@@ -8,13 +8,13 @@
 from firhook.cell import (
     AcceptedJob,
     AdvicePolicy,
-    Book,
     CellConfig,
-    End,
     JobSpec,
+    JobTable,
     Pool,
     Queue,
     Resources,
+    RunEnd,
     StepSpec,
     Team,
 )
@@ -32,7 +32,7 @@
 
     def __init__(self, workers=4, cpu_m=8000, teams=(UNLIMITED,), urgent_m=0):
         config = CellConfig(1, (QUOTE, PLAN, BILL), tuple(teams), (Pool("pool"),))
-        self.book = Book(config)
+        self.book = JobTable(config)
         self.capacity = Resources(cpu_m, 100000)
         self.names = [f"w{i}" for i in range(workers)]
         self.labels = {name: frozenset({"kind"}) for name in self.names}
@@ -56,7 +56,7 @@
                 "pool",
                 f"r{i // 2}",
                 self.labels[name],
-                self.capacity.minus(self.book.worker_use.get(name, Resources())),
+                self.capacity.subtract(self.book.worker_usage.get(name, Resources())),
                 urgent_cpu_m=self.urgent_m,
             )
             for i, name in enumerate(self.names)
@@ -69,14 +69,14 @@
             run.stored = True
         return started
 
-    def finish(self, run, end=End.DONE):
+    def finish(self, run, end=RunEnd.DONE):
         self.book.end(run, end, "", self.now, self.now)
 
     def overfull(self):
         return [
             name
             for name in self.names
-            if not self.capacity.covers(self.book.worker_use.get(name, Resources()))
+            if not self.capacity.covers(self.book.worker_usage.get(name, Resources()))
         ]
 
 
@@ -162,14 +162,14 @@
     world.book.config = attrs.evolve(world.book.config, queues=(queue,))
     job = world.submit(queue, tasks(3, gang=True))
     first = world.round()
-    world.finish(first[0], End.FAILED)
-    assert {run.stopping for run in first[1:]} == {"gang_broken"}
+    world.finish(first[0], RunEnd.FAILED)
+    assert {run.stop_reason for run in first[1:]} == {"gang_broken"}
     for run in first[1:]:
-        world.finish(run, End.BROKEN)
+        world.finish(run, RunEnd.GANG_BROKEN)
     assert job.steps[0, 0].tasks[1].failures == 1
     second = world.round()
     assert {run.number for run in second} == {2}
-    world.finish(second[0], End.FAILED)
+    world.finish(second[0], RunEnd.FAILED)
     assert job.status.name == "FAILED"
 
 
@@ -195,7 +195,7 @@
     assert len(started) == 3
     world.book.stop(started[0], "test")
     assert world.round() == []
-    world.finish(started[0], End.STOPPED)
+    world.finish(started[0], RunEnd.STOPPED)
     assert len(world.round()) == 1
 
 
@@ -269,7 +269,7 @@
         running += world.round()
         world.now += rng.random() * 3
         assert world.overfull() == []
-        used = world.book.team_use.get("a", Resources())
+        used = world.book.team_usage.get("a", Resources())
         assert used.cpu_m <= 20000
         if running and rng.random() < 0.7:
             run = running.pop(rng.randrange(len(running)))
@@ -277,7 +277,7 @@
                 world.finish(run)
 
 
-@pytest.mark.parametrize("end", [End.LAPSED, End.STOPPED, End.FAILED])
+@pytest.mark.parametrize("end", [RunEnd.LEASE_EXPIRED, RunEnd.STOPPED, RunEnd.FAILED])
 def test_a_task_that_did_not_end_done_runs_again_under_a_higher_number(end):
     world = World()
     world.submit(BILL, tasks(1))
--- a/tests/decide/test_speeds.py
+++ b/tests/decide/test_speeds.py
@@ -2,14 +2,14 @@
 
 import random
 
-from firhook.cell import End, Run
+from firhook.cell import Run, RunEnd
 from firhook.decide.speeds import SpeedBook
 from firhook.decide.stalls import STALL_S, standing_still
 from firhook.decide.worker_health import FAILURES_IN_A_ROW, FIRST_REST_S, WorkerHealth
 
 
 class Spec:
-    lasting = False
+    long_running = False
     estimate_s = 1.0
 
 
@@ -78,7 +78,7 @@
 
 def test_what_moved_before_does_not_hide_that_a_worker_stands_still_now():
     before, fresh = a_run(0, 60, 1.0), a_run(0, 0, 1.5)
-    fresh.begun_at = 1.2
+    fresh.assigned_at = 1.2
     assert standing_still([before, fresh], 2.1) == []
     assert standing_still([before, fresh], 2.4) == [fresh]
 
@@ -96,16 +96,16 @@
     """
     health = WorkerHealth()
     for job in range(FAILURES_IN_A_ROW):
-        health.note(str(job), End.FAILED, 10.0)
+        health.note(str(job), RunEnd.FAILED, 10.0)
     assert not health.accepts(0, 10.1)
     assert health.accepts(0, 10.0 + FIRST_REST_S)
     assert not health.accepts(1, 10.0 + FIRST_REST_S)
-    health.note("other", End.DONE, 13.0)
+    health.note("other", RunEnd.DONE, 13.0)
     assert health.accepts(5, 13.0)
 
 
 def test_a_job_that_can_never_be_done_gives_no_worker_a_rest():
     health = WorkerHealth()
     for _ in range(10):
-        health.note("hopeless", End.FAILED, 10.0)
+        health.note("hopeless", RunEnd.FAILED, 10.0)
     assert health.accepts(3, 10.0)
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -32,7 +32,7 @@
                 "pool",
                 "r0",
                 self.labels[name],
-                self.capacity.minus(self.book.worker_use.get(name, Resources())),
+                self.capacity.subtract(self.book.worker_usage.get(name, Resources())),
             )
             for name in self.names[: self.heard]
         }
@@ -79,7 +79,7 @@
 
 def test_task_that_no_permitted_worker_can_ever_hold_is_asked_about_others():
     world = AdvisedWorld(4, heard=1)
-    world.submit(PLAN, StepSpec(1, Resources(6000, 100), 1.0, lasting=True))
+    world.submit(PLAN, StepSpec(1, Resources(6000, 100), 1.0, long_running=True))
     world.play_round()
     job = world.submit(ADVISED, StepSpec(1, Resources(4000, 100), 1.0))
     world.play(0.5)
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -65,7 +65,7 @@
 
 def test_a_worker_entry_is_decoded_with_its_life_and_rack():
     entry = decode_worker("w", encoded(ENTRY))
-    assert (entry.life, entry.rack, entry.pool) == (1700000000123, "r1-3", "p")
+    assert (entry.incarnation, entry.rack, entry.pool) == (1700000000123, "r1-3", "p")
     assert entry.capacity == Resources(16000, 32768, 1)
 
 
@@ -99,7 +99,7 @@
     assert config.team_for("secret").name == "t"
     assert config.team_for("other") is None
     assert "secret" not in repr(config)
-    assert config.queues[0].advice.takes_s(10) == pytest.approx(0.0175)
+    assert config.queues[0].advice.answer_s(10) == pytest.approx(0.0175)
 
 
 def test_a_configuration_that_cannot_be_read_says_which_field():
@@ -116,7 +116,7 @@
     )
     assert job.steps[0].gang
     assert job.steps[1].after == (0,)
-    assert not job.timed
+    assert not job.periodic
 
 
 @pytest.mark.parametrize(
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_handing_on.py
@@ -145,7 +145,7 @@
             if name != lead
         }
         whole = [name for name, v in views.items() if not v.accepted.is_digest]
-        runs = [views[name].state.whole().steps for name in whole if views[name].state]
+        runs = [views[name].state.decode().steps for name in whole if views[name].state]
         assert len(runs) >= 2
         cell.kill(lead)
         await cell.until(lambda: cell.lead() is not None, 5.0)
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -65,13 +65,13 @@
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
 def test_instance_that_has_read_everything_is_known_as_such(partitions):
     """Its two records may lie on two partitions, and come in any order."""
-    early = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=True)
-    late = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=False)
+    early = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=True)
+    late = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=False)
     replica, key = Replica(), PEER_PREFIX + "p"
     replica.apply(5, key, encode_record(late), partitions[1])
     replica.apply(9, key, encode_record(early), partitions[0])
     assert replica.peers["p"] == late
-    again = PeerRecord("p", "2", "a:1", "z0", 1.0, reading=True)
+    again = PeerRecord("p", "2", "a:1", "z0", 1.0, catching_up=True)
     replica.apply(10, key, encode_record(again), partitions[0])
     assert replica.peers["p"] == again
 
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -57,7 +57,7 @@
 def assigned(cell, job):
     """Return whether the log names a run of the job."""
     views = [i.instance.replica.find(job) for i in cell.instances.values() if i.alive]
-    return all(v and v.state and not v.state.over for v in views)
+    return all(v and v.state and not v.state.has_no_steps for v in views)
 
 
 def led_by_another(cell, first):
@@ -98,9 +98,9 @@
 
 REFUSALS = [
     OrderOutcome.NO_TICKET,
-    OrderOutcome.NO_ROOM,
+    OrderOutcome.NO_CAPACITY,
     OrderOutcome.BUSY,
-    OrderOutcome.OLD,
+    OrderOutcome.SUPERSEDED,
 ]
 
 
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from firhook.cell import Book
+from firhook.cell import JobTable
 from firhook.services._orders import Orders
 from firhook.services._term import Term
 from firhook.services._worker_link import WorkerLink
@@ -79,7 +79,7 @@
     give_up = Orders._give_up_start
 
     def careless(self, run, reason):
-        run.unanswered = 0
+        run.unanswered_starts = 0
         give_up(self, run, reason)
 
     monkeypatch.setattr(Orders, "_give_up_start", careless)
@@ -87,13 +87,13 @@
 
 
 def test_taking_a_look_from_before_an_order_for_proof_is_caught(monkeypatch):
-    absent = Book._take_absence
+    absent = JobTable._apply_absence
 
     def hasty(self, run, look, sent_at, now):
-        run.settled_at = -math.inf
+        run.absence_conclusive_after = -math.inf
         absent(self, run, look, sent_at, now)
 
-    monkeypatch.setattr(Book, "_take_absence", hasty)
+    monkeypatch.setattr(JobTable, "_apply_absence", hasty)
     assert caught() is not None
 
 
