--- a/bench/_lab/_ablations.py
+++ b/bench/_lab/_ablations.py
@@ -37,7 +37,7 @@
 class NoReservations(Ablation, name="no_reservations"):
     """No room is kept for gangs that do not fit yet."""
 
-    constants: ClassVar = {"decide._schedule.RESERVED_GANGS": 0}
+    constants: ClassVar = {"decide._schedule.MAX_RESERVED_GANGS": 0}
 
 
 class NoBackfill(Ablation, name="no_backfill"):
@@ -49,19 +49,19 @@
 class NoUrgentRoom(Ablation, name="no_urgent_room"):
     """No room is kept for urgent work."""
 
-    constants: ClassVar = {"decide._schedule._URGENT_PART": 0.0}
+    constants: ClassVar = {"decide._schedule._URGENT_FRACTION": 0.0}
 
 
 class NoSpareOrder(Ablation, name="no_spare_order"):
     """Late urgent work goes after all that can be in time."""
 
-    constants: ClassVar = {"decide._schedule._SPARE_S": math.inf}
+    constants: ClassVar = {"decide._schedule._AMPLE_SLACK_S": math.inf}
 
 
 class NoSuspicion(Ablation, name="no_suspicion"):
     """Workers are used until a call to them has failed."""
 
-    constants: ClassVar = {"decide._suspicion.LATE_S": math.inf}
+    constants: ClassVar = {"decide._suspicion.OVERDUE_S": math.inf}
 
 
 class NoSlowWorkers(Ablation, name="no_slow_workers"):
@@ -74,15 +74,15 @@
     """What stands still is waited for."""
 
     constants: ClassVar = {
-        "decide._stalls.STALL_S": math.inf,
-        "decide._stalls._FRESH_S": math.inf,
+        "decide._stalls.STALL_TIMEOUT_S": math.inf,
+        "decide._stalls._FIRST_PROGRESS_S": math.inf,
     }
 
 
 class NoAskingAhead(Ablation, name="no_asking_ahead"):
     """The adviser is asked again only when there is room."""
 
-    constants: ClassVar = {"decide._tickets.CHEAP_S": math.inf}
+    constants: ClassVar = {"decide._tickets.FAST_ANSWER_S": math.inf}
 
 
 class NoBlindRenewal(Ablation, name="no_blind_renewal"):
--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -11,9 +11,9 @@
 from bench._lab._tally import Figures, tally
 from firhook._instance import load_services
 from firhook.cell import Book, Step
+from firhook.decide.adviser_slots import SlotPlan
 from firhook.decide.schedule import Round, RoundResult, WorkerView
-from firhook.decide.seats import SeatPlan
-from firhook.decide.tickets import TicketBook
+from firhook.decide.tickets import TicketTable
 from firhook.platform.instance import Bounds
 
 POLICIES: dict[str, type["Policy"]] = {}
@@ -73,13 +73,13 @@
     """A policy with rounds, and seats at the adviser, of classes of its own."""
 
     round: ClassVar[type[Round]] = Round
-    seat_plan: ClassVar[type[SeatPlan]] = SeatPlan
+    seat_plan: ClassVar[type[SlotPlan]] = SlotPlan
 
     def place(
         self,
         book: Book,
         workers: dict[str, WorkerView],
-        tickets: TicketBook,
+        tickets: TicketTable,
         now: float,
     ) -> RoundResult:
         """Decide which waiting tasks start now, and where."""
@@ -96,16 +96,16 @@
     def run(self) -> RoundResult:
         """See :meth:`Round.run`; the adviser is asked in order of arrival too."""
         result = super().run()
-        result.wishes = [
-            attrs.evolve(wish, before=wish.step.job.accepted_at)
-            for wish in result.wishes
+        result.advice_requests = [
+            attrs.evolve(request, order_key=request.step.job.accepted_at)
+            for request in result.advice_requests
         ]
         return result
 
     def _rank(self, step: Step) -> tuple[float, ...]:
         return (step.job.accepted_at,)
 
-    def _best(
+    def _pick_worker(
         self,
         step: Step,
         workers: Any,
@@ -117,7 +117,9 @@
                 return worker
         return None
 
-    def _fill(self, step: Step, workers: list[WorkerView]) -> list[WorkerView] | None:
+    def _fit_gang(
+        self, step: Step, workers: list[WorkerView]
+    ) -> list[WorkerView] | None:
         chosen: list[WorkerView] = []
         for worker in sorted(workers, key=lambda w: w.name):
             left = step.spec.count - len(chosen)
@@ -132,11 +134,11 @@
         """Keep no room."""
 
 
-class OpenSeats(SeatPlan):
+class OpenSeats(SlotPlan):
     """Keeps no seat for any question."""
 
-    def kept(self, cost_s: float, seats: int, now: float) -> int:
-        """See :meth:`SeatPlan.kept`."""
+    def reserved_slots(self, cost_s: float, slots: int, now: float) -> int:
+        """See :meth:`SlotPlan.reserved_slots`."""
         return 0
 
 
--- a/src/firhook/decide/_appends.py
+++ b/src/firhook/decide/_append_route.py
@@ -1,9 +1,9 @@
 """Whether an instance appends callers' records itself or through the lead."""
 
 #: An append that took longer waited behind those of other instances.
-CROWDED_S = 0.1
+SLOW_APPEND_S = 0.1
 #: A lead that did not take a record is left alone for so long, in seconds.
-_REST_S = 1.0
+_LEAD_BACKOFF_S = 1.0
 
 
 class AppendRoute:
@@ -22,36 +22,36 @@
     """
 
     def __init__(self) -> None:
-        self._crowded = False
+        self._is_slow = False
         self._sent_at: float | None = None
-        self._rests_until = float("-inf")
+        self._backoff_until = float("-inf")
 
-    def own_sent(self, now: float) -> None:
+    def note_append_sent(self, now: float) -> None:
         """Take note that this instance sent an append."""
         self._sent_at = now
 
-    def own_ended(self, now: float, answered: bool) -> None:
+    def note_append_ended(self, now: float, answered: bool) -> None:
         """Take note that its append was answered or refused, or else given up."""
         if self._sent_at is not None and answered:
-            self._crowded = now - self._sent_at > CROWDED_S
+            self._is_slow = now - self._sent_at > SLOW_APPEND_S
         self._sent_at = None
 
-    def lead_took(self, seconds: float) -> None:
+    def note_lead_append(self, seconds: float) -> None:
         """Take note of how long the lead needed to append."""
-        self._crowded = seconds > CROWDED_S
+        self._is_slow = seconds > SLOW_APPEND_S
 
-    def lead_failed(self, now: float) -> None:
+    def note_lead_failure(self, now: float) -> None:
         """Take note that the lead did not append, or did not say so."""
-        self._rests_until = now + _REST_S
+        self._backoff_until = now + _LEAD_BACKOFF_S
 
-    def through_lead(self, now: float, store_answered_at: float) -> bool:
+    def should_use_lead(self, now: float, store_answered_at: float) -> bool:
         """Return whether records should go through the lead now.
 
         :param store_answered_at: when the store last answered any call.
         """
-        if now < self._rests_until:
+        if now < self._backoff_until:
             return False
         sent_at = self._sent_at
-        if sent_at is None or now - sent_at <= CROWDED_S:
-            return self._crowded
+        if sent_at is None or now - sent_at <= SLOW_APPEND_S:
+            return self._is_slow
         return store_answered_at > sent_at
--- a/src/firhook/decide/_copying.py
+++ b/src/firhook/decide/_copy_sources.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Sequence
 
-from firhook.decide._election import Candidate, much_stronger
+from firhook.decide._election import Candidate, is_much_stronger
 
 
-def whom_to_copy(
+def choose_copy_sources(
     name: str, zone: str, strength: float, candidates: Sequence[Candidate]
 ) -> list[str]:
     """Return the instances to copy from, the best first; empty to read the store.
@@ -17,7 +17,9 @@
     :param strength: of the instance that starts, in cores.
     """
     strong = [
-        c for c in candidates if c.name != name and much_stronger(c.strength, strength)
+        c
+        for c in candidates
+        if c.name != name and is_much_stronger(c.strength, strength)
     ]
     strong.sort(key=lambda c: (c.zone != zone, -c.strength, c.name))
     # Those that start at once do not all ask the same one.
--- a/src/firhook/decide/_fan_out.py
+++ b/src/firhook/decide/_fan_out.py
@@ -4,30 +4,30 @@
 
 import attrs
 
-from firhook.decide._election import Candidate, line_of_succession
+from firhook.decide._election import Candidate, succession_order
 
 #: Instances next in line for the lead that hold everything, so that one of them
 #: leads at once although the other went with the lead.
 STANDBYS = 2
 #: A zone with fewer instances to tell is told directly: a relay would add a hop
 #: and save the lead next to nothing.
-LEAST_RELAYED = 3
+MIN_RELAYED = 3
 
 #: Digests are gathered for so long at least; callers see a job's end so much later.
-LEAST_GATHER_S = 0.015
+MIN_DIGEST_DELAY_S = 0.015
 #: Instances beyond so many make it longer, up to the most.
-_GATHER_PEERS = 40
-_MOST_GATHER_S = 0.05
+_DELAY_SCALE_PEERS = 40
+_MAX_DIGEST_DELAY_S = 0.05
 
 
-def gather_s(peers: int) -> float:
+def digest_delay_s(peers: int) -> float:
     """Return how long the lead gathers what it hands on to so many instances.
 
     What it costs the cell is a message to each of them each time; what it takes from
     callers is half of that time in the mean.
     """
-    wanted_s = LEAST_GATHER_S * peers / _GATHER_PEERS
-    return min(max(wanted_s, LEAST_GATHER_S), _MOST_GATHER_S)
+    wanted_s = MIN_DIGEST_DELAY_S * peers / _DELAY_SCALE_PEERS
+    return min(max(wanted_s, MIN_DIGEST_DELAY_S), _MAX_DIGEST_DELAY_S)
 
 
 @attrs.frozen(slots=True)
@@ -59,7 +59,7 @@
         busy with their start, each with the time until which it is passed over.
     """
     others = [c for c in candidates if c.name != lead]
-    line = [c.name for c, _ in line_of_succession(candidates, lead)]
+    line = [c.name for c, _ in succession_order(candidates, lead)]
     standbys = tuple(name for name in line if name != lead)[:STANDBYS]
     by_zone: dict[str, list[Candidate]] = {}
     for row in others:
@@ -68,15 +68,15 @@
     direct: list[str] = []
     for zone in sorted(by_zone):
         members = [c.name for c in by_zone[zone] if c.name not in standbys]
-        relay = _relay(by_zone[zone], standbys, unfit)
-        if len(members) < LEAST_RELAYED:
+        relay = _choose_relay(by_zone[zone], standbys, unfit)
+        if len(members) < MIN_RELAYED:
             direct += members
         else:
             relays.append((relay, tuple(n for n in members if n != relay)))
     return FanOut(standbys, tuple(relays), tuple(direct))
 
 
-def _relay(
+def _choose_relay(
     members: Sequence[Candidate], standbys: Sequence[str], unfit: Mapping[str, float]
 ) -> str:
     """Return the strongest fit instance of a zone, if possible no standby.
--- a/src/firhook/decide/_asking.py
+++ b/src/firhook/decide/_lookup_peers.py
@@ -2,13 +2,15 @@
 
 from collections.abc import Sequence
 
-from firhook.decide._election import Candidate, line_of_succession
+from firhook.decide._election import Candidate, succession_order
 
 #: Instances that are asked one question at most.
-MOST_ASKED = 3
+MAX_LOOKUP_PEERS = 3
 
 
-def whom_to_ask(name: str, lead: str, candidates: Sequence[Candidate]) -> list[str]:
+def choose_lookup_peers(
+    name: str, lead: str, candidates: Sequence[Candidate]
+) -> list[str]:
     """Return the instances to ask, the first one first.
 
     The lead is told of every record that is appended.  Strong instances come next,
@@ -19,6 +21,6 @@
     :param lead: the name of the lead, or empty if none is heard.
     :param candidates: all instances that are registered.
     """
-    line = [c.name for c, _ in line_of_succession(candidates, name)]
-    names = ([lead] if lead else []) + [n for n in line if n != lead]
-    return [n for n in names if n != name][:MOST_ASKED]
+    order = [c.name for c, _ in succession_order(candidates, name)]
+    names = ([lead] if lead else []) + [n for n in order if n != lead]
+    return [n for n in names if n != name][:MAX_LOOKUP_PEERS]
--- a/src/firhook/decide/_schedule.py
+++ b/src/firhook/decide/_schedule.py
@@ -12,34 +12,34 @@
 
 from firhook.cell import Book, Resources, Run, Step, StepSpec, Task
 from firhook.decide.tickets import (
-    MAX_ASKED,
-    AdviceWish,
-    TicketBook,
-    wish_for,
-    wish_for_others,
+    MAX_WORKERS_PER_REQUEST,
+    AdviceRequest,
+    TicketTable,
+    more_workers_request,
+    next_advice_request,
 )
 
 #: Gangs for which room is kept in a round.  Each keeps other work off some
 #: workers until its room is together; many at once would leave most of the
 #: cell waiting for itself.
-RESERVED_GANGS = 3
+MAX_RESERVED_GANGS = 3
 #: Work that takes up to so many times its objective is late, but not in vain.
 LATE_FACTOR = 3
 #: Work that need not start for so long has time to spare.
-_SPARE_S = 1.5
+_AMPLE_SLACK_S = 1.5
 #: The part of a worker's processors that is kept for urgent work at the most.
 #: A burst of three times the usual quotes needs a tenth of the cell.
-_URGENT_PART = 0.1
+_URGENT_FRACTION = 0.1
 #: Work that has waited so long uses the room kept for urgent work as well.
-_URGENT_KEPT_S = 2.0
+_URGENT_HEADROOM_WAIT_S = 2.0
 #: Work that ends before a gang's room is together may use the room meanwhile;
 #: estimates are off, so that it must end well before.
 _BACKFILL_FACTOR = 1.25
 #: How often it is looked at whether a step that waits should ask about others.
-_OTHERS_EVERY_S = 1.0
+_WIDEN_INTERVAL_S = 1.0
 
 
-class Wait(StrEnum):
+class WaitReason(StrEnum):
     """Why a step does not start."""
 
     #: No worker of its pool and label takes new work.
@@ -67,8 +67,8 @@
     :param usable: whether new work may start on it.
     :param slow: whether it works slower than others of its pool.
     :ivar free: what is left on it.
-    :ivar reserved_at: when the room that is kept for gangs is together.
-    :ivar spare: what is left then beside the room kept.
+    :ivar reservation_ready_at: when the room that is kept for gangs is together.
+    :ivar unreserved: what is left then beside the room kept.
     :ivar urgent_cpu_m: processors that are kept for work of the first priority.
         Load: a burst of plans, each of which holds its room for six seconds.
         Harm: quotes, which have half a second to start, find every worker that
@@ -76,26 +76,26 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     pool: str
     rack: str
     labels: frozenset[str]
     free: Resources
     usable: bool = True
     slow: bool = False
-    reserved_at: float = 0.0
-    spare: Resources | None = None
+    reservation_ready_at: float = 0.0
+    unreserved: Resources | None = None
     urgent_cpu_m: int = 0
 
-    def leaves_urgent(self, need: Resources) -> bool:
+    def keeps_urgent_headroom(self, need: Resources) -> bool:
         """Return whether a task leaves the room that is kept for urgent work."""
         return self.free.cpu_m - need.cpu_m >= self.urgent_cpu_m
 
     def take(self, need: Resources) -> None:
         """Use up some of what is left."""
         self.free = self.free.minus(need)
-        if self.spare is not None:
-            self.spare = self.spare.minus(need)
+        if self.unreserved is not None:
+            self.unreserved = self.unreserved.minus(need)
 
 
 @attrs.frozen(slots=True)
@@ -110,12 +110,12 @@
 class RoundResult:
     """What a round decided.
 
-    :ivar waits: why steps that could not start wait, by the step's name.
+    :ivar wait_reasons: why steps that could not start wait, by the step's name.
     """
 
     placements: list[Placement] = attrs.field(factory=list)
-    wishes: list[AdviceWish] = attrs.field(factory=list)
-    waits: dict[str, Wait] = attrs.field(factory=dict)
+    advice_requests: list[AdviceRequest] = attrs.field(factory=list)
+    wait_reasons: dict[str, WaitReason] = attrs.field(factory=dict)
 
 
 def urgency(step: Step, now: float) -> tuple[int, int, float]:
@@ -140,19 +140,19 @@
     if latest >= now - step.job.queue.target_s:
         if urgent:
             return (0, 0, latest)
-        spare = latest - now > _SPARE_S
+        spare = latest - now > _AMPLE_SLACK_S
         return (2, 0, latest) if spare else (0, 1, latest)
     if latest + (LATE_FACTOR - 1) * allowed_s >= now:
         return (1, 0, latest) if urgent else (3, 0, latest)
     return (4, 0 if urgent else 1, latest)
 
 
-def urgent_room_m(capacity_m: int, urgent_need_m: int) -> int:
+def urgent_headroom_m(capacity_m: int, urgent_need_m: int) -> int:
     """Return the processors to keep free on a worker for urgent work.
 
     :param urgent_need_m: what urgent tasks needed lately; 0 if there are none.
     """
-    return min(urgent_need_m, int(capacity_m * _URGENT_PART))
+    return min(urgent_need_m, int(capacity_m * _URGENT_FRACTION))
 
 
 class Round:
@@ -166,15 +166,15 @@
         self,
         book: Book,
         workers: dict[str, WorkerView],
-        tickets: TicketBook,
+        tickets: TicketTable,
         now: float,
     ) -> None:
         self._book = book
         self._workers = workers
         self._tickets = tickets
         self._now = now
-        self._reserved = 0
-        self._suited: dict[tuple[str, str], list[WorkerView]] = {}
+        self._reserved_gangs = 0
+        self._suitable_cache: dict[tuple[str, str], list[WorkerView]] = {}
         self._team_use = dict(book.team_use)
         self.result = RoundResult()
 
@@ -201,7 +201,7 @@
         step it was most of a round of 25 steps and 176 workers.
         """
         key = (step.job.queue.pool, step.spec.label)
-        found = self._suited.get(key)
+        found = self._suitable_cache.get(key)
         if found is None:
             pool, label = key
             found = [
@@ -210,10 +210,10 @@
                 if w.usable and w.pool == pool and (not label or label in w.labels)
             ]
             found.sort(key=lambda w: -w.free.cpu_m)
-            self._suited[key] = found
+            self._suitable_cache[key] = found
         return found
 
-    def _permitted(self, step: Step) -> int:
+    def _permitted_count(self, step: Step) -> int:
         """Return how many more tasks of the step the team may have running."""
         team = self._book.config.team_by_name.get(step.job.team)
         idle = len(step.idle)
@@ -231,27 +231,33 @@
                 high = middle - 1
         return low
 
-    def _advised(self, step: Step, suitable: list[WorkerView]) -> list[WorkerView]:
+    def _workers_with_tickets(
+        self, step: Step, suitable: list[WorkerView]
+    ) -> list[WorkerView]:
         """Return those that the step may start on now, and note what to ask."""
         policy = step.job.queue.advice
         if policy is None:
             return suitable
-        advice = self._tickets.of(step)
+        advice = self._tickets.advice_for(step)
         margin_s = self._tickets.margin_s(policy.valid_s)
-        permitted = [w for w in suitable if w.name in advice.yes]
-        if not advice.asking:
+        permitted = [w for w in suitable if w.name in advice.permitted]
+        if not advice.in_flight:
             has_room = any(w.free.covers(step.spec.held) for w in permitted)
             candidates = permitted or suitable
-            if len(permitted) > MAX_ASKED:
+            if len(permitted) > MAX_WORKERS_PER_REQUEST:
                 candidates.sort(key=lambda w: not w.free.covers(step.spec.held))
-            asked = [(w.name, w.life) for w in candidates]
-            wish = wish_for(step, advice, asked, has_room, self._now, margin_s)
-            if wish is not None:
-                self.result.wishes.append(wish)
+            asked = [(w.name, w.incarnation) for w in candidates]
+            request = next_advice_request(
+                step, advice, asked, has_room, self._now, margin_s
+            )
+            if request is not None:
+                self.result.advice_requests.append(request)
         until = self._now + margin_s
-        return [w for w in permitted if advice.ticket(w.name, w.life, until)]
+        return [
+            w for w in permitted if advice.usable_ticket(w.name, w.incarnation, until)
+        ]
 
-    def _ask_on(self, step: Step, suitable: list[WorkerView]) -> None:
+    def _widen_advice(self, step: Step, suitable: list[WorkerView]) -> None:
         """Ask about more workers for a step that those known cannot take now.
 
         A first question that was about few is made up for at once.  After that
@@ -260,23 +266,29 @@
         """
         if step.job.queue.advice is None:
             return
-        advice = self._tickets.of(step)
-        if advice.asking or self._wishes_for(step) or self._now < advice.others_at:
+        advice = self._tickets.advice_for(step)
+        if (
+            advice.in_flight
+            or self._has_request_for(step)
+            or self._now < advice.widen_at
+        ):
             return
-        wish = None
-        first_was_short = advice.known_count() < MAX_ASKED
-        if first_was_short or not self._could_hold(step, self._may_run(step, suitable)):
-            asked = [(w.name, w.life) for w in suitable]
-            wish = wish_for_others(step, advice, asked, self._now)
-        if wish is None:
-            advice.others_at = self._now + _OTHERS_EVERY_S
+        request = None
+        first_was_short = advice.answered_count() < MAX_WORKERS_PER_REQUEST
+        if first_was_short or not self._could_hold(
+            step, self._permitted_workers(step, suitable)
+        ):
+            asked = [(w.name, w.incarnation) for w in suitable]
+            request = more_workers_request(step, advice, asked, self._now)
+        if request is None:
+            advice.widen_at = self._now + _WIDEN_INTERVAL_S
         else:
-            self.result.wishes.append(wish)
+            self.result.advice_requests.append(request)
 
-    def _wishes_for(self, step: Step) -> bool:
+    def _has_request_for(self, step: Step) -> bool:
         """Return whether this round wishes to ask about the step at hand."""
-        wishes = self.result.wishes
-        return bool(wishes) and wishes[-1].step is step
+        requests = self.result.advice_requests
+        return bool(requests) and requests[-1].step is step
 
     def _could_hold(self, step: Step, workers: list[WorkerView]) -> bool:
         """Return whether workers hold a step once all that ends there has ended."""
@@ -294,57 +306,59 @@
                 return True
         return False
 
-    def _note_wait(self, step: Step, why: Wait) -> None:
-        self.result.waits[step.name] = why
+    def _record_wait(self, step: Step, reason: WaitReason) -> None:
+        self.result.wait_reasons[step.name] = reason
 
-    def _lacks(self, step: Step, suitable: list[WorkerView]) -> Wait:
+    def _wait_reason(self, step: Step, suitable: list[WorkerView]) -> WaitReason:
         """Return what a step lacks that found no worker."""
         if not suitable:
-            return Wait.NO_WORKER
+            return WaitReason.NO_WORKER
         if step.job.queue.advice is not None:
-            advice = self._tickets.of(step)
-            if advice.asking:
-                return Wait.ADVICE_ASKED
-            if self._wishes_for(step):
-                return Wait.ADVICE_DUE
-            if not advice.yes:
-                return Wait.NOT_PERMITTED
-        return Wait.NO_ROOM
-
-    def _may_run(self, step: Step, suitable: list[WorkerView]) -> list[WorkerView]:
+            advice = self._tickets.advice_for(step)
+            if advice.in_flight:
+                return WaitReason.ADVICE_ASKED
+            if self._has_request_for(step):
+                return WaitReason.ADVICE_DUE
+            if not advice.permitted:
+                return WaitReason.NOT_PERMITTED
+        return WaitReason.NO_ROOM
+
+    def _permitted_workers(
+        self, step: Step, suitable: list[WorkerView]
+    ) -> list[WorkerView]:
         """Return those that the step may run on, with or without a ticket now."""
         if step.job.queue.advice is None:
             return suitable
-        yes = self._tickets.of(step).yes
-        return [w for w in suitable if w.name in yes]
+        permitted = self._tickets.advice_for(step).permitted
+        return [w for w in suitable if w.name in permitted]
 
     # Single tasks.
 
     def _place_tasks(self, step: Step) -> None:
         suitable = self._suitable(step)
-        usable = self._advised(step, suitable)
-        permitted = self._permitted(step)
+        usable = self._workers_with_tickets(step, suitable)
+        permitted = self._permitted_count(step)
         if not permitted:
-            self._note_wait(step, Wait.TEAM_LIMIT)
+            self._record_wait(step, WaitReason.TEAM_LIMIT)
             return
         on_worker = _count_by_worker(step.runs()) if step.spec.per_worker else {}
         chosen: list[tuple[Task, str, int]] = []
         for task in list(step.idle.values())[:permitted]:
             avoid = {run.worker for run in task.runs}
-            worker = self._best(step, usable, on_worker, avoid)
+            worker = self._pick_worker(step, usable, on_worker, avoid)
             if worker is None:
                 break
             worker.take(step.spec.held)
             if step.spec.per_worker:
                 on_worker[worker.name] = on_worker.get(worker.name, 0) + 1
-            chosen.append((task, worker.name, worker.life))
+            chosen.append((task, worker.name, worker.incarnation))
         if chosen:
-            self._choose(step, chosen)
+            self._add_placement(step, chosen)
         else:
-            self._ask_on(step, suitable)
-            self._note_wait(step, self._lacks(step, suitable))
+            self._widen_advice(step, suitable)
+            self._record_wait(step, self._wait_reason(step, suitable))
 
-    def _best(
+    def _pick_worker(
         self,
         step: Step,
         workers: Iterable[WorkerView],
@@ -357,16 +371,16 @@
         slow ones and those away from the data come last.
         """
         spec, urgent = step.spec, step.job.queue.priority == 0
-        keeps_urgent = self._keeps_urgent(step)
+        keeps_urgent = self._must_keep_urgent_headroom(step)
         best, best_key = None, (True, True, 0)
         for worker in workers:
             if worker.name in avoid or not worker.free.covers(spec.held):
                 continue
             if spec.per_worker and on_worker.get(worker.name, 0) >= spec.per_worker:
                 continue
-            if keeps_urgent and not worker.leaves_urgent(spec.held):
+            if keeps_urgent and not worker.keeps_urgent_headroom(spec.held):
                 continue
-            if not urgent and not self._leaves_reserved(worker, spec):
+            if not urgent and not self._respects_reservation(worker, spec):
                 continue
             away = bool(spec.data_rack) and worker.rack != spec.data_rack
             key = (away, worker.slow, worker.free.cpu_m)
@@ -374,20 +388,20 @@
                 best, best_key = worker, key
         return best
 
-    def _keeps_urgent(self, step: Step) -> bool:
+    def _must_keep_urgent_headroom(self, step: Step) -> bool:
         """Return whether a step leaves the room that is kept for urgent work.
 
         Work that needs whole workers would otherwise never start.
         """
         waited_s = self._now - (step.ready_at or self._now)
-        return step.job.queue.priority > 0 and waited_s < _URGENT_KEPT_S
+        return step.job.queue.priority > 0 and waited_s < _URGENT_HEADROOM_WAIT_S
 
-    def _leaves_reserved(self, worker: WorkerView, spec: StepSpec) -> bool:
-        if worker.spare is None or worker.spare.covers(spec.held):
+    def _respects_reservation(self, worker: WorkerView, spec: StepSpec) -> bool:
+        if worker.unreserved is None or worker.unreserved.covers(spec.held):
             return True
-        return not spec.lasting and self._in_time(worker, spec)
+        return not spec.lasting and self._ends_before_reservation(worker, spec)
 
-    def _choose(self, step: Step, chosen: list[tuple[Task, str, int]]) -> None:
+    def _add_placement(self, step: Step, chosen: list[tuple[Task, str, int]]) -> None:
         team = step.job.team
         used = self._team_use.get(team, Resources())
         self._team_use[team] = used.plus(step.spec.need, len(chosen))
@@ -397,20 +411,22 @@
 
     def _place_gang(self, step: Step) -> None:
         suitable = self._suitable(step)
-        usable = self._advised(step, suitable)
-        if self._permitted(step) < step.spec.count:
-            self._note_wait(step, Wait.TEAM_LIMIT)
+        usable = self._workers_with_tickets(step, suitable)
+        if self._permitted_count(step) < step.spec.count:
+            self._record_wait(step, WaitReason.TEAM_LIMIT)
             return
         chosen = self._gang_workers(step, usable)
         if chosen is not None:
             tasks = list(step.idle.values())
-            rows = [(t, w.name, w.life) for t, w in zip(tasks, chosen, strict=True)]
-            self._choose(step, rows)
+            rows = [
+                (t, w.name, w.incarnation) for t, w in zip(tasks, chosen, strict=True)
+            ]
+            self._add_placement(step, rows)
             return
-        self._ask_on(step, suitable)
-        self._note_wait(step, self._lacks(step, suitable))
-        if self._reserved < RESERVED_GANGS:
-            self._reserve(step, self._may_run(step, suitable))
+        self._widen_advice(step, suitable)
+        self._record_wait(step, self._wait_reason(step, suitable))
+        if self._reserved_gangs < MAX_RESERVED_GANGS:
+            self._reserve(step, self._permitted_workers(step, suitable))
 
     def _gang_workers(
         self, step: Step, usable: list[WorkerView]
@@ -421,20 +437,24 @@
             for worker in usable:
                 by_rack.setdefault(worker.rack, []).append(worker)
             for rack in sorted(by_rack):
-                chosen = self._fill(step, by_rack[rack])
+                chosen = self._fit_gang(step, by_rack[rack])
                 if chosen is not None:
                     return chosen
-        return self._fill(step, usable)
+        return self._fit_gang(step, usable)
 
-    def _fill(self, step: Step, workers: list[WorkerView]) -> list[WorkerView] | None:
+    def _fit_gang(
+        self, step: Step, workers: list[WorkerView]
+    ) -> list[WorkerView] | None:
         spec = step.spec
         most = spec.per_worker or spec.count
         fits: list[tuple[bool, bool, int, WorkerView, int]] = []
         for worker in workers:
             room = worker.free
-            if worker.spare is not None and not self._in_time(worker, spec):
-                room = _least(room, worker.spare)
-            if self._keeps_urgent(step):
+            if worker.unreserved is not None and not self._ends_before_reservation(
+                worker, spec
+            ):
+                room = _min_resources(room, worker.unreserved)
+            if self._must_keep_urgent_headroom(step):
                 room = room.minus(Resources(worker.urgent_cpu_m))
             slots = room.copies(spec.held, most)
             if slots:
@@ -455,8 +475,11 @@
                 break
         return chosen
 
-    def _in_time(self, worker: WorkerView, spec: StepSpec) -> bool:
-        return self._now + spec.estimate_s * _BACKFILL_FACTOR <= worker.reserved_at
+    def _ends_before_reservation(self, worker: WorkerView, spec: StepSpec) -> bool:
+        return (
+            self._now + spec.estimate_s * _BACKFILL_FACTOR
+            <= worker.reservation_ready_at
+        )
 
     def _reserve(self, step: Step, workers: list[WorkerView]) -> None:
         """Keep room for a gang that does not fit yet.
@@ -470,15 +493,17 @@
         """
         spec = step.spec
         most = spec.per_worker or spec.count
-        keeps = self._keeps_urgent(step)
+        keeps = self._must_keep_urgent_headroom(step)
         kept = {w.name: Resources(w.urgent_cpu_m if keeps else 0) for w in workers}
         room = {
-            w.name: (w.free if w.spare is None else w.spare).minus(kept[w.name])
+            w.name: (w.free if w.unreserved is None else w.unreserved).minus(
+                kept[w.name]
+            )
             for w in workers
         }
         slots = {n: room[n].copies(spec.held, most) for n in room}
         total = sum(slots.values())
-        ends = self._ends_on(workers)
+        ends = self._expected_ends(workers)
         at = self._now
         while total < spec.count and ends:
             at, _, name, need = heapq.heappop(ends)
@@ -488,7 +513,7 @@
             slots[name] = more
         if total < spec.count:
             return
-        self._reserved += 1
+        self._reserved_gangs += 1
         left = spec.count
         for worker in sorted(workers, key=lambda w: -slots[w.name]):
             count = min(slots[worker.name], left)
@@ -496,10 +521,10 @@
                 break
             left -= count
             left_then = room[worker.name].minus(spec.held, count)
-            worker.spare = left_then.plus(kept[worker.name])
-            worker.reserved_at = max(worker.reserved_at, at)
+            worker.unreserved = left_then.plus(kept[worker.name])
+            worker.reservation_ready_at = max(worker.reservation_ready_at, at)
 
-    def _ends_on(
+    def _expected_ends(
         self, workers: list[WorkerView]
     ) -> list[tuple[float, int, str, Resources]]:
         ends: list[tuple[float, int, str, Resources]] = []
@@ -514,7 +539,7 @@
         return ends
 
 
-def _least(one: Resources, other: Resources) -> Resources:
+def _min_resources(one: Resources, other: Resources) -> Resources:
     return Resources(
         min(one.cpu_m, other.cpu_m),
         min(one.memory_mb, other.memory_mb),
@@ -530,7 +555,7 @@
 
 
 def place_round(
-    book: Book, workers: dict[str, WorkerView], tickets: TicketBook, now: float
+    book: Book, workers: dict[str, WorkerView], tickets: TicketTable, now: float
 ) -> RoundResult:
     """Decide which waiting tasks start now and where.
 
--- a/src/firhook/decide/_speeds.py
+++ b/src/firhook/decide/_speeds.py
@@ -12,9 +12,9 @@
 #: the workers takes 1.3 times as long, these are 1.18 times the mean.
 SLOW_FACTOR = 1.1
 #: Comparisons before a worker is called slow.
-_ENOUGH = 5
+_MIN_COMPARISONS = 5
 #: No single comparison counts for more, as when a worker stood still.
-_MOST = 1.5
+_MAX_OFFSET = 1.5
 
 
 @attrs.define(slots=True, eq=False)
@@ -25,7 +25,7 @@
     count: int = 0
 
 
-class SpeedBook:
+class SpeedEstimator:
     """The speeds of workers.
 
     Load: short work with half a second of slack on workers of which some take
@@ -39,12 +39,12 @@
         self._speeds: dict[str, _Speed] = {}
         self._steps: dict[str, list[tuple[str, float]]] = {}
 
-    def note(self, step: str, worker: str, ran_s: float) -> None:
+    def record_run(self, step: str, worker: str, ran_s: float) -> None:
         """Take note of how long a task of a step ran that was done."""
         if ran_s > 0:
             self._steps.setdefault(step, []).append((worker, math.log(ran_s)))
 
-    def close(self, step: str) -> None:
+    def close_step(self, step: str) -> None:
         """Compare the tasks of a step, which has ended."""
         rows = self._steps.pop(step, [])
         if len({worker for worker, _ in rows}) < 2:
@@ -52,7 +52,7 @@
         mean = sum(value for _, value in rows) / len(rows)
         for worker, value in rows:
             speed = self._speeds.setdefault(worker, _Speed())
-            off = min(max(value - mean, -_MOST), _MOST)
+            off = min(max(value - mean, -_MAX_OFFSET), _MAX_OFFSET)
             # What the others in the step are known for is not held against it.
             known = sum(self._mean(w) for w, _ in rows) / len(rows)
             speed.count += 1
@@ -63,17 +63,17 @@
         speed = self._speeds.get(worker)
         return speed.mean if speed is not None else 0.0
 
-    def factor(self, worker: str) -> float:
+    def slowdown(self, worker: str) -> float:
         """Return how much longer than the mean a worker takes."""
         return math.exp(self._mean(worker))
 
-    def slow(self, worker: str) -> bool:
+    def is_slow(self, worker: str) -> bool:
         """Return whether a worker is known to be slow."""
         speed = self._speeds.get(worker)
-        if speed is None or speed.count < _ENOUGH:
+        if speed is None or speed.count < _MIN_COMPARISONS:
             return False
-        return self.factor(worker) > SLOW_FACTOR
+        return self.slowdown(worker) > SLOW_FACTOR
 
-    def forget(self, worker: str) -> None:
+    def remove(self, worker: str) -> None:
         """Forget a worker, whose next life may be of another kind."""
         self._speeds.pop(worker, None)
--- a/src/firhook/decide/_suspicion.py
+++ b/src/firhook/decide/_suspicion.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 
 #: Workers answer within some 10 ms; what is not answered after this is late.
-LATE_S = 0.2
+OVERDUE_S = 0.2
 #: So many workers of a zone that answer late make the others of it doubtful.
-_FEW = 2
+_MIN_OVERDUE = 2
 
 
-class AnswerWatch:
+class ReplyTracker:
     """The calls to one worker that are not answered yet.
 
     Load: workers crash, or their zone is cut off, while a hundred tasks start each
@@ -22,7 +22,7 @@
         self._due: dict[int, float] = {}
         self._count = 0
 
-    def sent(self, due: float) -> int:
+    def note_sent(self, due: float) -> int:
         """Take note of a call; return its number.
 
         :param due: when its answer is expected, on the boot clock.
@@ -31,19 +31,19 @@
         self._due[self._count] = due
         return self._count
 
-    def over(self, call: int) -> None:
+    def note_finished(self, call: int) -> None:
         """Take note that a call was answered, or given up."""
         self._due.pop(call, None)
 
-    def late_since(self, now: float) -> float | None:
+    def overdue_since(self, now: float) -> float | None:
         """Return when the oldest answer that is late was due; ``None`` if none is."""
         if not self._due:
             return None
         oldest = min(self._due.values())
-        return oldest if now - oldest > LATE_S else None
+        return oldest if now - oldest > OVERDUE_S else None
 
 
-def dark_zones(late: Iterable[tuple[str, float | None]]) -> dict[str, float]:
+def suspected_zones(late: Iterable[tuple[str, float | None]]) -> dict[str, float]:
     """Return the zones whose workers may all be gone, each with a moment.
 
     Workers of one zone are cut off together.  One of them that has not answered
@@ -55,4 +55,6 @@
     for zone, due in late:
         if due is not None:
             moments.setdefault(zone, []).append(due)
-    return {zone: min(dues) for zone, dues in moments.items() if len(dues) >= _FEW}
+    return {
+        zone: min(dues) for zone, dues in moments.items() if len(dues) >= _MIN_OVERDUE
+    }
--- a/src/firhook/decide/_waiting.py
+++ b/src/firhook/decide/_waiting.py
@@ -6,15 +6,15 @@
 import attrs
 
 from firhook.cell import Book, Run, Step
-from firhook.decide.schedule import Wait
-from firhook.decide.tickets import TicketBook
+from firhook.decide.schedule import WaitReason
+from firhook.decide.tickets import TicketTable
 
 #: A step that waits for less is nothing to tell of: permission may take a second,
 #: and work that is not urgent waits some for room.
-_TOLD_AFTER_S = 3.0
+_MIN_WAIT_S = 3.0
 #: Steps and workers that are told of at once.
-_MOST_STEPS = 5
-_MOST_WORKERS = 3
+_MAX_STEPS = 5
+_MAX_WORKERS = 3
 
 
 @attrs.frozen(slots=True)
@@ -29,7 +29,7 @@
 
     step: Step
     ready_s: float
-    why: Wait
+    reason: WaitReason
     workers: tuple[str, ...] = ()
     asked: int = 0
     permitted: int = 0
@@ -37,47 +37,51 @@
 
 def longest_waiting(
     book: Book,
-    waits: Mapping[str, Wait],
-    tickets: TicketBook,
+    wait_reasons: Mapping[str, WaitReason],
+    tickets: TicketTable,
     answering: Container[str],
     now: float,
 ) -> list[WaitingStep]:
     """Return the steps that wait and became ready first, some at the most.
 
-    :param waits: why steps could not start, as the last round found.
+    :param wait_reasons: why steps could not start, as the last round found.
     :param answering: the workers that answer.
     """
     first = heapq.nsmallest(
-        _MOST_STEPS, _waiting(book, answering, now), key=lambda row: row[:2]
+        _MAX_STEPS, _waiting_steps(book, answering, now), key=lambda row: row[:2]
     )
     rows = []
     for ready_at, _, step in first:
-        why, workers = _reason(step, waits)
-        advice = tickets.of(step)
-        asked, permitted = advice.known_count(), len(advice.yes)
-        rows.append(WaitingStep(step, now - ready_at, why, workers, asked, permitted))
+        reason, workers = _reason(step, wait_reasons)
+        advice = tickets.advice_for(step)
+        asked, permitted = advice.answered_count(), len(advice.permitted)
+        rows.append(
+            WaitingStep(step, now - ready_at, reason, workers, asked, permitted)
+        )
     return rows
 
 
-def _waiting(
+def _waiting_steps(
     book: Book, answering: Container[str], now: float
 ) -> Iterator[tuple[float, str, Step]]:
     for job in book.jobs.values():
         if job.status.ended:
             continue
         for step in job.steps.values():
-            if step.ready_at is None or now - step.ready_at < _TOLD_AFTER_S:
+            if step.ready_at is None or now - step.ready_at < _MIN_WAIT_S:
                 continue
-            if step.left and not any(_works(run, answering) for run in step.runs()):
+            if step.left and not any(_is_active(run, answering) for run in step.runs()):
                 yield step.ready_at, step.name, step
 
 
-def _works(run: Run, answering: Container[str]) -> bool:
+def _is_active(run: Run, answering: Container[str]) -> bool:
     return run.confirmed and not run.stopping and run.worker in answering
 
 
-def _reason(step: Step, waits: Mapping[str, Wait]) -> tuple[Wait, tuple[str, ...]]:
+def _reason(
+    step: Step, wait_reasons: Mapping[str, WaitReason]
+) -> tuple[WaitReason, tuple[str, ...]]:
     bound = sorted({run.worker for run in step.runs()})
     if bound:
-        return Wait.RUNS_BOUND, tuple(bound[:_MOST_WORKERS])
-    return waits.get(step.name, Wait.NOT_LOOKED_AT), ()
+        return WaitReason.RUNS_BOUND, tuple(bound[:_MAX_WORKERS])
+    return wait_reasons.get(step.name, WaitReason.NOT_LOOKED_AT), ()
--- a/src/firhook/decide/_worker_health.py
+++ b/src/firhook/decide/_worker_health.py
@@ -8,10 +8,10 @@
 #: job that can never be done fails wherever it runs, so that failures of one
 #: job count once; three jobs of that kind in a row on one worker are rare where
 #: one job in a hundred is hopeless.
-FAILURES_IN_A_ROW = 3
+MAX_CONSECUTIVE_FAILURES = 3
 #: How long a worker is left alone at first, and at most.
-FIRST_REST_S = 2.0
-LONGEST_REST_S = 10.0
+INITIAL_BACKOFF_S = 2.0
+MAX_BACKOFF_S = 10.0
 
 
 @attrs.define(slots=True, eq=False)
@@ -25,38 +25,38 @@
     a while, and then tried with one task until one is done.
 
     :ivar failed_jobs: jobs whose runs failed since the last one that was done.
-    :ivar rests_until: when it may be tried again.
+    :ivar backoff_until: when it may be tried again.
     :ivar probation: whether it may have one task at a time only.
     """
 
     failed_jobs: set[str] = attrs.field(factory=set)
-    rests_until: float = 0.0
-    rest_s: float = FIRST_REST_S
+    backoff_until: float = 0.0
+    backoff_s: float = INITIAL_BACKOFF_S
     probation: bool = False
 
-    def note(self, job: str, end: End, now: float) -> bool:
+    def record_end(self, job: str, end: End, now: float) -> bool:
         """Take note of how a run ended; return whether a rest begins."""
         if end is End.DONE:
             self.failed_jobs.clear()
             self.probation = False
-            self.rest_s = FIRST_REST_S
+            self.backoff_s = INITIAL_BACKOFF_S
             return False
         if end is not End.FAILED:
             return False
         self.failed_jobs.add(job)
-        if not self.probation and len(self.failed_jobs) < FAILURES_IN_A_ROW:
+        if not self.probation and len(self.failed_jobs) < MAX_CONSECUTIVE_FAILURES:
             return False
-        self._rest(now)
+        self._back_off(now)
         return True
 
-    def note_stall(self, now: float) -> None:
+    def record_stall(self, now: float) -> None:
         """Take note that what it runs stands still."""
-        if now >= self.rests_until:
-            self._rest(now)
+        if now >= self.backoff_until:
+            self._back_off(now)
 
-    def _rest(self, now: float) -> None:
-        self.rests_until = now + self.rest_s
-        self.rest_s = min(self.rest_s * 2, LONGEST_REST_S)
+    def _back_off(self, now: float) -> None:
+        self.backoff_until = now + self.backoff_s
+        self.backoff_s = min(self.backoff_s * 2, MAX_BACKOFF_S)
         self.probation = True
 
     def accepts(self, running: int, now: float) -> bool:
@@ -64,6 +64,6 @@
 
         :param running: the runs that are on it now.
         """
-        if now < self.rests_until:
+        if now < self.backoff_until:
             return False
         return not self.probation or running == 0
--- a/src/firhook/decide/election.py
+++ b/src/firhook/decide/election.py
@@ -1,19 +1,19 @@
 """Which instance stands for the lead of a cell, and when."""
 
 from firhook.decide._election import (
-    SILENT_S,
+    LEAD_TIMEOUT_S,
     STRONGER_FACTOR,
     Candidate,
     Election,
-    line_of_succession,
-    much_stronger,
+    is_much_stronger,
+    succession_order,
 )
 
 __all__ = [
-    "SILENT_S",
+    "LEAD_TIMEOUT_S",
     "STRONGER_FACTOR",
     "Candidate",
     "Election",
-    "line_of_succession",
-    "much_stronger",
+    "is_much_stronger",
+    "succession_order",
 ]
--- a/src/firhook/decide/schedule.py
+++ b/src/firhook/decide/schedule.py
@@ -4,20 +4,20 @@
     Placement,
     Round,
     RoundResult,
-    Wait,
+    WaitReason,
     WorkerView,
     place_round,
     urgency,
-    urgent_room_m,
+    urgent_headroom_m,
 )
 
 __all__ = [
     "Placement",
     "Round",
     "RoundResult",
-    "Wait",
+    "WaitReason",
     "WorkerView",
     "place_round",
     "urgency",
-    "urgent_room_m",
+    "urgent_headroom_m",
 ]
--- a/src/firhook/decide/speeds.py
+++ b/src/firhook/decide/speeds.py
@@ -1,5 +1,5 @@
 """How fast workers are, learned from tasks of one step on several of them."""
 
-from firhook.decide._speeds import SpeedBook
+from firhook.decide._speeds import SpeedEstimator
 
-__all__ = ["SpeedBook"]
+__all__ = ["SpeedEstimator"]
--- a/src/firhook/decide/stalls.py
+++ b/src/firhook/decide/stalls.py
@@ -1,5 +1,5 @@
 """Runs that make no progress."""
 
-from firhook.decide._stalls import STALL_S, stalled, standing_still
+from firhook.decide._stalls import STALL_TIMEOUT_S, is_stalled, stalled_runs
 
-__all__ = ["STALL_S", "stalled", "standing_still"]
+__all__ = ["STALL_TIMEOUT_S", "is_stalled", "stalled_runs"]
--- a/src/firhook/decide/suspicion.py
+++ b/src/firhook/decide/suspicion.py
@@ -1,5 +1,5 @@
 """Which workers may be gone, before it is certain."""
 
-from firhook.decide._suspicion import LATE_S, AnswerWatch, dark_zones
+from firhook.decide._suspicion import OVERDUE_S, ReplyTracker, suspected_zones
 
-__all__ = ["LATE_S", "AnswerWatch", "dark_zones"]
+__all__ = ["OVERDUE_S", "ReplyTracker", "suspected_zones"]
--- a/src/firhook/decide/tickets.py
+++ b/src/firhook/decide/tickets.py
@@ -1,21 +1,21 @@
 """What the adviser said of each step, and when to ask it again."""
 
 from firhook.decide._tickets import (
-    MAX_ASKED,
-    AdviceWish,
+    MAX_WORKERS_PER_REQUEST,
+    AdviceRequest,
     StepAdvice,
     Ticket,
-    TicketBook,
-    wish_for,
-    wish_for_others,
+    TicketTable,
+    more_workers_request,
+    next_advice_request,
 )
 
 __all__ = [
-    "MAX_ASKED",
-    "AdviceWish",
+    "MAX_WORKERS_PER_REQUEST",
+    "AdviceRequest",
     "StepAdvice",
     "Ticket",
-    "TicketBook",
-    "wish_for",
-    "wish_for_others",
+    "TicketTable",
+    "more_workers_request",
+    "next_advice_request",
 ]
--- a/src/firhook/services/_advising.py
+++ b/src/firhook/services/_advising.py
@@ -7,8 +7,8 @@
 from firhook._peer_messages import AdviceAsk, AdviceReply
 from firhook.cell import Advice
 from firhook.clock import boot_time
-from firhook.decide.seats import AdviserSeat, SeatPlan, choose_seat
-from firhook.decide.tickets import AdviceWish, TicketBook
+from firhook.decide.adviser_slots import AdviserSlot, SlotPlan, choose_slot
+from firhook.decide.tickets import AdviceRequest, TicketTable
 from firhook.errors import PeerUnreachableError
 from firhook.instance import Instance
 from firhook.logs import log
@@ -34,8 +34,8 @@
     def __init__(
         self,
         instance: Instance,
-        tickets: TicketBook,
-        plan: SeatPlan,
+        tickets: TicketTable,
+        plan: SlotPlan,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         answered: Callable[[], None],
     ) -> None:
@@ -43,47 +43,47 @@
         self._tickets = tickets
         self._spawn = spawn
         self._answered = answered
-        self._seats: dict[str, AdviserSeat] = {}
+        self._seats: dict[str, AdviserSlot] = {}
         self._plan = plan
 
-    def ask_all(self, wishes: list[AdviceWish], now: float) -> None:
+    def ask_all(self, wishes: list[AdviceRequest], now: float) -> None:
         """Ask what is wished for, as far as instances are free to."""
         for wish in wishes:
-            advice = self._tickets.of(wish.step)
-            if not advice.wished:
+            advice = self._tickets.advice_for(wish.step)
+            if not advice.queued:
                 # Once for each question, however often it is put off.
-                advice.wished = True
-                self._plan.note(_kind(wish), wish.cost_s, now)
-        self._plan.note_waiting((_kind(w), w.cost_s) for w in wishes)
-        for wish in sorted(wishes, key=lambda w: w.before):
+                advice.queued = True
+                self._plan.record_request(_kind(wish), wish.cost_s, now)
+        self._plan.set_waiting((_kind(w), w.cost_s) for w in wishes)
+        for wish in sorted(wishes, key=lambda w: w.order_key):
             self._ask_one(wish, now)
 
-    def _ask_one(self, wish: AdviceWish, now: float) -> None:
-        advice = self._tickets.of(wish.step)
-        if advice.asking:
+    def _ask_one(self, wish: AdviceRequest, now: float) -> None:
+        advice = self._tickets.advice_for(wish.step)
+        if advice.in_flight:
             return
-        seat = choose_seat(self._current_seats(), wish.cost_s, self._plan, now)
+        seat = choose_slot(self._current_seats(), wish.cost_s, self._plan, now)
         if seat is None:
             return
-        advice.asking = True
+        advice.in_flight = True
         seat.busy_until = max(seat.busy_until, now) + wish.cost_s
         self._spawn(self._ask(wish, seat))
 
-    def _current_seats(self) -> list[AdviserSeat]:
+    def _current_seats(self) -> list[AdviserSlot]:
         peers = self._instance.replica.peers.values()
         # The records that an instance reads at its start fill its link for seconds,
         # and a question through it is lost in the meantime.
         names = {peer.name for peer in peers if not peer.reading}
         names.add(self._instance.settings.name)
         if names != set(self._seats):
-            self._seats = {n: self._seats.get(n) or AdviserSeat(n) for n in names}
+            self._seats = {n: self._seats.get(n) or AdviserSlot(n) for n in names}
         return list(self._seats.values())
 
-    async def _ask(self, wish: AdviceWish, seat: AdviserSeat) -> None:
+    async def _ask(self, wish: AdviceRequest, seat: AdviserSlot) -> None:
         began = boot_time()
         names = tuple(name for name, _ in wish.workers)
         expected_s = max(seat.busy_until - began, wish.cost_s)
-        advice = self._tickets.of(wish.step)
+        advice = self._tickets.advice_for(wish.step)
         asking = asyncio.create_task(
             self._ask_through(seat.name, wish.step.name, names, expected_s + _LOST_S)
         )
@@ -92,29 +92,29 @@
             done, _ = await asyncio.wait({asking}, timeout=expected_s + _SLACK_S)
             if not done:
                 is_late = True
-                seat.note_late()
-                advice.asking = advice.wished = False
+                seat.note_overdue()
+                advice.in_flight = advice.queued = False
                 self._note_late(wish, seat)
             answer = await asking
         finally:
             asking.cancel()
             if is_late:
-                seat.note_overdue_answer()
+                seat.clear_overdue()
             else:
-                advice.asking = advice.wished = False
+                advice.in_flight = advice.queued = False
         now = boot_time()
         if answer is None:
-            seat.failed(now)
+            seat.note_failure(now)
         else:
-            seat.answered()
+            seat.note_answer()
             # Tickets hold from when the adviser gives them.  Of an answer that is
             # late it is not known on which part of its way it was held up.
-            advice.take(wish.workers, answer, min(now, began + expected_s))
+            advice.record_answer(wish.workers, answer, min(now, began + expected_s))
             queue = wish.step.job.queue.name
             self._instance.meters.time("advice", queue, now - began)
         self._answered()
 
-    def _note_late(self, wish: AdviceWish, seat: AdviserSeat) -> None:
+    def _note_late(self, wish: AdviceRequest, seat: AdviserSlot) -> None:
         """Have a step asked about elsewhere whose answer is late.
 
         The answer is waited for all the same: what it says of workers holds, and it
@@ -144,5 +144,5 @@
         return Advice({t.worker: t.ticket for t in reply.tickets}, reply.valid_s)
 
 
-def _kind(wish: AdviceWish) -> str:
+def _kind(wish: AdviceRequest) -> str:
     return wish.step.job.queue.address
--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -6,8 +6,8 @@
 import attrs
 
 from firhook.clock import boot_time
-from firhook.decide.appends import AppendRoute
-from firhook.decide.reach import StoreReach
+from firhook.decide.append_route import AppendRoute
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import FirhookError, LogOutcomeUnknownError, LogUnavailableError
 from firhook.logs import log
 from firhook.platform.store import (
@@ -114,7 +114,7 @@
     def __init__(
         self,
         store: Store,
-        reach: StoreReach,
+        reach: StoreReachability,
         partitions: tuple[int, ...],
         most_bytes: int,
         route: AppendRoute,
@@ -172,23 +172,23 @@
         partition = self._partition()
         for row in batch:
             row.open += 1
-        call = self._reach.sent(partition, boot_time())
+        call = self._reach.note_sent(partition, boot_time())
         try:
             done = await self._send(partition, batch, left_s)
         except LogOutcomeUnknownError as exc:
             self._failed_at[partition] = boot_time()
-            self._reach.failed(partition, call)
+            self._reach.note_failed(partition, call)
             return _unexpired(batch, exc) + rest
         except FirhookError as exc:
             self._failed_at[partition] = boot_time()
-            self._reach.failed(partition, call)
+            self._reach.note_failed(partition, call)
             for row in batch:
                 row.open -= 1
             batch = _unexpired(batch, exc)
             if batch:
                 await asyncio.sleep(_RETRY_S)
             return batch + rest
-        self._reach.answered(partition, call, boot_time())
+        self._reach.note_answered(partition, call, boot_time())
         records = tuple(row.record for row in batch)
         self._appended(RecordsAppended(partition, done.offset, records))
         for i, row in enumerate(batch):
@@ -198,7 +198,7 @@
     async def _send(
         self, partition: int, batch: list[PendingAppend], left_s: float
     ) -> Appended:
-        self._route.own_sent(boot_time())
+        self._route.note_append_sent(boot_time())
         answered = True
         try:
             return await self._store.append(
@@ -211,7 +211,7 @@
             answered = False
             raise
         finally:
-            self._route.own_ended(boot_time(), answered)
+            self._route.note_append_ended(boot_time(), answered)
 
 
 def _unexpired(batch: list[PendingAppend], exc: FirhookError) -> list[PendingAppend]:
--- a/src/firhook/services/_copying.py
+++ b/src/firhook/services/_copying.py
@@ -7,7 +7,7 @@
 from firhook.cell import Replica
 from firhook.cell.records import digest_value
 from firhook.clock import boot_time
-from firhook.decide.copying import whom_to_copy
+from firhook.decide.copy_sources import choose_copy_sources
 from firhook.errors import PeerUnreachableError
 from firhook.instance import InstanceService
 from firhook.logs import log
@@ -56,7 +56,7 @@
             await asyncio.sleep(_RETRY_S)
         turn = 0
         while boot_time() - began < _WAIT_S:
-            names = whom_to_copy(
+            names = choose_copy_sources(
                 self._name, self._zone, self._strength, candidates(self._replica)
             )
             if not names:
--- a/src/firhook/services/_fenced_writer.py
+++ b/src/firhook/services/_fenced_writer.py
@@ -6,7 +6,7 @@
 import attrs
 
 from firhook.clock import boot_time
-from firhook.decide.reach import StoreReach
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import LogOutcomeUnknownError, LogUnavailableError
 from firhook.logs import log
 from firhook.platform.store import CELL_TOPIC, Producer, Store
@@ -36,7 +36,7 @@
     number: int
     sequence: int = 0
     unanswered: list[bytes] = attrs.field(factory=list)
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 class FencedWriter:
@@ -58,7 +58,7 @@
         self._epoch = epoch
         self._proven = proven
         self._partitions = [_Partition(number) for number in LEAD_PARTITIONS]
-        self._reach = StoreReach(LEAD_PARTITIONS)
+        self._reach = StoreReachability(LEAD_PARTITIONS)
         # One call at a time: two appends under one sequence number would pass
         # for one and its repeat, and the second be lost.
         self._busy = asyncio.Lock()
@@ -87,7 +87,7 @@
             return
         async with self._busy:
             now = boot_time()
-            for part in sorted(self._partitions, key=lambda p: p.avoid_until > now):
+            for part in sorted(self._partitions, key=lambda p: p.backoff_until > now):
                 if part.unanswered and not await self._settle(part):
                     continue
                 if await self._try(part, contents) is not None:
@@ -108,7 +108,7 @@
         """
         part = next(part for part in self._partitions if part.number == number)
         async with self._busy:
-            if part.avoid_until > boot_time():
+            if part.backoff_until > boot_time():
                 return None
             if part.unanswered and not await self._settle(part):
                 return None
@@ -117,7 +117,7 @@
     async def _append(self, contents: list[bytes]) -> tuple[int, int]:
         while True:
             now = boot_time()
-            ready = [p for p in self._partitions if p.avoid_until <= now]
+            ready = [p for p in self._partitions if p.backoff_until <= now]
             for part in ready or self._partitions:
                 if part.unanswered and not await self._settle(part):
                     continue
@@ -145,26 +145,26 @@
         """Append once; return the offset, or ``None`` if it failed."""
         producer = Producer(_PRODUCER, self._epoch, part.sequence)
         sent_at = boot_time()
-        call = self._reach.sent(part.number, sent_at)
+        call = self._reach.note_sent(part.number, sent_at)
         try:
             done = await self._store.append(
                 CELL_TOPIC,
                 part.number,
                 contents,
                 producer,
-                timeout_s=_PATIENCE * self._reach.limit_s(),
+                timeout_s=_PATIENCE * self._reach.answer_timeout_s(),
             )
         except LogUnavailableError as exc:
-            self._reach.failed(part.number, call)
+            self._reach.note_failed(part.number, call)
             self._avoid(part, exc)
             return None
         except LogOutcomeUnknownError as exc:
-            self._reach.failed(part.number, call)
+            self._reach.note_failed(part.number, call)
             if contents:
                 part.unanswered = contents
             self._avoid(part, exc)
             return None
-        self._reach.answered(part.number, call, boot_time())
+        self._reach.note_answered(part.number, call, boot_time())
         self._proven(sent_at)
         if contents:
             part.sequence += 1
@@ -177,4 +177,4 @@
             partition=part.number,
             error=str(exc)[:200],
         )
-        part.avoid_until = boot_time() + _AVOID_S
+        part.backoff_until = boot_time() + _AVOID_S
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -19,9 +19,9 @@
 )
 from firhook.cell.records import LEAD_KEY, STATE_PREFIX, epoch_of
 from firhook.clock import boot_time
-from firhook.decide.appends import AppendRoute
-from firhook.decide.election import line_of_succession
-from firhook.decide.reach import StoreReach
+from firhook.decide.append_route import AppendRoute
+from firhook.decide.election import succession_order
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import (
     FirhookError,
     LogOutcomeUnknownError,
@@ -185,7 +185,7 @@
             for number in sorted(CALLERS_PARTITIONS)
         }
         self._catching_up: dict[int, asyncio.Task[None]] = {}
-        self._reach = StoreReach(self._readers)
+        self._reach = StoreReachability(self._readers)
         self._reachable = True
         self._quiet = True
         self._route = AppendRoute()
@@ -250,17 +250,17 @@
             await asyncio.sleep(_REACH_EVERY_S)
             now = boot_time()
             self._quiet = not self._leads() and not await self.bus.ask(HeardLead())
-            if self._quiet or self._reach.doubtful(now):
+            if self._quiet or self._reach.is_doubtful(now):
                 for reader in self._readers.values():
-                    if now - reader.answered_at > self._reach.limit_s():
+                    if now - reader.answered_at > self._reach.answer_timeout_s():
                         reader.ask()
-            reachable = not self._reach.lost(now)
+            reachable = not self._reach.is_unreachable(now)
             if reachable != self._reachable:
                 self._reachable = reachable
                 log(
                     "store.reached" if reachable else "store.out_of_reach",
                     level="info" if reachable else "warning",
-                    limit_s=round(self._reach.limit_s(), 3),
+                    limit_s=round(self._reach.answer_timeout_s(), 3),
                 )
 
     # Reading.
@@ -278,7 +278,7 @@
             self.bus.publish(TellInstance(lead, RecordsPush((batch,))))
         else:
             # Whoever leads next, one of these does; the others read the store.
-            line = line_of_succession(candidates(self.replica), lead)
+            line = succession_order(candidates(self.replica), lead)
             names = tuple(c.name for c, _ in line[:_LIKELY_LEADS])
             self.bus.publish(TellInstances(RecordsPush((batch,)), names))
 
@@ -358,7 +358,7 @@
         return reader is not None and reader.pushed(batch.offset, len(batch.records))
 
     async def _store_time(self, query: StoreTime) -> float:
-        return self._reach.usual_s if self._reachable else math.inf
+        return self._reach.mean_latency_s if self._reachable else math.inf
 
     async def _age(self, query: ReplicaAge) -> float:
         late = [r for r in self._readers.values() if r.age_s() > query.wanted_s]
@@ -501,23 +501,23 @@
     async def _read(self, reader: _Reader) -> int:
         """Read on once, and return how many records are left to read."""
         sent_at = boot_time()
-        call = self._reach.sent(reader.number, sent_at)
+        call = self._reach.note_sent(reader.number, sent_at)
         reading = self.store.read(CELL_TOPIC, reader.number, reader.next_offset)
         # A call that hangs would hide for a second that the store is back.
-        timeout_s = None if self._reachable else 2 * self._reach.limit_s()
+        timeout_s = None if self._reachable else 2 * self._reach.answer_timeout_s()
         try:
             async with asyncio.timeout(timeout_s):
                 part = await reading
         except TimeoutError as exc:
-            self._reach.failed(reader.number, call)
+            self._reach.note_failed(reader.number, call)
             raise LogUnavailableError("no answer to a read") from exc
         except LogTrimmedError:
-            self._reach.answered(reader.number, call, boot_time())
+            self._reach.note_answered(reader.number, call, boot_time())
             raise
         except BaseException:
-            self._reach.failed(reader.number, call)
+            self._reach.note_failed(reader.number, call)
             raise
-        self._reach.answered(reader.number, call, boot_time())
+        self._reach.note_answered(reader.number, call, boot_time())
         for record in part.records:
             self._apply(reader.number, record.offset, record.key, record.value)
         reader.advance(part.next_offset)
@@ -642,7 +642,7 @@
         """Return whether records are to go through the lead, and one is heard."""
         if self._quiet:
             return False
-        return self._route.through_lead(boot_time(), self._reach.answered_at)
+        return self._route.should_use_lead(boot_time(), self._reach.answered_at)
 
     async def _settle_elsewhere(self, pending: PendingAppend) -> None:
         """End the wait for a store that is out of reach."""
@@ -673,7 +673,7 @@
             self._gathered.add(pending)
             began = boot_time()
             await asyncio.wait({pending.done}, timeout=left_s)
-            self._route.lead_took(boot_time() - began)
+            self._route.note_lead_append(boot_time() - began)
             return
         relaying = asyncio.create_task(self._relay(pending, min(left_s, APPEND_S)))
         relaying.add_done_callback(_NOTE_UNHEARD_RELAY)
@@ -687,9 +687,9 @@
         finally:
             relaying.cancel()
         if reply is None:
-            self._route.lead_failed(boot_time())
+            self._route.note_lead_failure(boot_time())
             return
-        self._route.lead_took(reply.took_s)
+        self._route.note_lead_append(reply.took_s)
         pending.settle(reply.offset)
 
     async def _relay(
--- a/src/firhook/services/_handing_on.py
+++ b/src/firhook/services/_handing_on.py
@@ -24,7 +24,7 @@
     peek_state,
 )
 from firhook.clock import boot_time
-from firhook.decide.fan_out import FanOut, gather_s, plan_fan_out
+from firhook.decide.fan_out import FanOut, digest_delay_s, plan_fan_out
 from firhook.errors import PeerUnreachableError, RecordMalformedError
 from firhook.instance import InstanceService
 from firhook.logs import log
@@ -92,7 +92,7 @@
         while True:
             await self._filled.wait()
             self._filled.clear()
-            await asyncio.sleep(gather_s(len(self._replica.peers)))
+            await asyncio.sleep(digest_delay_s(len(self._replica.peers)))
             whole, self._whole = self._whole, []
             digests, self._digests = self._digests, []
             plan = self._plan()
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -19,13 +19,13 @@
 from firhook.cell import LeadRecord
 from firhook.cell.records import LEAD_KEY, encode_record, state_version
 from firhook.clock import boot_time
+from firhook.decide.adviser_slots import SlotPlan
 from firhook.decide.election import (
     Election,
-    line_of_succession,
-    much_stronger,
+    is_much_stronger,
+    succession_order,
 )
 from firhook.decide.schedule import place_round
-from firhook.decide.seats import SeatPlan
 from firhook.errors import FirhookError, LogMovedError, PeerUnreachableError
 from firhook.instance import InstanceService, StopBegun, register_service
 from firhook.logs import log
@@ -99,7 +99,7 @@
     """
 
     place = staticmethod(place_round)
-    seat_plan = SeatPlan
+    seat_plan = SlotPlan
 
     def wire(self) -> None:
         """Take in what the lead goes by."""
@@ -171,18 +171,18 @@
     # Who leads.
 
     def _on_seen(self, event: LeadSeen) -> None:
-        self._election.read(event.epoch, event.version, boot_time())
+        self._election.observe_record(event.epoch, event.version, boot_time())
         self._yield_to(event.epoch)
 
     def _on_rebuilt(self, event: PartitionRebuilt) -> None:
         if event.partition == LEAD_PARTITIONS[0]:
-            self._election.note_listening(boot_time())
+            self._election.mark_log_read(boot_time())
 
     def _on_alive(self, msg: LeadAlive) -> PassedOn:
         if msg.relay_to:
             message = attrs.evolve(msg, relay_to=())
             self.bus.publish(TellInstances(message, msg.relay_to))
-        self._election.hear(msg.epoch, msg.name, msg.newest, boot_time())
+        self._election.record_heartbeat(msg.epoch, msg.name, msg.newest, boot_time())
         self._yield_to(msg.epoch)
         return PassedOn()
 
@@ -194,7 +194,7 @@
 
     async def _heard_lead(self, query: HeardLead) -> str:
         name = self._election.lead
-        if name == self.settings.name or self._election.quiet(boot_time()):
+        if name == self.settings.name or self._election.lead_unresponsive(boot_time()):
             return ""
         return name
 
@@ -226,16 +226,16 @@
     async def _step(self) -> None:
         now = boot_time()
         self._learn_of_leads()
-        self._election.note_ready(await self._ready(), now)
+        self._election.set_ready(await self._ready(), now)
         if self.term is not None:
             if self.term.lost:
-                self._election.rest(now + _REPLACED_REST_S)
+                self._election.back_off(now + _REPLACED_REST_S)
                 await self._end_term(self.term.lost_by)
             else:
                 self._keep(self.term, now)
             return
         offered, self._offered = self._offered, False
-        if offered or self._election.stands(candidates(self.replica), now):
+        if offered or self._election.should_campaign(candidates(self.replica), now):
             await self._stand(offered)
         else:
             self._offer_strength(now)
@@ -243,7 +243,7 @@
     def _learn_of_leads(self) -> None:
         last = self.replica.lead
         if last is not None:
-            self._election.know(last.epoch, last.name)
+            self._election.learn_lead(last.epoch, last.name)
 
     # Taking the lead.
 
@@ -280,7 +280,7 @@
         if self._election.epoch > known:
             log("lead.claimed_by_another", epoch=self._election.epoch)
             return None
-        if not offered and not self._election.silent(boot_time()):
+        if not offered and not self._election.lead_timed_out(boot_time()):
             log("lead.alive_in_store", epoch=self._election.epoch)
             return None
         epoch = self._election.epoch + 1
@@ -325,10 +325,10 @@
         if not term.begun:
             if self._stronger_waits:
                 # It has all that a lead goes by, or reads it sooner.
-                self._election.rest(now + _FAILED_REST_S)
+                self._election.back_off(now + _FAILED_REST_S)
                 term.give_up("stronger_instance", doing=term.doing)
             elif now - self._began_at > _takeover_s(term):
-                self._election.rest(now + _FAILED_REST_S)
+                self._election.back_off(now + _FAILED_REST_S)
                 term.give_up("takeover_slow", doing=term.doing)
             return
         if self.instance.stopping:
@@ -346,7 +346,7 @@
             return
         self._spoke_at = now
         name = self.settings.name
-        self._election.hear(term.fence, name, term.newest_version, now)
+        self._election.record_heartbeat(term.fence, name, term.newest_version, now)
         message = LeadAlive(term.fence, name, term.newest_version)
         self.bus.publish(LeadSpoke(message))
 
@@ -371,7 +371,7 @@
                 # A takeover is six calls in turn.  While the store is 36 times
                 # slower than usual nothing would start for a second.
                 return False
-        line = line_of_succession(candidates(self.replica), self.settings.name)
+        line = succession_order(candidates(self.replica), self.settings.name)
         names = [c.name for c, _ in line if c.name != self.settings.name]
         for name in names[:_OFFERS]:
             term = self.term
@@ -393,9 +393,9 @@
     def _offer_strength(self, now: float) -> None:
         """Tell a lead that is much weaker that this instance is there."""
         lead = self.replica.peers.get(self._election.lead)
-        if lead is None or not much_stronger(self.settings.strength, lead.strength):
+        if lead is None or not is_much_stronger(self.settings.strength, lead.strength):
             return
-        if self._election.ready_for(now) < _SETTLED_S:
+        if self._election.ready_duration_s(now) < _SETTLED_S:
             return
         if now - self._spoke_at >= _STRONGER_EVERY_S:
             self._spoke_at = now
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -7,7 +7,7 @@
 from firhook._peer_messages import JobAsk, JobReply, PendingAsk, PendingReply
 from firhook.cell import JobStatus, JobView, Queue
 from firhook.clock import boot_time
-from firhook.decide.asking import whom_to_ask
+from firhook.decide.lookup_peers import choose_lookup_peers
 from firhook.errors import (
     FirhookError,
     JobGoneError,
@@ -197,7 +197,7 @@
         first may be gone, or its link may be full.
         """
         lead = await self._bus.ask(HeardLead())
-        names = whom_to_ask(self._name, lead, candidates(self._replica))
+        names = choose_lookup_peers(self._name, lead, candidates(self._replica))
         until = min(until, boot_time() + _ASK_S)
         asking: set[asyncio.Task[tuple[str, Any]]] = set()
         try:
--- a/src/firhook/services/_orders.py
+++ b/src/firhook/services/_orders.py
@@ -8,7 +8,7 @@
 from firhook.cell import Book, OrderAnswer, OrderOutcome, Run, StartOrder
 from firhook.cell.book import LATE_ORDER_S
 from firhook.clock import boot_time
-from firhook.decide.tickets import TicketBook
+from firhook.decide.tickets import TicketTable
 from firhook.logs import log
 from firhook.meters import Meters
 from firhook.platform.instance import Bounds
@@ -43,7 +43,7 @@
     fence: int
     lost: bool
     book: Book
-    tickets: TicketBook
+    tickets: TicketTable
     workers: Workers
 
     @property
@@ -168,11 +168,11 @@
         # one that may yet arrive.
         run.unanswered += 1
         run.sent_at = boot_time()
-        call = link.answers.sent(run.sent_at)
+        call = link.answers.note_sent(run.sent_at)
         try:
             answer = await self._term.workers.start(link.entry, order)
         finally:
-            link.answers.over(call)
+            link.answers.note_finished(call)
         if answer.outcome is OrderOutcome.UNKNOWN:
             link.doubted = True
             self._unanswered.setdefault(run.worker, {})[run.key] = run.sent_at
@@ -210,7 +210,7 @@
             reason=outcome.value,
         )
         if outcome is OrderOutcome.NO_TICKET:
-            self._term.tickets.of(step).drop_ticket(run.worker)
+            self._term.tickets.advice_for(step).expire_ticket(run.worker)
         self._give_up_start(run, outcome.value)
         return True
 
@@ -230,7 +230,7 @@
     def _note_started(self, run: Run, began: float) -> None:
         run.confirmed = True
         now = boot_time()
-        self._term.tickets.note_start(now - run.begun_at)
+        self._term.tickets.record_start(now - run.begun_at)
         run.begun_at = now
         self._term.book.note_begun(run.task.step.job, now)
         self._meters.time("start", "", now - began)
--- a/src/firhook/services/_placing.py
+++ b/src/firhook/services/_placing.py
@@ -4,10 +4,15 @@
 
 from firhook.cell import NOTHING, Book, Resources, WorkerEntry
 from firhook.clock import boot_time
-from firhook.decide.schedule import RoundResult, Wait, WorkerView, urgent_room_m
-from firhook.decide.speeds import SpeedBook
-from firhook.decide.suspicion import dark_zones
-from firhook.decide.tickets import TicketBook
+from firhook.decide.schedule import (
+    RoundResult,
+    WaitReason,
+    WorkerView,
+    urgent_headroom_m,
+)
+from firhook.decide.speeds import SpeedEstimator
+from firhook.decide.suspicion import suspected_zones
+from firhook.decide.tickets import TicketTable
 from firhook.decide.waiting import longest_waiting
 from firhook.logs import log
 from firhook.meters import Meters
@@ -21,7 +26,7 @@
 _TELL_EVERY_S = 1.0
 
 PlaceRound = Callable[
-    [Book, dict[str, WorkerView], TicketBook, float],
+    [Book, dict[str, WorkerView], TicketTable, float],
     RoundResult,
 ]
 
@@ -37,8 +42,8 @@
         self,
         book: Book,
         links: Mapping[str, WorkerLink],
-        speeds: SpeedBook,
-        tickets: TicketBook,
+        speeds: SpeedEstimator,
+        tickets: TicketTable,
         advising: Advising,
         meters: Meters,
         decide: PlaceRound,
@@ -51,7 +56,7 @@
         self._meters = meters
         self._decide = decide
         self._urgent_need_m = 0
-        self._waits: dict[str, Wait] = {}
+        self._waits: dict[str, WaitReason] = {}
         self._told_at = float("-inf")
         self._known_free: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
@@ -69,15 +74,15 @@
         for placement in result.placements:
             step = placement.step
             for run in self._book.plan(step, placement.tasks, now):
-                run.ticket = self._tickets.text(step, run.worker)
+                run.ticket = self._tickets.ticket_text(step, run.worker)
             if step.job.queue.priority == 0:
                 self._note_urgent(step.spec.held.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
-        self._waits = result.waits
-        self._advising.ask_all(result.wishes, now)
-        self._tickets.keep_only(self._book.jobs)
+        self._waits = result.wait_reasons
+        self._advising.ask_all(result.advice_requests, now)
+        self._tickets.retain_jobs(self._book.jobs)
         took_s = boot_time() - now
         self._meters.time("round", "", took_s)
 
@@ -94,7 +99,7 @@
             rows = [
                 {
                     "step": row.step.name,
-                    "why": row.why.value,
+                    "why": row.reason.value,
                     "ready_s": round(row.ready_s, 2),
                     "left": row.step.left,
                     "workers": row.workers,
@@ -112,9 +117,9 @@
     def _views(self, now: float) -> dict[str, WorkerView]:
         views = {}
         late = {
-            name: link.answers.late_since(now) for name, link in self._links.items()
+            name: link.answers.overdue_since(now) for name, link in self._links.items()
         }
-        dark = dark_zones(
+        dark = suspected_zones(
             (self._links[name].entry.zone, due)
             for name, due in late.items()
             if due is not None
@@ -131,8 +136,10 @@
             view = WorkerView(
                 name, link.life, entry.pool, entry.rack, entry.labels, self._free(link)
             )
-            view.slow = self._speeds.slow(name)
-            view.urgent_cpu_m = urgent_room_m(entry.capacity.cpu_m, self._urgent_need_m)
+            view.slow = self._speeds.is_slow(name)
+            view.urgent_cpu_m = urgent_headroom_m(
+                entry.capacity.cpu_m, self._urgent_need_m
+            )
             views[name] = view
         return views
 
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -26,10 +26,10 @@
     state_version,
 )
 from firhook.clock import boot_time, unix_time
-from firhook.decide.seats import SeatPlan
-from firhook.decide.speeds import SpeedBook
-from firhook.decide.stalls import standing_still
-from firhook.decide.tickets import TicketBook
+from firhook.decide.adviser_slots import SlotPlan
+from firhook.decide.speeds import SpeedEstimator
+from firhook.decide.stalls import stalled_runs
+from firhook.decide.tickets import TicketTable
 from firhook.errors import (
     FirhookError,
     LogFencedError,
@@ -90,7 +90,7 @@
 
     instance: Instance
     place: PlaceRound
-    seat_plan: type[SeatPlan]
+    seat_plan: type[SlotPlan]
 
     def may_act(self) -> bool:
         """Return whether this instance leads, as far as it can know now."""
@@ -131,8 +131,8 @@
         self._bounds = instance.settings.bounds
         self.workers = instance.platform.workers(self.may_act)
         self.links: dict[str, WorkerLink] = {}
-        self.tickets = TicketBook()
-        self.speeds = SpeedBook()
+        self.tickets = TicketTable()
+        self.speeds = SpeedEstimator()
         config = instance.config.config
         assert config is not None
         self.book = Book(config)
@@ -385,7 +385,7 @@
     def _move_stalled(self, link: WorkerLink, now: float) -> None:
         """Have what stands still on a worker run elsewhere."""
         runs = self.book.worker_runs.get(link.name, {})
-        for run in standing_still(runs.values(), now):
+        for run in stalled_runs(runs.values(), now):
             log(
                 "run.stalled",
                 level="warning",
@@ -396,7 +396,7 @@
                 still_s=round(now - run.percent_at, 2),
             )
             self.book.stop(run, "stalled")
-            link.health.note_stall(now)
+            link.health.record_stall(now)
 
     def _note_end(self, link: WorkerLink, run: Run, end: End, now: float) -> None:
         step = run.task.step
@@ -411,15 +411,15 @@
             ran_ms=round((now - run.begun_at) * 1000),
         )
         if end is End.DONE:
-            self.speeds.note(step.name, link.name, now - run.begun_at)
+            self.speeds.record_run(step.name, link.name, now - run.begun_at)
         if step.left == 0:
-            self.speeds.close(step.name)
-        if link.health.note(step.job.id, end, now):
+            self.speeds.close_step(step.name)
+        if link.health.record_end(step.job.id, end, now):
             log("worker.rests", level="warning", worker=link.name)
 
     def on_life(self, link: WorkerLink) -> None:
         """Forget what was known of a worker's last life."""
-        self.speeds.forget(link.name)
+        self.speeds.remove(link.name)
         self._orders.stop_late_starts(link, boot_time())
 
     def on_dark(self, link: WorkerLink) -> None:
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -6,7 +6,7 @@
 
 from firhook.cell import Book, Look, WorkerEntry
 from firhook.clock import boot_time
-from firhook.decide.suspicion import AnswerWatch
+from firhook.decide.suspicion import ReplyTracker
 from firhook.decide.worker_health import WorkerHealth
 from firhook.errors import WorkerFencedError, WorkerUnreachableError
 from firhook.logs import log
@@ -94,7 +94,7 @@
         self._dark = False
         self._failed = False
         self._lease_end_s = 0.0
-        self.answers = AnswerWatch()
+        self.answers = ReplyTracker()
         self._stored = asyncio.Event()
 
     @property
@@ -118,7 +118,7 @@
         answers late gets no longer lease than it has.
         """
         now = boot_time()
-        if self._lease_end_s and self.answers.late_since(now) is not None:
+        if self._lease_end_s and self.answers.overdue_since(now) is not None:
             return self._lease_end_s
         until = self._clock_s + (now - self._clock_at) + self._lease_s
         lapses_at = self._clock_at + (until - self._clock_s) * _DRIFT + _LAPSE_MARGIN_S
@@ -188,14 +188,14 @@
         # After a failure the worker may be in a new life, whose ends have the
         # numbers of others; acknowledging none is always right.
         ack = 0 if self._failed else self.ack
-        call = self.answers.sent(sent_at + wait_s)
+        call = self.answers.note_sent(sent_at + wait_s)
         looking = self._owner.workers.look(
             self.entry, self._owner.fence, ack, until, wait_s
         )
         try:
             look = await self._in_time(looking)
         finally:
-            self.answers.over(call)
+            self.answers.note_finished(call)
         self._failed = False
         now = boot_time()
         self._clock_s, self._clock_at = look.clock_s, now
--- a/tests/decide/test_seats.py
+++ b/tests/decide/test_adviser_slots.py
@@ -4,37 +4,37 @@
 
 import pytest
 
-from firhook.decide.seats import AdviserSeat, SeatPlan, choose_seat
+from firhook.decide.adviser_slots import AdviserSlot, SlotPlan, choose_slot
 
 #: Seconds of an answer about a ticket at the counter, a reconciliation, a match.
 TICKET, BILL, MATCH = 0.009, 0.078, 0.48
 TICK_S = 0.002
 
 
-def play(rates, seats=7, seconds=8.0, seed=1, at_once=()):
+def play(rates, slots=7, seconds=8.0, seed=1, at_once=()):
     """Ask the adviser at rates by length; return the waits for answers.
 
     :param at_once: lengths of questions that wait from the start.
     """
     rng = random.Random(seed)
-    places = [AdviserSeat(f"i{n}") for n in range(seats)]
-    plan, now, waiting = SeatPlan(), 0.0, [(0.0, cost_s) for cost_s in at_once]
+    places = [AdviserSlot(f"i{n}") for n in range(slots)]
+    plan, now, waiting = SlotPlan(), 0.0, [(0.0, cost_s) for cost_s in at_once]
     waits = {cost_s: [] for cost_s in rates}
     while now < seconds:
         for cost_s, rate in rates.items():
             if rng.random() < rate * TICK_S:
-                plan.note(str(cost_s), cost_s, now)
+                plan.record_request(str(cost_s), cost_s, now)
                 waiting.append((now, cost_s))
-        plan.note_waiting((str(cost_s), cost_s) for _, cost_s in waiting)
+        plan.set_waiting((str(cost_s), cost_s) for _, cost_s in waiting)
         # What must start soonest is asked first, and tickets have least time.
         for row in sorted(waiting, key=lambda r: (r[1] != TICKET, r[0])):
             asked_at, cost_s = row
-            seat = choose_seat(places, cost_s, plan, now)
-            if seat is None:
+            slot = choose_slot(places, cost_s, plan, now)
+            if slot is None:
                 continue
             waiting.remove(row)
-            seat.busy_until = max(seat.busy_until, now) + cost_s
-            waits[cost_s].append(seat.busy_until - asked_at)
+            slot.busy_until = max(slot.busy_until, now) + cost_s
+            waits[cost_s].append(slot.busy_until - asked_at)
         now += TICK_S
     for asked_at, cost_s in waiting:
         waits[cost_s].append(now - asked_at)
@@ -78,24 +78,24 @@
 
 def test_slow_questions_keep_away_from_instances_for_fast_ones():
     """Plans take the adviser a second, quotes 15 ms, one after the other."""
-    seats = [AdviserSeat(f"i{i}") for i in range(8)]
-    plan, now = SeatPlan(), 10.0
+    slots = [AdviserSlot(f"i{i}") for i in range(8)]
+    plan, now = SlotPlan(), 10.0
     for _ in range(20):
-        seat = choose_seat(seats, 1.0, plan, now)
-        if seat is None:
+        slot = choose_slot(slots, 1.0, plan, now)
+        if slot is None:
             break
-        seat.busy_until = max(seat.busy_until, now) + 1.0
-    fast = choose_seat(seats, 0.015, plan, now)
+        slot.busy_until = max(slot.busy_until, now) + 1.0
+    fast = choose_slot(slots, 0.015, plan, now)
     assert fast is not None
     assert fast.busy_until <= now
 
 
 def test_an_instance_that_is_gone_is_asked_less_and_less():
-    seat = AdviserSeat("gone")
+    slot = AdviserSlot("gone")
     now, asked = 0.0, 0
     while now < 30.0:
-        if choose_seat([seat], 0.01, SeatPlan(), now):
+        if choose_slot([slot], 0.01, SlotPlan(), now):
             asked += 1
-            seat.failed(now)
+            slot.note_failure(now)
         now += 0.1
     assert asked <= 8
--- a/tests/decide/test_copying.py
+++ b/tests/decide/test_copy_sources.py
@@ -1,6 +1,6 @@
 """From whom a starting instance learns what it needs of the cell's records."""
 
-from firhook.decide.copying import whom_to_copy
+from firhook.decide.copy_sources import choose_copy_sources
 from firhook.decide.election import Candidate
 
 CELL = [
@@ -12,18 +12,18 @@
 
 
 def test_weak_instance_asks_the_strong_one_of_its_zone_first():
-    assert whom_to_copy("a-weak", "za", 0.5, CELL)[0] == "a-strong"
-    assert set(whom_to_copy("a-weak", "za", 0.5, CELL)[1:]) == {
+    assert choose_copy_sources("a-weak", "za", 0.5, CELL)[0] == "a-strong"
+    assert set(choose_copy_sources("a-weak", "za", 0.5, CELL)[1:]) == {
         "b-strong0",
         "b-strong1",
     }
 
 
 def test_instance_that_may_have_to_lead_reads_the_store():
-    assert whom_to_copy("a-strong", "za", 2.15, CELL) == []
-    assert whom_to_copy("new", "za", 1.5, CELL) == []
+    assert choose_copy_sources("a-strong", "za", 2.15, CELL) == []
+    assert choose_copy_sources("new", "za", 1.5, CELL) == []
 
 
 def test_instances_that_start_at_once_ask_different_ones():
-    first = {whom_to_copy(f"b-weak{n}", "zb", 0.5, CELL)[0] for n in range(10)}
+    first = {choose_copy_sources(f"b-weak{n}", "zb", 0.5, CELL)[0] for n in range(10)}
     assert first == {"b-strong0", "b-strong1"}
--- a/tests/decide/test_fan_out.py
+++ b/tests/decide/test_fan_out.py
@@ -1,7 +1,7 @@
 """Whom the lead tells of records, and who passes them on."""
 
 from firhook.decide.election import Candidate
-from firhook.decide.fan_out import gather_s, plan_fan_out
+from firhook.decide.fan_out import digest_delay_s, plan_fan_out
 
 
 def _cell(zones=6, strong=3, weak=13):
@@ -72,5 +72,7 @@
 
 
 def test_more_instances_are_told_less_often_and_none_late():
-    assert gather_s(9) == gather_s(39) == 0.015
-    assert 0.03 < gather_s(97) < gather_s(300) == gather_s(1000) == 0.05
+    assert digest_delay_s(9) == digest_delay_s(39) == 0.015
+    assert (
+        0.03 < digest_delay_s(97) < digest_delay_s(300) == digest_delay_s(1000) == 0.05
+    )
--- a/tests/decide/test_asking.py
+++ b/tests/decide/test_lookup_peers.py
@@ -1,7 +1,7 @@
 """Whom an instance asks for what it cannot know."""
 
-from firhook.decide.asking import MOST_ASKED, whom_to_ask
 from firhook.decide.election import Candidate
+from firhook.decide.lookup_peers import MAX_LOOKUP_PEERS, choose_lookup_peers
 
 
 def cell():
@@ -12,20 +12,20 @@
 
 
 def test_lead_is_asked_first():
-    assert whom_to_ask("wa1", "sb1", cell())[0] == "sb1"
+    assert choose_lookup_peers("wa1", "sb1", cell())[0] == "sb1"
 
 
 def test_without_a_lead_strong_instances_of_several_zones_are_asked():
-    names = whom_to_ask("wa1", "", cell())
-    assert len(names) == MOST_ASKED
+    names = choose_lookup_peers("wa1", "", cell())
+    assert len(names) == MAX_LOOKUP_PEERS
     assert {name[0] for name in names} == {"s"}
-    assert len({name[1] for name in names}) == MOST_ASKED
+    assert len({name[1] for name in names}) == MAX_LOOKUP_PEERS
 
 
 def test_nobody_asks_itself():
-    assert "sa0" not in whom_to_ask("sa0", "sa0", cell())
+    assert "sa0" not in choose_lookup_peers("sa0", "sa0", cell())
 
 
 def test_instance_that_knows_no_peer_asks_the_lead_that_it_hears():
-    assert whom_to_ask("wa1", "sb1", []) == ["sb1"]
-    assert whom_to_ask("wa1", "", []) == []
+    assert choose_lookup_peers("wa1", "sb1", []) == ["sb1"]
+    assert choose_lookup_peers("wa1", "", []) == []
--- a/tests/decide/test_schedule.py
+++ b/tests/decide/test_schedule.py
@@ -18,8 +18,8 @@
     StepSpec,
     Team,
 )
-from firhook.decide.schedule import WorkerView, place_round, urgent_room_m
-from firhook.decide.tickets import TicketBook
+from firhook.decide.schedule import WorkerView, place_round, urgent_headroom_m
+from firhook.decide.tickets import TicketTable
 
 QUOTE = Queue("quote", "h", "/quote/", "pool", priority=0, target_s=0.25)
 PLAN = Queue("plan", "h", "/plan/", "pool", priority=1, slack_factor=2.2)
@@ -36,7 +36,7 @@
         self.capacity = Resources(cpu_m, 100000)
         self.names = [f"w{i}" for i in range(workers)]
         self.labels = {name: frozenset({"kind"}) for name in self.names}
-        self.tickets = TicketBook()
+        self.tickets = TicketTable()
         self.now = 100.0
         self.urgent_m = urgent_m
         self._jobs = 0
@@ -93,7 +93,7 @@
 
     Without room kept for them, a user waits on the page until a bill ends.
     """
-    urgent_m = urgent_room_m(8000, 800)
+    urgent_m = urgent_headroom_m(8000, 800)
     world = World(urgent_m=urgent_m)
     for _ in range(20):
         world.submit(BILL, tasks(4))
@@ -244,8 +244,8 @@
     views = {n: WorkerView(n, 1, "pool", "", frozenset(), world.capacity) for n in "ab"}
     result = place_round(world.book, views, world.tickets, world.now)
     assert result.placements == []
-    assert [w.step.job for w in result.wishes] == [job]
-    assert {name for name, _ in result.wishes[0].workers} == {"a", "b"}
+    assert [w.step.job for w in result.advice_requests] == [job]
+    assert {name for name, _ in result.advice_requests[0].workers} == {"a", "b"}
 
 
 @given(
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -4,7 +4,7 @@
 import pytest
 
 from firhook.cell import Advice, AdvicePolicy, Resources, StepSpec, Team
-from firhook.decide.schedule import Wait, WorkerView, place_round
+from firhook.decide.schedule import WaitReason, WorkerView, place_round
 from firhook.decide.waiting import longest_waiting
 from tests.decide.test_schedule import PLAN, World
 
@@ -21,7 +21,9 @@
     def told(self, result, answering=()):
         """Return what is told of the steps that wait, four seconds later."""
         at = self.now + 4.0
-        return longest_waiting(self.book, result.waits, self.tickets, answering, at)
+        return longest_waiting(
+            self.book, result.wait_reasons, self.tickets, answering, at
+        )
 
     def play_round(self):
         """Play a round, and return what it decided."""
@@ -46,12 +48,12 @@
         asked = []
         end = self.now + seconds
         while self.now < end:
-            for wish in self.play_round().wishes:
-                asked.append(len(wish.workers))
-                advice = self.tickets.of(wish.step)
-                good = {w: "yes" for w, _ in wish.workers if int(w[1:]) % 3 == 0}
-                valid_s = wish.step.job.queue.advice.valid_s
-                advice.take(wish.workers, Advice(good, valid_s), self.now)
+            for request in self.play_round().advice_requests:
+                asked.append(len(request.workers))
+                advice = self.tickets.advice_for(request.step)
+                good = {w: "yes" for w, _ in request.workers if int(w[1:]) % 3 == 0}
+                valid_s = request.step.job.queue.advice.valid_s
+                advice.record_answer(request.workers, Advice(good, valid_s), self.now)
             self.now += 0.1
         return asked
 
@@ -104,24 +106,26 @@
 
 
 def permit_none(world, step):
-    advice = world.tickets.of(step)
-    advice.take([(name, 1) for name in world.names], Advice({}, 1.5), world.now)
+    advice = world.tickets.advice_for(step)
+    advice.record_answer(
+        [(name, 1) for name in world.names], Advice({}, 1.5), world.now
+    )
 
 
 def be_asking(world, step):
-    world.tickets.of(step).asking = True
+    world.tickets.advice_for(step).in_flight = True
 
 
 @pytest.mark.parametrize(
     ("queue", "spec", "prepare", "why"),
     [
-        (PLAN, single(label="none"), None, Wait.NO_WORKER),
-        (PLAN, single(cpu_m=9000), None, Wait.NO_ROOM),
-        (PLAN, gang(40), None, Wait.NO_ROOM),
+        (PLAN, single(label="none"), None, WaitReason.NO_WORKER),
+        (PLAN, single(cpu_m=9000), None, WaitReason.NO_ROOM),
+        (PLAN, gang(40), None, WaitReason.NO_ROOM),
         (PLAN, single(cpu_m=8000, label="kind"), None, None),
-        (ADVISED, single(), None, Wait.ADVICE_DUE),
-        (ADVISED, single(), be_asking, Wait.ADVICE_ASKED),
-        (ADVISED, single(), permit_none, Wait.NOT_PERMITTED),
+        (ADVISED, single(), None, WaitReason.ADVICE_DUE),
+        (ADVISED, single(), be_asking, WaitReason.ADVICE_ASKED),
+        (ADVISED, single(), permit_none, WaitReason.NOT_PERMITTED),
     ],
 )
 def test_step_that_does_not_start_has_the_reason_that_the_round_found(
@@ -133,7 +137,7 @@
     if prepare is not None:
         prepare(world, step)
     result = world.play_round()
-    assert result.waits.get(step.name) == why
+    assert result.wait_reasons.get(step.name) == why
 
 
 @pytest.mark.parametrize("spec", [single(), gang(2)])
@@ -142,7 +146,9 @@
     limit = Team("a", frozenset(), limit=Resources(1000))
     world.book.set_config(attrs.evolve(world.book.config, teams=(limit,)))
     world.submit(PLAN, spec)
-    assert [row.why for row in world.told(world.play_round())] == [Wait.TEAM_LIMIT]
+    assert [row.reason for row in world.told(world.play_round())] == [
+        WaitReason.TEAM_LIMIT
+    ]
 
 
 def test_waiting_step_is_told_of_with_what_the_adviser_said():
@@ -158,7 +164,7 @@
     job = world.submit(PLAN, single())
     result = world.play_round()
     (row,) = world.told(result, answering={"w0"})
-    assert (row.why, row.workers) == (Wait.RUNS_BOUND, ("w0",))
+    assert (row.reason, row.workers) == (WaitReason.RUNS_BOUND, ("w0",))
     (run,) = job.runs()
     run.confirmed = True
     assert world.told(result, answering={"w0"}) == []
@@ -182,4 +188,4 @@
     job = world.submit(PLAN, single())
     world.book.open_steps.clear()
     (row,) = world.told(world.play_round())
-    assert (row.step.job, row.why) == (job, Wait.NOT_LOOKED_AT)
+    assert (row.step.job, row.reason) == (job, WaitReason.NOT_LOOKED_AT)
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_handing_on.py
@@ -172,7 +172,7 @@
         assert cell.lead_name() == lead
         assert cell.instances[lead].lead.term.fence == fence
         heard = [i.lead._election for n, i in cell.instances.items() if i.alive]
-        assert not any(e.quiet(now()) for e in heard)
+        assert not any(e.lead_unresponsive(now()) for e in heard)
 
     run_virtual(play())
 
