--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -24,22 +24,22 @@
 _RETRY_S = 0.15
 #: A partition that failed is tried again after this; the other one serves
 #: meanwhile.
-_AVOID_S = 1.0
+_FAILED_PARTITION_RETRY_S = 1.0
 #: Records that are to go through the lead are looked at again after this.
-_HELD_S = 0.05
+_PAUSED_RECHECK_S = 0.05
 #: The longest that one append is waited for before it is repeated; the record
 #: is the whole value of its key, so that a repeat changes nothing.  A store that
 #: answers 60 times slower than its 5 ms is waited for: repeats would only make
 #: its queue longer.
-APPEND_S = 1.5
+APPEND_TIMEOUT_S = 1.5
 #: When callers should come back to a store that is away for all.
-AWAY_RETRY_S = 2.0
+STORE_DOWN_RETRY_S = 2.0
 
 
-def not_in_time() -> LogUnavailableError:
+def append_timeout_error() -> LogUnavailableError:
     """Return the error of a record that nobody appended in its asker's time."""
     return LogUnavailableError(
-        "the store did not answer in time", retry_after_s=AWAY_RETRY_S
+        "the store did not answer in time", retry_after_s=STORE_DOWN_RETRY_S
     )
 
 
@@ -58,25 +58,25 @@
     done: asyncio.Future[int] = attrs.field(
         factory=lambda: asyncio.get_running_loop().create_future()
     )
-    open: int = 0
+    unresolved: int = 0
 
-    def settle(self, offset: int) -> None:
+    def resolve(self, offset: int) -> None:
         """Take note of where the record lies, unless that is known."""
         if not self.done.done():
             self.done.set_result(offset)
 
-    async def wait(self, most_s: float) -> None:
+    async def wait(self, timeout_s: float) -> None:
         """Wait for its outcome for a while; give up once the asker does."""
         left_s = max(self.until - boot_time(), 0.0)
-        await asyncio.wait({self.done}, timeout=min(left_s, most_s))
+        await asyncio.wait({self.done}, timeout=min(left_s, timeout_s))
         if boot_time() >= self.until:
-            self.expire(not_in_time())
+            self.fail(append_timeout_error())
 
-    def expire(self, exc: FirhookError) -> None:
+    def fail(self, exc: FirhookError) -> None:
         """Give up, and say whether it may have been recorded."""
         if self.done.done():
             return
-        if self.open:
+        if self.unresolved:
             self.done.set_exception(LogOutcomeUnknownError(exc.detail))
         else:
             error = LogUnavailableError(exc.detail, retry_after_s=exc.retry_after_s)
@@ -88,7 +88,7 @@
         Nobody would be told what becomes of the record; so the log is.
         """
         if self.done.cancel():
-            outcome = "unknown" if self.open else "not_sent"
+            outcome = "unknown" if self.unresolved else "not_sent"
         else:
             exc = self.done.exception()
             outcome = "recorded" if exc is None else repr(exc)
@@ -104,7 +104,7 @@
     its queue grows to seconds.
 
     :param partitions: to append to, the preferred one first.
-    :param most_bytes: of one call.
+    :param max_bytes: of one call.
     :param route: is told how long calls take.
     :param held: whether records that wait are not to be sent from here: the store
         is out of reach, or another instance appends them.
@@ -116,18 +116,18 @@
         store: Store,
         reach: StoreReach,
         partitions: tuple[int, ...],
-        most_bytes: int,
+        max_bytes: int,
         route: AppendRoute,
-        held: Callable[[], bool],
-        appended: Callable[[RecordsAppended], None],
+        is_paused: Callable[[], bool],
+        on_appended: Callable[[RecordsAppended], None],
     ) -> None:
         self._store = store
         self._reach = reach
         self._partitions = partitions
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._route = route
-        self._held = held
-        self._appended = appended
+        self._is_paused = is_paused
+        self._on_appended = on_appended
         self._failed_at: dict[int, float] = {}
         self.pending: list[PendingAppend] = []
         self._added = asyncio.Event()
@@ -143,8 +143,8 @@
             await self._added.wait()
             self._added.clear()
             while self.pending:
-                if self._held():
-                    await asyncio.sleep(_HELD_S)
+                if self._is_paused():
+                    await asyncio.sleep(_PAUSED_RECHECK_S)
                     self.pending = [r for r in self.pending if not r.done.done()]
                     continue
                 batch, self.pending = self.pending, []
@@ -157,7 +157,10 @@
         """
         now = boot_time()
         for number in self._partitions:
-            if now - self._failed_at.get(number, float("-inf")) > _AVOID_S:
+            if (
+                now - self._failed_at.get(number, float("-inf"))
+                > _FAILED_PARTITION_RETRY_S
+            ):
                 return number
         return min(self._partitions, key=lambda number: self._failed_at[number])
 
@@ -166,33 +169,33 @@
         batch = [row for row in batch if not row.done.done()]
         if not batch:
             return []
-        count = len(split_records([row.record for row in batch], self._most_bytes)[0])
+        count = len(split_records([row.record for row in batch], self._max_bytes)[0])
         batch, rest = batch[:count], batch[count:]
         left_s = max(row.until for row in batch) - boot_time()
         partition = self._partition()
         for row in batch:
-            row.open += 1
+            row.unresolved += 1
         call = self._reach.sent(partition, boot_time())
         try:
             done = await self._send(partition, batch, left_s)
         except LogOutcomeUnknownError as exc:
             self._failed_at[partition] = boot_time()
             self._reach.failed(partition, call)
-            return _unexpired(batch, exc) + rest
+            return _fail_expired(batch, exc) + rest
         except FirhookError as exc:
             self._failed_at[partition] = boot_time()
             self._reach.failed(partition, call)
             for row in batch:
-                row.open -= 1
-            batch = _unexpired(batch, exc)
+                row.unresolved -= 1
+            batch = _fail_expired(batch, exc)
             if batch:
                 await asyncio.sleep(_RETRY_S)
             return batch + rest
         self._reach.answered(partition, call, boot_time())
         records = tuple(row.record for row in batch)
-        self._appended(RecordsAppended(partition, done.offset, records))
+        self._on_appended(RecordsAppended(partition, done.offset, records))
         for i, row in enumerate(batch):
-            row.settle(done.offset + i)
+            row.resolve(done.offset + i)
         return rest
 
     async def _send(
@@ -205,7 +208,7 @@
                 CELL_TOPIC,
                 partition,
                 [encode_keyed(row.record) for row in batch],
-                timeout_s=min(max(left_s, 0.05), APPEND_S),
+                timeout_s=min(max(left_s, 0.05), APPEND_TIMEOUT_S),
             )
         except LogOutcomeUnknownError:
             answered = False
@@ -214,10 +217,10 @@
             self._route.own_ended(boot_time(), answered)
 
 
-def _unexpired(batch: list[PendingAppend], exc: FirhookError) -> list[PendingAppend]:
+def _fail_expired(batch: list[PendingAppend], exc: FirhookError) -> list[PendingAppend]:
     """Give up the records whose time is up; return the others."""
     now = boot_time()
     for row in batch:
         if row.until - now < _RETRY_S:
-            row.expire(exc)
+            row.fail(exc)
     return [row for row in batch if not row.done.done()]
--- a/src/firhook/services/_batches.py
+++ b/src/firhook/services/_batches.py
@@ -6,20 +6,24 @@
 from firhook.platform.store import KeyedRecord
 
 #: Bytes of a record beside its key and its value.
-_OVERHEAD = 8
+_RECORD_OVERHEAD_BYTES = 8
 
 T = TypeVar("T")
 
 
-def split_records(records: list[KeyedRecord], most: int) -> list[list[KeyedRecord]]:
+def split_records(
+    records: list[KeyedRecord], max_bytes: int
+) -> list[list[KeyedRecord]]:
     """Split records into appends of at most so many bytes; at least one."""
     return split_by_size(
-        records, lambda r: len(r.key) + len(r.value or b"") + _OVERHEAD, most
+        records,
+        lambda r: len(r.key) + len(r.value or b"") + _RECORD_OVERHEAD_BYTES,
+        max_bytes,
     )
 
 
 def split_by_size(
-    items: Iterable[T], size: Callable[[T], int], most: int
+    items: Iterable[T], size: Callable[[T], int], max_bytes: int
 ) -> list[list[T]]:
     """Split items, in order, into chunks of at most so many bytes; at least one.
 
@@ -29,7 +33,7 @@
     filled = 0
     for item in items:
         length = size(item)
-        if chunks[-1] and filled + length > most:
+        if chunks[-1] and filled + length > max_bytes:
             chunks.append([])
             filled = 0
         chunks[-1].append(item)
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -41,39 +41,39 @@
 )
 from firhook.platform.store import KeyedRecord
 from firhook.services._events import (
-    Following,
-    Record,
+    AppendRecord,
+    IsFollowingStore,
 )
 from firhook.services._lookups import Lookups
 
 #: What a caller's whole request may take if it does not say.
-_DEFAULT_WAIT_S = 3.0
+_DEFAULT_TIMEOUT_S = 3.0
 #: An answer is sent so long before the caller stops waiting for it.
-_ANSWER_MARGIN_S = 0.25
+_REPLY_MARGIN_S = 0.25
 #: The longest that the log is tried for one request; a store that is away for
 #: longer makes callers wait for nothing.
-_LONGEST_TRY_S = 1.5
+_MAX_LOG_WAIT_S = 1.5
 #: When a refused caller should come back, if nothing better is known.
 _RETRY_S = 1.0
 #: Ready only if the configuration was read in this part of the time for which
 #: keys are trusted, so that callers leave before they would be refused.
-_READY_PART = 0.6
+_READY_AGE_FRACTION = 0.6
 #: After the stop was asked for, callers still come for so long: the platform
 #: asks for readiness once a second and acts on the second miss.
-_LEAVE_ROTATION_S = 2.6
+_ROTATION_DELAY_S = 2.6
 #: The platform kills a process so long after it told it to stop as its settings
 #: say.  This part of that time passes before the last connections are closed;
 #: handing over the lead and closing the sockets fit into the rest.
-_SERVE_PART = 0.7
+_DRAIN_FRACTION = 0.7
 #: Callers' connections wait so long at a start for the first configuration.
-_FIRST_CONFIG_S = 0.5
-_FIRST_CONFIG_STEP_S = 0.01
+_FIRST_CONFIG_TIMEOUT_S = 0.5
+_FIRST_CONFIG_POLL_S = 0.01
 #: Callers that connected just before have so long to send, in seconds.
-_LAST_REQUESTS_S = 0.3
+_LAST_REQUEST_TIMEOUT_S = 0.3
 #: Requests that are being answered then have so long, in seconds.
-_CUT_OFF_S = 0.3
+_SHUTDOWN_TIMEOUT_S = 0.3
 #: An idle connection is kept so long.
-_KEEP_IDLE_S = 75.0
+_KEEPALIVE_S = 75.0
 
 
 @register_service("callers")
@@ -83,13 +83,13 @@
     def wire(self) -> None:
         """Begin without sockets."""
         self._runners: list[web.ServerRunner] = []
-        self._open = 0
+        self._open_requests = 0
         self._lookups = Lookups(self)
 
     async def on_started(self) -> None:
         """Listen."""
-        self._lookups.serve()
-        await self._listen(self._probe, self.settings.probe)
+        self._lookups.register_handlers()
+        await self._listen(self._serve_readiness, self.settings.probe)
         self.add_future(self._serve_callers())
 
     async def _serve_callers(self) -> None:
@@ -98,18 +98,18 @@
         It is there some 50 ms after the start.  Callers whose connections wait
         meanwhile are served then; refused, they would come back a second later.
         """
-        until = boot_time() + _FIRST_CONFIG_S
+        until = boot_time() + _FIRST_CONFIG_TIMEOUT_S
         while self.instance.config.config is None and boot_time() < until:
-            await asyncio.sleep(_FIRST_CONFIG_STEP_S)
+            await asyncio.sleep(_FIRST_CONFIG_POLL_S)
         await self._listen(self._handle, self.settings.callers, self.instance.listening)
 
     async def _listen(
         self, handler: Any, address: Address, sock: socket.socket | None = None
     ) -> None:
         server = web.Server(
-            handler, access_log=None, keepalive_timeout=_KEEP_IDLE_S, lingering_time=1.0
+            handler, access_log=None, keepalive_timeout=_KEEPALIVE_S, lingering_time=1.0
         )
-        runner = web.ServerRunner(server, shutdown_timeout=_CUT_OFF_S)
+        runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
         sock = sock or listening_socket(address.host, address.port)
         await DrainedSite(runner, sock).start()
@@ -120,9 +120,9 @@
 
         Callers that keep their connections are served until they let go of them.
         """
-        deadline = boot_time() + self.settings.bounds.stop_s * _SERVE_PART
-        await asyncio.sleep(_LEAVE_ROTATION_S)
-        while self._open and boot_time() < deadline:
+        deadline = boot_time() + self.settings.bounds.stop_s * _DRAIN_FRACTION
+        await asyncio.sleep(_ROTATION_DELAY_S)
+        while self._open_requests and boot_time() < deadline:
             await asyncio.sleep(0.02)
         for runner in self._runners[1:]:
             await wait_let_go(runner, deadline - boot_time())
@@ -130,14 +130,14 @@
     async def on_stop(self) -> None:
         """Close all sockets."""
         for runner in self._runners[1:]:
-            await close_served(runner, _LAST_REQUESTS_S)
+            await close_served(runner, _LAST_REQUEST_TIMEOUT_S)
         # The platform may keep the connections of its probe.
         for runner in self._runners[:1]:
             await runner.cleanup()
 
     # The platform's probe.
 
-    async def _probe(self, req: web.BaseRequest) -> web.Response:
+    async def _serve_readiness(self, req: web.BaseRequest) -> web.Response:
         ready = await self.ready()
         return web.Response(status=200 if ready else 503)
 
@@ -146,14 +146,14 @@
         view = self.instance.config
         if self.instance.stopping or view.config is None:
             return False
-        if boot_time() - view.read_at > view.revocation_s * _READY_PART:
+        if boot_time() - view.read_at > view.revocation_s * _READY_AGE_FRACTION:
             return False
-        return await self.bus.ask(Following())
+        return await self.bus.ask(IsFollowingStore())
 
     # Callers.
 
     async def _handle(self, req: web.BaseRequest) -> web.Response:
-        self._open += 1
+        self._open_requests += 1
         began = boot_time()
         try:
             resp = await self._answer(req)
@@ -164,7 +164,7 @@
             log("request.failed", level="error", path=req.path, error=repr(exc))
             resp = problem_response(FirhookError(repr(exc), ran="unknown"))
         finally:
-            self._open -= 1
+            self._open_requests -= 1
         if self.instance.stopping:
             resp.force_close()
         self.meters.time("answer", f"{req.method} {resp.status}", boot_time() - began)
@@ -179,7 +179,7 @@
             raise QueueUnknownError(f"{host}{path[:100]}")
         team = _team_name(config, queue, req)
         job_id = path[len(queue.prefix) :]
-        until = self._until(req)
+        until = self._give_up_at(req)
         if not job_id and req.method == "GET":
             return _json(encode_pending(await self._lookups.pending(queue, until)))
         if not JOB_ID.fullmatch(job_id):
@@ -211,7 +211,7 @@
         job_id: str,
         until: float,
     ) -> web.Response:
-        if self._lookups.known(queue, team, job_id) is not None:
+        if self._lookups.find_job(queue, team, job_id) is not None:
             return _json(b"{}")
         if self.replica.find(job_id) is not None:
             raise JobIdTakenError(job_id)
@@ -223,7 +223,7 @@
         began = boot_time()
         try:
             offset = await self.bus.ask(
-                Record(KeyedRecord(JOB_PREFIX + job_id, value), until)
+                AppendRecord(KeyedRecord(JOB_PREFIX + job_id, value), until)
             )
         except LogOutcomeUnknownError as exc:
             raise SubmissionUnknownError(exc.detail, retry_after_s=_RETRY_S) from exc
@@ -256,18 +256,18 @@
         if status.ended:
             return _json(encode_status(status))
         record = KeyedRecord(CANCEL_PREFIX + job_id, b"\x01")
-        offset = await self.bus.ask(Record(record, until))
+        offset = await self.bus.ask(AppendRecord(record, until))
         log("job.cancelled", job=job_id, offset=offset)
         # Whether it ends as cancelled is not known yet: an end may come first.
         return _json(b"{}")
 
-    def _until(self, req: web.BaseRequest) -> float:
+    def _give_up_at(self, req: web.BaseRequest) -> float:
         """Return until when a request may wait for the log or for peers."""
-        wait_s = _DEFAULT_WAIT_S
-        given = req.headers.get("Deadline-Ms", "")
-        if given.isascii() and given.isdigit():
-            wait_s = int(given[:9]) / 1000
-        return boot_time() + min(max(wait_s - _ANSWER_MARGIN_S, 0.05), _LONGEST_TRY_S)
+        wait_s = _DEFAULT_TIMEOUT_S
+        header = req.headers.get("Deadline-Ms", "")
+        if header.isascii() and header.isdigit():
+            wait_s = int(header[:9]) / 1000
+        return boot_time() + min(max(wait_s - _REPLY_MARGIN_S, 0.05), _MAX_LOG_WAIT_S)
 
     def _log_refusal(
         self, req: web.BaseRequest, exc: FirhookError, began: float
@@ -286,14 +286,14 @@
         )
 
 
-async def _body(req: web.BaseRequest, most: int) -> bytes:
-    if (req.content_length or 0) > most:
-        raise BodyTooLargeError(f"{req.content_length} bytes; {most} are allowed")
+async def _body(req: web.BaseRequest, max_bytes: int) -> bytes:
+    if (req.content_length or 0) > max_bytes:
+        raise BodyTooLargeError(f"{req.content_length} bytes; {max_bytes} are allowed")
     raw = bytearray()
     async for chunk in req.content.iter_any():
         raw += chunk
-        if len(raw) > most:
-            raise BodyTooLargeError(f"over {most} bytes")
+        if len(raw) > max_bytes:
+            raise BodyTooLargeError(f"over {max_bytes} bytes")
     return bytes(raw)
 
 
--- a/src/firhook/services/_copying.py
+++ b/src/firhook/services/_copying.py
@@ -15,19 +15,19 @@
 from firhook.services._members import candidates
 
 #: Instances that are not listed so long after a start are not there yet.
-_MEMBERS_S = 0.3
+_MEMBERS_TIMEOUT_S = 0.3
 #: A strong peer is waited for so long.  At a start of all it has read the cell's
 #: records by then, which the store tells all instances at so many bytes a second.
-_WAIT_S = 2.0
+_COPY_TIMEOUT_S = 2.0
 #: One answer is waited for so long.
-_ASK_S = 0.6
+_ASK_TIMEOUT_S = 0.6
 #: Between tries.
 _RETRY_S = 0.1
 #: Rows in an answer.  Half a core takes some 30 ms to apply them.
-_ROWS = 500
+_PAGE_ROWS = 500
 
 
-class Copying:
+class ReplicaCopier:
     """Copies what a weak instance needs of the cell's records from a strong one.
 
     Load: all instances lose power, and 97 read the jobs of a minute from the store,
@@ -44,7 +44,7 @@
         self._replica = service.replica
 
     async def copy(
-        self, partition: int, take: Callable[[DigestRow], None]
+        self, partition: int, apply_row: Callable[[DigestRow], None]
     ) -> tuple[set[str], int] | None:
         """Take all rows of a partition from a peer.
 
@@ -52,32 +52,34 @@
             accounted for; ``None`` if the store is to be read instead.
         """
         began = boot_time()
-        while not self._replica.peers and boot_time() - began < _MEMBERS_S:
+        while not self._replica.peers and boot_time() - began < _MEMBERS_TIMEOUT_S:
             await asyncio.sleep(_RETRY_S)
-        turn = 0
-        while boot_time() - began < _WAIT_S:
+        tries = 0
+        while boot_time() - began < _COPY_TIMEOUT_S:
             names = whom_to_copy(
                 self._name, self._zone, self._strength, candidates(self._replica)
             )
             if not names:
                 return None
-            copied = await self._copy_from(names[turn % len(names)], partition, take)
+            copied = await self._copy_from(
+                names[tries % len(names)], partition, apply_row
+            )
             if copied is not None:
                 return copied
-            turn += 1
+            tries += 1
             await asyncio.sleep(_RETRY_S)
-        log("replica.not_copied", partition=partition, tries=turn)
+        log("replica.not_copied", partition=partition, tries=tries)
         return None
 
     async def _copy_from(
-        self, peer: str, partition: int, take: Callable[[DigestRow], None]
+        self, peer: str, partition: int, apply_row: Callable[[DigestRow], None]
     ) -> tuple[set[str], int] | None:
         listed: set[str] = set()
         end, after = None, ""
         while True:
             try:
                 ask = CopyAsk(partition, after)
-                reply = await self._bus.ask(AskInstance(peer, ask, _ASK_S))
+                reply = await self._bus.ask(AskInstance(peer, ask, _ASK_TIMEOUT_S))
             except PeerUnreachableError as exc:
                 log("replica.copy_failed", level="debug", peer=peer, error=exc.detail)
                 return None
@@ -87,7 +89,7 @@
             # one is told by the records that follow its end.
             end = reply.end if end is None else end
             for row in reply.rows:
-                take(row)
+                apply_row(row)
                 listed.add(row.key)
             if not reply.has_more:
                 log("replica.copied", partition=partition, peer=peer, rows=len(listed))
@@ -95,11 +97,13 @@
             after = reply.rows[-1].key
 
 
-def copy_page(replica: Replica, ask: CopyAsk, end: int) -> CopyReply:
+def build_copy_reply(replica: Replica, ask: CopyAsk, end: int) -> CopyReply:
     """Return the rows that a peer asks for.
 
     :param end: all records of the partition before it were applied.
     """
-    page = replica.page(ask.partition, ask.after, _ROWS + 1)
-    rows = tuple(DigestRow(at, key, digest_value(v)) for at, key, v in page[:_ROWS])
-    return CopyReply(True, end, rows, len(page) > _ROWS)
+    page = replica.page(ask.partition, ask.after, _PAGE_ROWS + 1)
+    rows = tuple(
+        DigestRow(at, key, digest_value(v)) for at, key, v in page[:_PAGE_ROWS]
+    )
+    return CopyReply(True, end, rows, len(page) > _PAGE_ROWS)
--- a/src/firhook/services/_events.py
+++ b/src/firhook/services/_events.py
@@ -18,7 +18,7 @@
 LEAD_PARTITIONS = (0, 2, 1, 3)
 CALLERS_PARTITIONS = (1, 3, 0, 2)
 #: Of what the lead appends for other instances.
-GATHERED_PARTITIONS = (3, 1, 0, 2)
+RELAYED_PARTITIONS = (3, 1, 0, 2)
 
 
 @attrs.frozen(slots=True)
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(slots=True)
-class TellInstances:
+class SendToInstances:
     """Send a one-way message to peers; those that are away miss it.
 
     :param names: the peers; all of them if ``None``.
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen(slots=True)
-class TellInstance:
+class SendToInstance:
     """Send a one-way message to one peer, which misses it if it is away."""
 
     peer: str
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen(slots=True)
-class LeadSpoke:
+class AnnounceLead:
     """This instance leads, and has all others told so."""
 
     message: LeadAlive
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen(slots=True)
-class HoldWhole(Query[None]):
+class HoldFullReplica(Query[None]):
     """Hold all of each record from here on, also of those applied as digests.
 
     :raises LogUnavailableError: if the store cannot be read.
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen(slots=True)
-class LeadSeen:
+class LeadRecordSeen:
     """A record that a lead wrote was read from the store, or came from a peer.
 
     :param version: of the record.
@@ -123,7 +123,7 @@
 
 
 @attrs.frozen(slots=True)
-class Record(Query[int]):
+class AppendRecord(Query[int]):
     """Append a keyed record to the cell's topic, and return its offset.
 
     :param until: on the boot clock, until when to try.
@@ -148,7 +148,7 @@
 
 
 @attrs.frozen(slots=True)
-class ServeInstance:
+class RegisterMessageHandler:
     """Registers the handler of a kind of peer message.
 
     :ivar handler: returns the answer, if any, or an awaitable of it.
@@ -159,7 +159,7 @@
 
 
 @attrs.frozen(slots=True)
-class Following(Query[bool]):
+class IsFollowingStore(Query[bool]):
     """Whether all was read once, and the store answered a reading lately.
 
     It says nothing of how old the replica is; see :class:`ReplicaAge`.
@@ -167,12 +167,12 @@
 
 
 @attrs.frozen(slots=True)
-class HeardLead(Query[str]):
+class LiveLead(Query[str]):
     """The name of another instance that leads and was heard just now, or empty."""
 
 
 @attrs.frozen(slots=True)
-class StoreTime(Query[float]):
+class StoreLatency(Query[float]):
     """How long the store's answers took lately, in seconds.
 
     It is infinite while no partition of the cell's topic serves this instance.
@@ -190,5 +190,5 @@
     :param within_s: how long that may take; what is not read by then stays as it is.
     """
 
-    wanted_s: float = math.inf
-    within_s: float = 0.0
+    refresh_after_s: float = math.inf
+    timeout_s: float = 0.0
--- a/src/firhook/services/_handing_on.py
+++ b/src/firhook/services/_fan_out.py
@@ -30,24 +30,24 @@
 from firhook.logs import log
 from firhook.services._batches import split_by_size
 from firhook.services._events import (
+    AnnounceLead,
     AskInstance,
-    LeadSpoke,
-    TellInstances,
+    SendToInstances,
 )
 from firhook.services._members import candidates
 
 #: Batches beyond this go in a message of their own.  One append takes 2 MB at most
 #: and a message between instances 4 MB.
-_MESSAGE_BYTES = 1 << 20
+_MAX_MESSAGE_BYTES = 1 << 20
 #: A relay that did not say in this time that it passed a digest on is done without.
-_RELAY_S = 0.3
+_RELAY_TIMEOUT_S = 0.3
 #: It is tried again after this.
-_UNFIT_S = 2.0
+_RELAY_RETRY_S = 2.0
 #: How often it is worked out anew who tells whom, as instances come and go.
-_REPLAN_S = 0.25
+_PLAN_INTERVAL_S = 0.25
 
 
-class HandingOn:
+class FanOutSender:
     """Tells the other instances of records, some at a time.
 
     Load: 33 instances accept 70 jobs a second, and the lead writes states.  Harm:
@@ -68,19 +68,19 @@
         self._bus = service.bus
         self._replica = service.replica
         self._spawn = spawn
-        self._whole: list[PushedBatch] = []
+        self._records: list[PushedBatch] = []
         self._digests: list[DigestBatch] = []
-        self._filled = asyncio.Event()
-        self._unfit_until: dict[str, float] = {}
-        self._planned: FanOut | None = None
+        self._added = asyncio.Event()
+        self._failed_until: dict[str, float] = {}
+        self._cached_plan: FanOut | None = None
         self._planned_at = 0.0
-        self._bus.subscribe(LeadSpoke, self._on_spoke)
+        self._bus.subscribe(AnnounceLead, self._on_announce_lead)
 
-    def add(self, whole: PushedBatch, digest: DigestBatch) -> None:
-        """Hand a batch on, of which the digest was made with :func:`digest_of`."""
-        self._whole.append(whole)
+    def add(self, records: PushedBatch, digest: DigestBatch) -> None:
+        """Hand a batch on, of which the digest was made with :func:`digest_batch`."""
+        self._records.append(records)
         self._digests.append(digest)
-        self._filled.set()
+        self._added.set()
 
     async def run(self) -> None:
         """Hand on what was added, until cancelled.
@@ -90,20 +90,20 @@
         it that of the next lead.
         """
         while True:
-            await self._filled.wait()
-            self._filled.clear()
+            await self._added.wait()
+            self._added.clear()
             await asyncio.sleep(gather_s(len(self._replica.peers)))
-            whole, self._whole = self._whole, []
+            records, self._records = self._records, []
             digests, self._digests = self._digests, []
             plan = self._plan()
-            for chunk in split_by_size(whole, _whole_bytes, _MESSAGE_BYTES):
-                push = RecordsPush(tuple(chunk), standby=True)
-                self._bus.publish(TellInstances(push, plan.standbys))
-            digests = _joined(digests)
-            for digest in split_by_size(digests, _digest_bytes, _MESSAGE_BYTES):
-                self._tell_digest(plan, tuple(digest))
-
-    def _on_spoke(self, event: LeadSpoke) -> None:
+            for chunk in split_by_size(records, _record_bytes, _MAX_MESSAGE_BYTES):
+                message = RecordsPush(tuple(chunk), standby=True)
+                self._bus.publish(SendToInstances(message, plan.standbys))
+            digests = _merge_adjacent(digests)
+            for digest in split_by_size(digests, _digest_bytes, _MAX_MESSAGE_BYTES):
+                self._send_digests(plan, tuple(digest))
+
+    def _on_announce_lead(self, event: AnnounceLead) -> None:
         """Tell the others that this instance leads.
 
         Those next in line hear it from the lead itself, so that none of them stands
@@ -111,46 +111,50 @@
         """
         plan = self._plan()
         message = event.message
-        self._bus.publish(TellInstances(message, (*plan.standbys, *plan.direct)))
+        self._bus.publish(SendToInstances(message, (*plan.standbys, *plan.direct)))
         for relay, members in plan.relays:
-            passed_on = attrs.evolve(message, relay_to=members)
-            self._spawn(self._through(passed_on, relay))
+            forwarded = attrs.evolve(message, relay_to=members)
+            self._spawn(self._send_through_relay(forwarded, relay))
 
-    def _tell_digest(self, plan: FanOut, batches: tuple[DigestBatch, ...]) -> None:
+    def _send_digests(self, plan: FanOut, batches: tuple[DigestBatch, ...]) -> None:
         if plan.direct:
-            self._bus.publish(TellInstances(DigestPush(batches), plan.direct))
+            self._bus.publish(SendToInstances(DigestPush(batches), plan.direct))
         for relay, members in plan.relays:
-            self._spawn(self._through(DigestPush(batches, members), relay))
+            self._spawn(self._send_through_relay(DigestPush(batches, members), relay))
 
     def _plan(self) -> FanOut:
         now = boot_time()
-        if self._planned is None or now - self._planned_at >= _REPLAN_S:
-            unfit = {n: until for n, until in self._unfit_until.items() if until > now}
+        if self._cached_plan is None or now - self._planned_at >= _PLAN_INTERVAL_S:
+            failed = {
+                n: until for n, until in self._failed_until.items() if until > now
+            }
             # The records that an instance reads at its start fill its link.
             reading = {p.name: now for p in self._replica.peers.values() if p.reading}
             lead = self._service.settings.name
             others = candidates(self._replica)
-            self._planned = plan_fan_out(others, lead, {**reading, **unfit})
+            self._cached_plan = plan_fan_out(others, lead, {**reading, **failed})
             self._planned_at = now
-        return self._planned
+        return self._cached_plan
 
-    async def _through(self, push: DigestPush | LeadAlive, relay: str) -> None:
+    async def _send_through_relay(
+        self, message: DigestPush | LeadAlive, relay: str
+    ) -> None:
         """Have a relay pass a message on, and do without it if it does not say so.
 
         Its zone reads from the store what it was not told.  Told once more by the
         lead, it would be told late, over a link that may be what made the relay late.
         """
         try:
-            reply = await self._bus.ask(AskInstance(relay, push, _RELAY_S))
+            reply = await self._bus.ask(AskInstance(relay, message, _RELAY_TIMEOUT_S))
         except PeerUnreachableError as exc:
             log("relay.failed", level="warning", relay=relay, error=exc.detail)
             reply = None
         if not isinstance(reply, PassedOn):
-            self._unfit_until[relay] = boot_time() + _UNFIT_S
-            self._planned = None
+            self._failed_until[relay] = boot_time() + _RELAY_RETRY_S
+            self._cached_plan = None
 
 
-def digest_of(replica: Replica, batch: PushedBatch) -> DigestBatch:
+def digest_batch(replica: Replica, batch: PushedBatch) -> DigestBatch:
     """Return of a batch what instances need that only answer callers.
 
     A job's state is written with each start and each end of a task, and tells
@@ -161,7 +165,7 @@
     rows = []
     for at, record in enumerate(batch.records, batch.offset):
         try:
-            row = _digest(replica, batch.partition, at, record.key, record.value)
+            row = _digest_record(replica, batch.partition, at, record.key, record.value)
         except RecordMalformedError as exc:
             log("record.malformed", level="warning", key=record.key, detail=exc.detail)
             row = DigestRow(at, record.key, record.value)
@@ -170,7 +174,7 @@
     return DigestBatch(batch.partition, batch.offset, len(batch.records), tuple(rows))
 
 
-def _digest(
+def _digest_record(
     replica: Replica, partition: int, offset: int, key: str, value: bytes | None
 ) -> DigestRow | None:
     """Return what callers may ask about a record; ``None`` if that is known."""
@@ -184,26 +188,26 @@
     return DigestRow(offset, key, value)
 
 
-def _joined(batches: list[DigestBatch]) -> list[DigestBatch]:
+def _merge_adjacent(batches: list[DigestBatch]) -> list[DigestBatch]:
     """Join those that follow each other without a gap."""
-    joined: list[DigestBatch] = []
+    merged: list[DigestBatch] = []
     for batch in batches:
-        last = joined[-1] if joined else None
+        last = merged[-1] if merged else None
         follows = (
             last is not None
             and last.partition == batch.partition
             and last.offset + last.count == batch.offset
         )
         if last is None or not follows:
-            joined.append(batch)
+            merged.append(batch)
             continue
-        joined[-1] = attrs.evolve(
+        merged[-1] = attrs.evolve(
             last, count=last.count + batch.count, rows=last.rows + batch.rows
         )
-    return joined
+    return merged
 
 
-def _whole_bytes(batch: PushedBatch) -> int:
+def _record_bytes(batch: PushedBatch) -> int:
     return sum(len(row.key) + len(row.value or b"") for row in batch.records)
 
 
--- a/src/firhook/services/_fenced_writer.py
+++ b/src/firhook/services/_fenced_writer.py
@@ -18,10 +18,10 @@
 _RETRY_S = 0.05
 #: An append is repeated elsewhere after so many times what makes one doubtful: half
 #: a second at a calm store.  A repeat under the same number does nothing twice.
-_PATIENCE = 2.0
+_TIMEOUT_FACTOR = 2.0
 #: A partition that failed is tried again after this; the other one serves
 #: meanwhile.
-_AVOID_S = 1.0
+_FAILED_PARTITION_RETRY_S = 1.0
 
 
 @attrs.define(slots=True, eq=False)
@@ -52,16 +52,16 @@
     """
 
     def __init__(
-        self, store: Store, epoch: int, proven: Callable[[float], None]
+        self, store: Store, epoch: int, on_confirmed: Callable[[float], None]
     ) -> None:
         self._store = store
         self._epoch = epoch
-        self._proven = proven
+        self._on_confirmed = on_confirmed
         self._partitions = [_Partition(number) for number in LEAD_PARTITIONS]
         self._reach = StoreReach(LEAD_PARTITIONS)
         # One call at a time: two appends under one sequence number would pass
         # for one and its repeat, and the second be lost.
-        self._busy = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def set_epoch(self) -> None:
         """Have every partition refuse what a lead before this one appends.
@@ -69,28 +69,28 @@
         All of them are waited for: what lies on one that does not answer cannot
         be read either.
         """
-        async with self._busy:
+        async with self._lock:
             await asyncio.gather(*(self._set_epoch(part) for part in self._partitions))
 
     async def _set_epoch(self, part: _Partition) -> None:
-        while await self._try(part, []) is None:
+        while await self._append_once(part, []) is None:
             await asyncio.sleep(_RETRY_S)
 
-    async def prove(self, contents: list[bytes]) -> None:
+    async def confirm_epoch(self, contents: list[bytes]) -> None:
         """Have the store say that no other lead has begun, if it answers.
 
         :param contents: appended, unless another append is under way.
         :raises LogFencedError: if one has.
         """
-        if self._busy.locked():
+        if self._lock.locked():
             # What is under way proves as much.
             return
-        async with self._busy:
+        async with self._lock:
             now = boot_time()
             for part in sorted(self._partitions, key=lambda p: p.avoid_until > now):
-                if part.unanswered and not await self._settle(part):
+                if part.unanswered and not await self._repeat_unanswered(part):
                     continue
-                if await self._try(part, contents) is not None:
+                if await self._append_once(part, contents) is not None:
                     return
 
     async def append(self, contents: list[bytes]) -> tuple[int, int]:
@@ -98,7 +98,7 @@
 
         :raises LogFencedError: if another lead has begun.
         """
-        async with self._busy:
+        async with self._lock:
             return await self._append(contents)
 
     async def append_to(self, number: int, contents: list[bytes]) -> int | None:
@@ -107,26 +107,26 @@
         :raises LogFencedError: if another lead has begun.
         """
         part = next(part for part in self._partitions if part.number == number)
-        async with self._busy:
+        async with self._lock:
             if part.avoid_until > boot_time():
                 return None
-            if part.unanswered and not await self._settle(part):
+            if part.unanswered and not await self._repeat_unanswered(part):
                 return None
-            return await self._try(part, contents)
+            return await self._append_once(part, contents)
 
     async def _append(self, contents: list[bytes]) -> tuple[int, int]:
         while True:
             now = boot_time()
             ready = [p for p in self._partitions if p.avoid_until <= now]
             for part in ready or self._partitions:
-                if part.unanswered and not await self._settle(part):
+                if part.unanswered and not await self._repeat_unanswered(part):
                     continue
-                offset = await self._try(part, contents)
+                offset = await self._append_once(part, contents)
                 if offset is not None:
                     return part.number, offset
             await asyncio.sleep(_RETRY_S)
 
-    async def _settle(self, part: _Partition) -> bool:
+    async def _repeat_unanswered(self, part: _Partition) -> bool:
         """Repeat an append without an answer; return whether it has one now.
 
         What it wrote is older than what was written elsewhere meanwhile, and
@@ -136,12 +136,12 @@
         repeat for the moment, it would leave its number to the next append, which
         the store takes for the repeat if the first was carried out.
         """
-        if await self._try(part, part.unanswered) is None:
+        if await self._append_once(part, part.unanswered) is None:
             return False
         part.unanswered = []
         return True
 
-    async def _try(self, part: _Partition, contents: list[bytes]) -> int | None:
+    async def _append_once(self, part: _Partition, contents: list[bytes]) -> int | None:
         """Append once; return the offset, or ``None`` if it failed."""
         producer = Producer(_PRODUCER, self._epoch, part.sequence)
         sent_at = boot_time()
@@ -152,29 +152,29 @@
                 part.number,
                 contents,
                 producer,
-                timeout_s=_PATIENCE * self._reach.limit_s(),
+                timeout_s=_TIMEOUT_FACTOR * self._reach.limit_s(),
             )
         except LogUnavailableError as exc:
             self._reach.failed(part.number, call)
-            self._avoid(part, exc)
+            self._mark_failed(part, exc)
             return None
         except LogOutcomeUnknownError as exc:
             self._reach.failed(part.number, call)
             if contents:
                 part.unanswered = contents
-            self._avoid(part, exc)
+            self._mark_failed(part, exc)
             return None
         self._reach.answered(part.number, call, boot_time())
-        self._proven(sent_at)
+        self._on_confirmed(sent_at)
         if contents:
             part.sequence += 1
         return done.offset
 
-    def _avoid(self, part: _Partition, exc: Exception) -> None:
+    def _mark_failed(self, part: _Partition, exc: Exception) -> None:
         log(
             "lead.append_failed",
             level="debug",
             partition=part.number,
             error=str(exc)[:200],
         )
-        part.avoid_until = boot_time() + _AVOID_S
+        part.avoid_until = boot_time() + _FAILED_PARTITION_RETRY_S
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -32,19 +32,19 @@
 from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
 from firhook.services._events import (
     LEAD_PARTITIONS,
+    AnnounceLead,
     AskInstance,
     ConfigApplied,
-    Following,
-    HeardLead,
+    IsFollowingStore,
     JobChanged,
-    LeadSeen,
-    LeadSpoke,
+    LeadRecordSeen,
+    LiveLead,
     PartitionRebuilt,
     ReadToEnd,
-    ServeInstance,
-    StoreTime,
-    TellInstance,
-    TellInstances,
+    RegisterMessageHandler,
+    SendToInstance,
+    SendToInstances,
+    StoreLatency,
 )
 from firhook.services._members import candidates
 from firhook.services._term import PROOF_S, Term
@@ -118,17 +118,17 @@
         self.adviser = self.instance.platform.adviser
         self.bus.subscribe(JobChanged, self._on_job)
         self.bus.subscribe(ConfigApplied, self._on_config)
-        self.bus.subscribe(LeadSeen, self._on_seen)
+        self.bus.subscribe(LeadRecordSeen, self._on_seen)
         self.bus.subscribe(PartitionRebuilt, self._on_rebuilt)
         self.bus.subscribe(StopBegun, self._on_stop_begun)
-        self.bus.answer(HeardLead, self._heard_lead)
+        self.bus.answer(LiveLead, self._heard_lead)
 
     async def on_started(self) -> None:
         """Begin to listen for the lead."""
-        self.bus.publish(ServeInstance(AdviceAsk, self._serve_advice))
-        self.bus.publish(ServeInstance(LeadAlive, self._on_alive))
-        self.bus.publish(ServeInstance(LeadOffer, self._on_offer))
-        self.bus.publish(ServeInstance(StrongerHere, self._on_stronger))
+        self.bus.publish(RegisterMessageHandler(AdviceAsk, self._serve_advice))
+        self.bus.publish(RegisterMessageHandler(LeadAlive, self._on_alive))
+        self.bus.publish(RegisterMessageHandler(LeadOffer, self._on_offer))
+        self.bus.publish(RegisterMessageHandler(StrongerHere, self._on_stronger))
         self.add_future(self._run())
 
     def _on_job(self, event: JobChanged) -> None:
@@ -170,7 +170,7 @@
 
     # Who leads.
 
-    def _on_seen(self, event: LeadSeen) -> None:
+    def _on_seen(self, event: LeadRecordSeen) -> None:
         self._election.read(event.epoch, event.version, boot_time())
         self._yield_to(event.epoch)
 
@@ -181,7 +181,7 @@
     def _on_alive(self, msg: LeadAlive) -> PassedOn:
         if msg.relay_to:
             message = attrs.evolve(msg, relay_to=())
-            self.bus.publish(TellInstances(message, msg.relay_to))
+            self.bus.publish(SendToInstances(message, msg.relay_to))
         self._election.hear(msg.epoch, msg.name, msg.newest, boot_time())
         self._yield_to(msg.epoch)
         return PassedOn()
@@ -192,7 +192,7 @@
             self.term.give_up("replaced", by_epoch=epoch)
             self._woken.set()
 
-    async def _heard_lead(self, query: HeardLead) -> str:
+    async def _heard_lead(self, query: LiveLead) -> str:
         name = self._election.lead
         if name == self.settings.name or self._election.quiet(boot_time()):
             return ""
@@ -208,7 +208,7 @@
             return False
         if self.settings.name not in self.replica.peers:
             return False
-        return await self.bus.ask(Following())
+        return await self.bus.ask(IsFollowingStore())
 
     async def _run(self) -> None:
         while not self.should_stop and not self._left:
@@ -309,7 +309,7 @@
             return LeadOfferReply(False)
         if not await self._ready():
             return LeadOfferReply(False)
-        if await self.bus.ask(StoreTime()) == math.inf:
+        if await self.bus.ask(StoreLatency()) == math.inf:
             log("lead.offer_refused", epoch=msg.epoch, reason="store_out_of_reach")
             return LeadOfferReply(False)
         self._offered = True
@@ -348,7 +348,7 @@
         name = self.settings.name
         self._election.hear(term.fence, name, term.newest_version, now)
         message = LeadAlive(term.fence, name, term.newest_version)
-        self.bus.publish(LeadSpoke(message))
+        self.bus.publish(AnnounceLead(message))
 
     def _offer(self, reason: str, now: float) -> None:
         """Offer the lead to others, unless that is under way or was tried lately."""
@@ -361,7 +361,7 @@
 
     async def _offer_around(self, reason: str) -> bool:
         """Offer the lead to the next in line; return whether one takes it."""
-        store_s = await self.bus.ask(StoreTime())
+        store_s = await self.bus.ask(StoreLatency())
         if reason == "unproven" and store_s < math.inf:
             # The store answers here; another lead would fare no better.
             return False
@@ -400,7 +400,7 @@
         if now - self._spoke_at >= _STRONGER_EVERY_S:
             self._spoke_at = now
             message = StrongerHere(self.settings.name)
-            self.bus.publish(TellInstance(lead.name, message))
+            self.bus.publish(SendToInstance(lead.name, message))
 
     async def _on_stronger(self, msg: StrongerHere) -> None:
         self._stronger_waits = self.term is not None
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -21,26 +21,26 @@
     CALLERS_PARTITIONS,
     AskInstance,
     CatchUp,
-    HeardLead,
+    LiveLead,
+    RegisterMessageHandler,
     ReplicaAge,
-    ServeInstance,
 )
 from firhook.services._members import candidates
 
 #: The oldest replica that is counted.  Callers may be told a count that is two
 #: seconds old, and a peer's count is on its way for ``_ASK_S`` at most.
-_PENDING_AGE_S = 1.0
+_MAX_PENDING_AGE_S = 1.0
 #: How long a replica that is older may be read on for one count.
-_READ_ON_S = 0.4
+_REFRESH_TIMEOUT_S = 0.4
 #: How long peers are asked.  It is more than ``_READ_ON_S``, which a peer may take.
-_ASK_S = 0.6
+_ASK_TIMEOUT_S = 0.6
 #: A peer that has not answered by then is not waited for alone.
-_HEDGE_S = 0.15
+_HEDGE_DELAY_S = 0.15
 #: The oldest replica that tells where a job stands: the partitions that are read
 #: least often are read every two seconds.
-_STATUS_AGE_S = 2.5
+_MAX_STATUS_AGE_S = 2.5
 #: How long the log is read for one question about a job that is not known.
-_CATCH_UP_S = 1.0
+_CATCH_UP_TIMEOUT_S = 1.0
 #: When callers should come back if nobody can tell.
 _RETRY_S = 1.0
 
@@ -61,10 +61,10 @@
         self._replica = service.replica
         self._meters = service.meters
 
-    def serve(self) -> None:
+    def register_handlers(self) -> None:
         """Answer the peers' questions."""
-        self._bus.publish(ServeInstance(PendingAsk, self._serve_pending))
-        self._bus.publish(ServeInstance(JobAsk, self._serve_job))
+        self._bus.publish(RegisterMessageHandler(PendingAsk, self._serve_pending))
+        self._bus.publish(RegisterMessageHandler(JobAsk, self._serve_job))
 
     # How many jobs wait.
 
@@ -75,7 +75,7 @@
         :raises NotReadyError: if neither this instance nor a peer can tell.
         """
         try:
-            reply = await self._count(queue.address)
+            reply = await self._count_pending(queue.address)
             source, kind = self._name, "replica"
         except NotReadyError:
             message = PendingAsk(queue.address)
@@ -93,25 +93,25 @@
         )
         return reply.count
 
-    async def _count(self, address: str) -> PendingReply:
-        age_s = await self._bus.ask(ReplicaAge(_PENDING_AGE_S, _READ_ON_S))
-        if age_s > _PENDING_AGE_S:
+    async def _count_pending(self, address: str) -> PendingReply:
+        age_s = await self._bus.ask(ReplicaAge(_MAX_PENDING_AGE_S, _REFRESH_TIMEOUT_S))
+        if age_s > _MAX_PENDING_AGE_S:
             raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
         return PendingReply(self._replica.pending(address), age_s)
 
     async def _serve_pending(self, msg: PendingAsk) -> PendingReply:
-        return await self._count(msg.queue)
+        return await self._count_pending(msg.queue)
 
     # Where a job stands.
 
-    def known(self, queue: Queue, team: str, job_id: str) -> JobView | None:
+    def find_job(self, queue: Queue, team: str, job_id: str) -> JobView | None:
         """Return a job of a queue and a team, if the replica has it."""
         job = self._replica.find(job_id)
         if job is None or job.accepted is None:
             return None
         accepted = job.accepted
-        mine = _is_of(queue, team, accepted.queue.address, accepted.team)
-        return job if mine else None
+        is_match = _belongs_to(queue, team, accepted.queue.address, accepted.team)
+        return job if is_match else None
 
     async def status(
         self, queue: Queue, team: str, job_id: str, until: float
@@ -130,42 +130,42 @@
         :raises NotReadyError: if neither this instance nor a peer can tell.
         """
         age_s = await self._bus.ask(ReplicaAge())
-        job = self.known(queue, team, job_id)
+        job = self.find_job(queue, team, job_id)
         found = self._replica.find(job_id)
         if job is None and found is not None and found.lost(queue.owner(team)):
             raise JobIdTakenError(job_id)
-        if job is not None and (_ended_for_good(job) or age_s <= _STATUS_AGE_S):
+        if job is not None and (_has_final_state(job) or age_s <= _MAX_STATUS_AGE_S):
             return job.status
-        whole = age_s < math.inf
-        if job is None and whole and await self._caught_up(until):
-            return self._status_as_read(queue, team, job_id)
+        is_complete = age_s < math.inf
+        if job is None and is_complete and await self._catch_up(until):
+            return self._local_status(queue, team, job_id)
         _, reply = await self._ask(JobAsk(job_id), JobReply, until)
         if reply is not None:
             self._meters.count("status_answers", "peer")
-            if not reply.found or not _is_of(queue, team, reply.queue, reply.team):
+            if not reply.found or not _belongs_to(queue, team, reply.queue, reply.team):
                 raise JobGoneError(job_id)
             return JobStatus(reply.status)
-        if job is not None and whole:
+        if job is not None and is_complete:
             self._meters.count("status_answers", "old_replica")
             return job.status
         # A log that is short is read within the time that callers wait.
-        if not whole and await self._caught_up(until):
-            return self._status_as_read(queue, team, job_id)
+        if not is_complete and await self._catch_up(until):
+            return self._local_status(queue, team, job_id)
         self._meters.count("status_answers", "refused")
         raise NotReadyError("no replica is new enough", retry_after_s=_RETRY_S)
 
-    def _status_as_read(self, queue: Queue, team: str, job_id: str) -> JobStatus:
+    def _local_status(self, queue: Queue, team: str, job_id: str) -> JobStatus:
         """Return where a job stands by a log that was read to its end just now."""
-        job = self.known(queue, team, job_id)
+        job = self.find_job(queue, team, job_id)
         if job is None:
             raise JobGoneError(job_id)
         return job.status
 
-    async def _caught_up(self, until: float = math.inf) -> bool:
+    async def _catch_up(self, until: float = math.inf) -> bool:
         """Read to the end that the log has now; return whether that was done."""
         reading = self._bus.ask(CatchUp(CALLERS_PARTITIONS))
         try:
-            async with asyncio.timeout(min(_CATCH_UP_S, until - boot_time())):
+            async with asyncio.timeout(min(_CATCH_UP_TIMEOUT_S, until - boot_time())):
                 await reading
         except (TimeoutError, FirhookError) as exc:
             log("replica.catch_up_failed", level="debug", error=repr(exc))
@@ -175,10 +175,10 @@
     async def _serve_job(self, msg: JobAsk) -> JobReply:
         age_s = await self._bus.ask(ReplicaAge())
         job = self._replica.find(msg.job_id)
-        if age_s > _STATUS_AGE_S and not (job and _ended_for_good(job)):
+        if age_s > _MAX_STATUS_AGE_S and not (job and _has_final_state(job)):
             raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
         if job is None:
-            if not await self._caught_up():
+            if not await self._catch_up():
                 raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
             job = self._replica.find(msg.job_id)
         if job is None or job.accepted is None:
@@ -196,9 +196,9 @@
         The next one is asked beside those that have not answered after a while: the
         first may be gone, or its link may be full.
         """
-        lead = await self._bus.ask(HeardLead())
+        lead = await self._bus.ask(LiveLead())
         names = whom_to_ask(self._name, lead, candidates(self._replica))
-        until = min(until, boot_time() + _ASK_S)
+        until = min(until, boot_time() + _ASK_TIMEOUT_S)
         asking: set[asyncio.Task[tuple[str, Any]]] = set()
         try:
             while names or asking:
@@ -210,7 +210,7 @@
                     break
                 done, asking = await asyncio.wait(
                     asking,
-                    timeout=min(_HEDGE_S, left_s) if names else left_s,
+                    timeout=min(_HEDGE_DELAY_S, left_s) if names else left_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 for name, answer in (task.result() for task in done):
@@ -223,17 +223,17 @@
 
     async def _ask_one(self, name: str, message: Any) -> tuple[str, Any]:
         try:
-            return name, await self._bus.ask(AskInstance(name, message, _ASK_S))
+            return name, await self._bus.ask(AskInstance(name, message, _ASK_TIMEOUT_S))
         except PeerUnreachableError as exc:
             log("lookup.ask_failed", level="debug", peer=name, error=exc.detail)
             return name, None
 
 
-def _ended_for_good(job: JobView) -> bool:
+def _has_final_state(job: JobView) -> bool:
     """Return whether the lead stored an end, after which nothing changes."""
     return job.state is not None and job.state.status.ended
 
 
-def _is_of(queue: Queue, team: str, address: str, owner: str) -> bool:
+def _belongs_to(queue: Queue, team: str, address: str, owner: str) -> bool:
     """Return whether a job with this address and owner is one of the caller's."""
     return address == queue.address and (queue.anonymous or owner == team)
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -16,14 +16,14 @@
 from firhook.instance import InstanceService
 from firhook.logs import log
 from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed
-from firhook.services._events import CALLERS_PARTITIONS, Record, ReplicaAge
+from firhook.services._events import CALLERS_PARTITIONS, AppendRecord, ReplicaAge
 
 #: How long one try to register may take.
-_REGISTER_S = 2.0
+_REGISTER_TIMEOUT_S = 2.0
 #: Between tries when the store does not answer.
 _RETRY_S = 0.2
 #: How often it is looked whether everything was read.
-_LOOK_S = 0.05
+_CHECK_INTERVAL_S = 0.05
 
 
 async def read_members(store: Store, replica: Replica) -> int:
@@ -66,21 +66,21 @@
 
     async def run(self) -> None:
         """Register, and again once everything was read."""
-        reading = await self._reading()
+        reading = await self._is_reading()
         await self._register(reading)
         if not reading:
             return
-        while await self._reading():
-            await asyncio.sleep(_LOOK_S)
+        while await self._is_reading():
+            await asyncio.sleep(_CHECK_INTERVAL_S)
         if not self._service.instance.stopping:
             await self._register(False)
 
-    async def _reading(self) -> bool:
+    async def _is_reading(self) -> bool:
         return await self._service.bus.ask(ReplicaAge()) == math.inf
 
     async def _register(self, reading: bool) -> None:
         settings = self._service.settings
-        mine = PeerRecord(
+        own_record = PeerRecord(
             settings.name,
             self._service.instance.incarnation,
             self._address,
@@ -88,16 +88,18 @@
             settings.strength,
             reading,
         )
-        record = KeyedRecord(PEER_PREFIX + mine.name, encode_record(mine))
+        record = KeyedRecord(PEER_PREFIX + own_record.name, encode_record(own_record))
         while True:
             try:
-                await self._service.bus.ask(Record(record, boot_time() + _REGISTER_S))
+                await self._service.bus.ask(
+                    AppendRecord(record, boot_time() + _REGISTER_TIMEOUT_S)
+                )
                 return
             except FirhookError as exc:
                 log("mesh.register_retry", level="debug", error=repr(exc))
                 await asyncio.sleep(_RETRY_S)
 
-    async def withdraw(self) -> None:
+    async def unregister(self) -> None:
         """Tell the others that this instance answers no more questions soon.
 
         Its records may lie on several partitions, and each of them would keep it
@@ -106,7 +108,9 @@
         key = PEER_PREFIX + self._service.settings.name
         record = KeyedRecord(key, None)
         try:
-            await self._service.bus.ask(Record(record, boot_time() + _REGISTER_S))
+            await self._service.bus.ask(
+                AppendRecord(record, boot_time() + _REGISTER_TIMEOUT_S)
+            )
             for number in self._service.replica.partitions_of(key):
                 content = [encode_keyed(record)]
                 await self._service.store.append(CELL_TOPIC, number, content)
--- a/src/firhook/services/_mesh.py
+++ b/src/firhook/services/_mesh.py
@@ -19,18 +19,18 @@
     CALLERS_PARTITIONS,
     AskInstance,
     CatchUp,
-    ServeInstance,
-    TellInstance,
-    TellInstances,
+    RegisterMessageHandler,
+    SendToInstance,
+    SendToInstances,
 )
 from firhook.services._members import Registration, read_members
 
 #: Between tries when the store does not answer.
 _RETRY_S = 0.2
 #: How often the peers in the replica are compared with the connections.
-_REVIEW_S = 0.25
+_UPDATE_INTERVAL_S = 0.25
 #: A connection over which nothing was sent for so long is closed.
-_IDLE_S = 20.0
+_IDLE_TIMEOUT_S = 20.0
 
 
 @register_service("mesh")
@@ -46,28 +46,28 @@
         self._mesh: Mesh | None = None
         self._registration: Registration | None = None
         self._handlers: dict[type, Callable[[Any], Any]] = {}
-        self._known: dict[str, str] = {}
-        self._used_at: dict[str, float] = {}
+        self._peer_addresses: dict[str, str] = {}
+        self._last_used_at: dict[str, float] = {}
         self.bus.answer(AskInstance, self._ask)
-        self.bus.subscribe(ServeInstance, self._on_serve)
-        self.bus.subscribe(TellInstances, self._on_tell)
-        self.bus.subscribe(TellInstance, self._on_tell_one)
+        self.bus.subscribe(RegisterMessageHandler, self._on_register_handler)
+        self.bus.subscribe(SendToInstances, self._on_send_to_instances)
+        self.bus.subscribe(SendToInstance, self._on_send_to_instance)
         self.bus.subscribe(StopBegun, self._on_stop_begun)
 
     def _on_stop_begun(self, event: StopBegun) -> None:
         if self._registration is not None:
-            self.add_future(self._registration.withdraw())
+            self.add_future(self._registration.unregister())
 
-    def _on_tell(self, event: TellInstances) -> None:
+    def _on_send_to_instances(self, event: SendToInstances) -> None:
         if self._mesh is not None:
-            self._mesh.tell_all(event.body, self._addresses(event.names))
+            self._mesh.tell_all(event.body, self._connect_to_all(event.names))
 
-    def _addresses(self, names: tuple[str, ...] | None) -> list[str]:
-        wanted = self._known if names is None else names
-        found = (self._reach(name) for name in wanted)
+    def _connect_to_all(self, names: tuple[str, ...] | None) -> list[str]:
+        wanted = self._peer_addresses if names is None else names
+        found = (self._connect_to(name) for name in wanted)
         return [address for address in found if address is not None]
 
-    def _reach(self, name: str) -> str | None:
+    def _connect_to(self, name: str) -> str | None:
         """Return the address of a peer that is connected to; ``None`` if unknown.
 
         Load: 97 instances.  Harm: connected to each other at all times they keep
@@ -75,19 +75,19 @@
         send; and set all of them up at once when they start.  Most speak with the
         lead and with one or two others.
         """
-        address = self._known.get(name)
+        address = self._peer_addresses.get(name)
         if self._mesh is None or address is None:
             return None
         self._mesh.connect(address)
-        self._used_at[name] = boot_time()
+        self._last_used_at[name] = boot_time()
         return address
 
-    def _on_tell_one(self, event: TellInstance) -> None:
-        address = self._reach(event.peer)
+    def _on_send_to_instance(self, event: SendToInstance) -> None:
+        address = self._connect_to(event.peer)
         if self._mesh is not None and address is not None:
             self._mesh.tell(address, event.body)
 
-    def _on_serve(self, event: ServeInstance) -> None:
+    def _on_register_handler(self, event: RegisterMessageHandler) -> None:
         self._handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
@@ -95,8 +95,8 @@
         self.add_future(self._run())
 
     async def _run(self) -> None:
-        keys = await self._keys()
-        mesh = Mesh(keys.public, keys.secret, self._serve)
+        keys = await self._read_or_create_keys()
+        mesh = Mesh(keys.public, keys.secret, self._dispatch)
         bound = mesh.bind(Address(self.settings.ip, self.settings.peer_port))
         self._mesh = mesh
         self.meters.counters["messages_sent"] = mesh.counts.messages
@@ -105,10 +105,10 @@
         self._registration = Registration(self, str(bound))
         self.add_future(self._registration.run())
         while not self.should_stop:
-            self._review()
-            await asyncio.sleep(_REVIEW_S)
+            self._update_connections()
+            await asyncio.sleep(_UPDATE_INTERVAL_S)
 
-    async def _keys(self) -> MeshKeys:
+    async def _read_or_create_keys(self) -> MeshKeys:
         """Return the cell's key pair; the first instance makes it."""
         while True:
             try:
@@ -118,8 +118,8 @@
                 if self.replica.mesh_keys is not None:
                     return self.replica.mesh_keys
                 public, secret = zmq.curve_keypair()
-                made = MeshKeys(public.decode(), secret.decode())
-                record = KeyedRecord(MESH_KEY, encode_record(made))
+                created = MeshKeys(public.decode(), secret.decode())
+                record = KeyedRecord(MESH_KEY, encode_record(created))
                 # Of several instances that start at once, one makes the pair:
                 # the append holds only if nothing was written since the read.
                 await self.store.append(
@@ -132,7 +132,7 @@
                 log("mesh.keys_retry", level="debug", error=repr(exc))
                 await asyncio.sleep(_RETRY_S)
 
-    def _review(self) -> None:
+    def _update_connections(self) -> None:
         """Go by the peers that are registered now, and leave those not spoken with."""
         assert self._mesh is not None
         wanted = {
@@ -140,21 +140,21 @@
             for peer in self.replica.peers.values()
             if peer.name != self.settings.name
         }
-        idle_since = boot_time() - _IDLE_S
-        for name, address in self._known.items():
+        idle_since = boot_time() - _IDLE_TIMEOUT_S
+        for name, address in self._peer_addresses.items():
             moved = wanted.get(name) != address
-            if moved or self._used_at.get(name, 0.0) < idle_since:
+            if moved or self._last_used_at.get(name, 0.0) < idle_since:
                 self._mesh.disconnect(address)
-                self._used_at.pop(name, None)
-        self._known = wanted
+                self._last_used_at.pop(name, None)
+        self._peer_addresses = wanted
 
     async def _ask(self, query: AskInstance) -> Any:
-        address = self._reach(query.peer)
+        address = self._connect_to(query.peer)
         if self._mesh is None or address is None:
             raise PeerUnreachableError(f"{query.peer}: not known", ran="no")
         return await self._mesh.ask(address, query.body, query.timeout_s)
 
-    def _serve(self, msg: Any) -> Any:
+    def _dispatch(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
         if handler is None:
             raise FrameMalformedError(f"{type(msg).__name__}: nobody serves it")
--- a/src/firhook/services/_forgetting.py
+++ b/src/firhook/services/_retention.py
@@ -9,18 +9,21 @@
 from firhook.errors import FirhookError
 from firhook.logs import log
 
-Drop = Callable[[int, list[str]], Awaitable[bool]]
+DeleteKeys = Callable[[int, list[str]], Awaitable[bool]]
 
 #: Ended jobs are kept for so many times as long as is promised, since their
 #: submissions may be repeated late, and would run again once they are forgotten.
-_KEPT_FACTOR = 3
+_RETENTION_FACTOR = 3
 #: How often some of the older ones are forgotten, and how many.
-_EVERY_S = 5.0
-_AT_ONCE = 200
+_INTERVAL_S = 5.0
+_BATCH_JOBS = 200
 
 
-async def forget_old_jobs(
-    replica: Replica, status_s: float, drop: Drop, forgotten: Callable[[str], None]
+async def delete_expired_jobs(
+    replica: Replica,
+    status_s: float,
+    delete: DeleteKeys,
+    on_deleted: Callable[[str], None],
 ) -> None:
     """Drop the records of jobs that ended long ago, some at a time.
 
@@ -32,23 +35,25 @@
     :param forgotten: called with a job's id once its submission is dropped.
         Without that its state means nothing, so that the state goes last.
     """
-    keep_s = status_s * _KEPT_FACTOR
+    retention_s = status_s * _RETENTION_FACTOR
     while True:
-        await asyncio.sleep(_EVERY_S)
-        job_ids = _old_jobs(replica, unix_time() - keep_s)[:_AT_ONCE]
+        await asyncio.sleep(_INTERVAL_S)
+        job_ids = _expired_jobs(replica, unix_time() - retention_s)[:_BATCH_JOBS]
         try:
             for prefix in (CANCEL_PREFIX, JOB_PREFIX, STATE_PREFIX):
                 keys = {job_id: prefix + job_id for job_id in job_ids}
-                await _drop_everywhere(replica, list(keys.values()), drop)
+                await _delete_everywhere(replica, list(keys.values()), delete)
                 job_ids = [i for i in job_ids if not replica.partitions_of(keys[i])]
                 if prefix == JOB_PREFIX:
                     for job_id in job_ids:
-                        forgotten(job_id)
+                        on_deleted(job_id)
         except FirhookError as exc:
             log("job.forget_failed", level="debug", error=exc.detail)
 
 
-async def _drop_everywhere(replica: Replica, keys: list[str], drop: Drop) -> None:
+async def _delete_everywhere(
+    replica: Replica, keys: list[str], delete: DeleteKeys
+) -> None:
     """Drop keys on each partition that holds them, the newest version last.
 
     An older version must not be what is left of a key if a partition is away.
@@ -57,12 +62,12 @@
     while left := {key: numbers for key, numbers in left.items() if numbers}:
         number = next(iter(left.values()))[0]
         at_once = [key for key, numbers in left.items() if numbers[0] == number]
-        taken = await drop(number, at_once)
+        taken = await delete(number, at_once)
         for key in at_once:
             left[key] = left[key][1:] if taken else []
 
 
-def _old_jobs(replica: Replica, before: float) -> list[str]:
+def _expired_jobs(replica: Replica, before: float) -> list[str]:
     return [
         job_id
         for job_id, job in replica.jobs.items()
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -44,14 +44,14 @@
 from firhook.services._events import (
     LEAD_PARTITIONS,
     CatchUp,
-    HoldWhole,
+    HoldFullReplica,
     RecordsAppended,
     TermEnded,
 )
 from firhook.services._fenced_writer import FencedWriter
-from firhook.services._forgetting import forget_old_jobs
 from firhook.services._orders import Orders
 from firhook.services._placing import PlaceRound, Placing
+from firhook.services._retention import delete_expired_jobs
 from firhook.services._worker_link import WorkerLink
 from firhook.services._worker_list import WorkerList
 from firhook.tasks import log_failure
@@ -242,7 +242,7 @@
         while True:
             try:
                 self.doing = "reading"
-                await self._instance.bus.ask(HoldWhole())
+                await self._instance.bus.ask(HoldFullReplica())
                 self.doing = "log"
                 await self._instance.bus.ask(CatchUp(LEAD_PARTITIONS))
                 break
@@ -268,7 +268,7 @@
         )
         self._meters.time("takeover", "", boot_time() - self._begun_at)
         self._spawn(
-            forget_old_jobs(
+            delete_expired_jobs(
                 self._replica, self._bounds.status_s, self._drop, self._known.discard
             )
         )
@@ -447,7 +447,7 @@
                 # Told of first, the record does not pass for a sign of life of
                 # the moment when it happens to be read.
                 self._lead.speak()
-                await self._writer.prove([record])
+                await self._writer.confirm_epoch([record])
             except LogFencedError:
                 self._lose("fenced")
 
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -29,9 +29,9 @@
 from firhook.services._callers import Callers
 from firhook.services._events import (
     AskInstance,
-    ServeInstance,
-    TellInstance,
-    TellInstances,
+    RegisterMessageHandler,
+    SendToInstance,
+    SendToInstances,
 )
 from firhook.services._members import Registration, read_members
 from standins.model._adviser import ModelAdviser
@@ -129,16 +129,16 @@
         """Offer questions to peers."""
         self.handlers: dict[type, Callable[[Any], Any]] = {}
         self.bus.answer(AskInstance, self._ask)
-        self.bus.subscribe(ServeInstance, self._on_serve)
-        self.bus.subscribe(TellInstances, self._on_tell)
-        self.bus.subscribe(TellInstance, self._on_tell_one)
+        self.bus.subscribe(RegisterMessageHandler, self._on_serve)
+        self.bus.subscribe(SendToInstances, self._on_tell)
+        self.bus.subscribe(SendToInstance, self._on_tell_one)
 
-    def _on_tell(self, event: TellInstances) -> None:
+    def _on_tell(self, event: SendToInstances) -> None:
         names = self.cell.instances if event.names is None else event.names
         for name in list(names):
-            self._on_tell_one(TellInstance(name, event.body))
+            self._on_tell_one(SendToInstance(name, event.body))
 
-    def _on_tell_one(self, event: TellInstance) -> None:
+    def _on_tell_one(self, event: SendToInstance) -> None:
         name, peer = event.peer, self.cell.instances.get(event.peer)
         cut = {self.settings.name, name} in self.cell.cuts
         if name == self.settings.name or peer is None or not peer.alive or cut:
@@ -161,7 +161,7 @@
         if inspect.isawaitable(answer):
             await answer
 
-    def _on_serve(self, event: ServeInstance) -> None:
+    def _on_serve(self, event: RegisterMessageHandler) -> None:
         self.handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
--- a/tests/cell/test_digests.py
+++ b/tests/cell/test_digests.py
@@ -15,7 +15,7 @@
     peek_state,
 )
 from firhook.errors import RecordMalformedError
-from firhook.services._handing_on import digest_of
+from firhook.services._fan_out import digest_batch
 
 QUEUE = Queue("q", "jobs.example", "/plan/", "pool")
 JOB = AcceptedJob(
@@ -72,7 +72,7 @@
     key = "state/" + JOB.id
     replica.apply(0, key, encode_record(_state(3)))
     later, done = _state(2, version=8), _state(0, JobStatus.COMPLETED, version=9)
-    digest = digest_of(replica, _push((key, later), (key, done), offset=1))
+    digest = digest_batch(replica, _push((key, later), (key, done), offset=1))
     assert (digest.offset, digest.count) == (1, 2)
     assert [row.offset for row in digest.rows] == [2]
 
@@ -82,13 +82,13 @@
     replica = Replica()
     key = "state/" + JOB.id
     replica.apply(0, key, encode_record(_state(3)), 0)
-    digest = digest_of(replica, _push((key, _state(2, version=8)), partition=2))
+    digest = digest_batch(replica, _push((key, _state(2, version=8)), partition=2))
     assert len(digest.rows) == 1
 
 
 def test_what_cannot_be_read_is_told_as_it_is():
     batch = PushedBatch(0, 5, (PushedRecord("state/1", b"\xc1"),))
-    digest = digest_of(Replica(), batch)
+    digest = digest_batch(Replica(), batch)
     assert [(row.key, row.value) for row in digest.rows] == [("state/1", b"\xc1")]
 
 
--- a/tests/services/test_fenced_writer.py
+++ b/tests/services/test_fenced_writer.py
@@ -46,7 +46,7 @@
 
     async def prove_often(writer):
         while True:
-            await writer.prove([])
+            await writer.confirm_epoch([])
             await pause(0.01)
 
     run_virtual(play())
@@ -94,10 +94,10 @@
         await writer.set_epoch()
         proofs.clear()
         store.mode["i"] = "silent"
-        await writer.prove([])
+        await writer.confirm_epoch([])
         assert proofs == []
         store.mode["i"] = "up"
-        await writer.prove([])
+        await writer.confirm_epoch([])
         assert len(proofs) == 1
 
     run_virtual(play())
@@ -131,10 +131,10 @@
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
         store.lost_share = 1.0
-        await writer.prove([record("first")])
+        await writer.confirm_epoch([record("first")])
         store.lost_share, store.mode["*"] = 0.0, "busy"
         await pause(1.1)
-        await writer.prove([record("proof")])
+        await writer.confirm_epoch([record("proof")])
         store.mode.clear()
         await pause(1.1)
         await writer.append([record("next")])
--- a/tests/services/test_follower.py
+++ b/tests/services/test_follower.py
@@ -13,9 +13,9 @@
 
     async def scenario():
         reader = _Reader(0, 0.5)
-        pausing = asyncio.create_task(Follower._pause(reader))
+        pausing = asyncio.create_task(Follower._wait_for_next_read(reader))
         await asyncio.sleep(0.01)
-        reader.pushed(7, 1)
+        reader.mark_applied(7, 1)
         for _ in range(steps):
             await asyncio.sleep(0)
         pausing.cancel()
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -12,7 +12,7 @@
 from firhook.decide.schedule import RoundResult
 from firhook.platform.instance import Bounds
 from firhook.platform.store import KeyedRecord
-from firhook.services._events import Record, TellInstances
+from firhook.services._events import AppendRecord, SendToInstances
 from standins.model import ModelCell, ModelRequest, now, pause, run_virtual
 from tests.services.scenes import step
 
@@ -550,12 +550,12 @@
         cell.drops = 0.0
         await cell.begin()
         lead, told = cell.lead(), []
-        lead.instance.bus.subscribe(TellInstances, told.append)
+        lead.instance.bus.subscribe(SendToInstances, told.append)
         others = [i for i in cell.instances.values() if i is not lead]
         keys = [f"cancel/{n:016x}" for n in range(3 * len(others))]
         asks = [
             others[n % len(others)].instance.bus.ask(
-                Record(KeyedRecord(key, bytes(size)), boot_time() + 2.0)
+                AppendRecord(KeyedRecord(key, bytes(size)), boot_time() + 2.0)
             )
             for n, key in enumerate(keys)
         ]
--- a/tests/services/test_left_askers.py
+++ b/tests/services/test_left_askers.py
@@ -8,7 +8,7 @@
 from firhook.clock import boot_time
 from firhook.errors import LogOutcomeUnknownError
 from firhook.platform.store import CELL_TOPIC, KeyedRecord
-from firhook.services._events import Record, StoreTime
+from firhook.services._events import AppendRecord, StoreLatency
 from standins.model import ModelCell, ModelRequest, pause, run_virtual
 
 JOB = b'{"specification":"x","steps":[{"count":1,"millicpus":1000}]}'
@@ -88,7 +88,7 @@
         found = cell.lead()
         bus = found.instance.bus
         cell.store.mode["*"] = mode
-        asking = asyncio.create_task(bus.ask(Record(record, boot_time() + 1.5)))
+        asking = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 1.5)))
         await pause(leaves_after_s)
         asking.cancel()
         await asyncio.wait({asking})
@@ -113,10 +113,10 @@
         follower = cell.lead().instance.services["follower"]
         cell.store.mode["*"] = "silent"
         record = KeyedRecord("cancel/x", b"\x01")
-        asking = asyncio.create_task(bus.ask(Record(record, boot_time() + 9.0)))
-        while not follower._own.pending:
+        asking = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 9.0)))
+        while not follower._own_appends.pending:
             await asyncio.sleep(0)
-        follower._own.pending[0].expire(LogOutcomeUnknownError("silent"))
+        follower._own_appends.pending[0].fail(LogOutcomeUnknownError("silent"))
         asking.cancel()
         await asyncio.wait({asking})
         assert asking.cancelled()
@@ -140,7 +140,7 @@
         async def fail(query):
             raise RuntimeError("on purpose")
 
-        lead.bus._handlers[StoreTime] = fail
+        lead.bus._handlers[StoreLatency] = fail
         lead._offer("stopping", boot_time())
         await pause(0.1)
 
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -29,7 +29,7 @@
         cell.store.transfer_s["i0", 1] = 12.0
         fresh = Instance(known.settings, known.platform, {"mesh": MeshService})
         began = now()
-        assert await fresh.services["mesh"]._keys() == keys
+        assert await fresh.services["mesh"]._read_or_create_keys() == keys
         assert now() - began < 0.1
         assert fresh.replica.peers["p"] == peer
         assert not fresh.replica.jobs
@@ -87,7 +87,7 @@
             [bytes((len(key),)) + key.encode() + again]
         )
         await pause(3.0)
-        await Registration(found.services["mesh"], "i2").withdraw()
+        await Registration(found.services["mesh"], "i2").unregister()
         await pause(3.0)
         for instance in cell.instances.values():
             assert "i2" not in instance.instance.replica.peers
--- a/tests/services/test_forgetting.py
+++ b/tests/services/test_retention.py
@@ -11,8 +11,8 @@
 from firhook.platform.instance import Bounds
 from firhook.platform.store import CELL_TOPIC
 from firhook.services._events import CatchUp
-from firhook.services._forgetting import _drop_everywhere
 from firhook.services._members import read_members
+from firhook.services._retention import _delete_everywhere
 from standins.model import ModelCell, ModelRequest, pause, run_virtual
 from tests.services.scenes import step
 
@@ -82,8 +82,8 @@
         found = cell.instances[behind]
         await cell.until(lambda: not kept(cell, job), 20.0)
         readers = found.instance.services["follower"]._readers
-        assert not readers[1].whole
-        await cell.until(lambda: readers[1].whole, 30.0)
+        assert not readers[1].is_complete
+        await cell.until(lambda: readers[1].is_complete, 30.0)
         cell.store.transfer_s.clear()
         await pause(5.0)
         await check_forgotten(cell, job, found, leads)
@@ -188,9 +188,9 @@
             replica.apply(1, key, None, partition)
         return True
 
-    asyncio.run(_drop_everywhere(replica, ["state/1"], drop))
+    asyncio.run(_delete_everywhere(replica, ["state/1"], drop))
     assert dropped == []
     away.clear()
-    asyncio.run(_drop_everywhere(replica, ["state/1"], drop))
+    asyncio.run(_delete_everywhere(replica, ["state/1"], drop))
     assert dropped == [(2, "state/1"), (0, "state/1")]
     assert replica.jobs == {}
