--- a/bench/_lab/_ablations.py
+++ b/bench/_lab/_ablations.py
@@ -88,7 +88,7 @@
 class NoBlindRenewal(Ablation, name="no_blind_renewal"):
     """Leases are renewed only while the lead can prove itself."""
 
-    constants: ClassVar = {"services._term.RENEW_BLIND_S": 0.0}
+    constants: ClassVar = {"services._term.RENEW_UNPROVEN_S": 0.0}
 
 
 class ShortLeases(Ablation, name="short_leases"):
@@ -100,7 +100,7 @@
 class NoSeats(RoundPolicy, name="no_seats"):
     """No seat at the adviser is kept for fast questions."""
 
-    seat_plan = OpenSeats
+    slot_plan = OpenSeats
 
 
 class _LatestStartRound(Round):
--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -73,7 +73,7 @@
     """A policy with rounds, and seats at the adviser, of classes of its own."""
 
     round: ClassVar[type[Round]] = Round
-    seat_plan: ClassVar[type[SeatPlan]] = SeatPlan
+    slot_plan: ClassVar[type[SeatPlan]] = SeatPlan
 
     def place(
         self,
@@ -87,7 +87,7 @@
 
     def decisions(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
-        return {"place": self.place, "seat_plan": self.seat_plan}
+        return {"place": self.place, "slot_plan": self.slot_plan}
 
 
 class _FirstComeRound(Round):
@@ -147,4 +147,4 @@
     """
 
     round = _FirstComeRound
-    seat_plan = OpenSeats
+    slot_plan = OpenSeats
--- a/src/firhook/services/_advising.py
+++ b/src/firhook/services/_adviser_client.py
@@ -17,34 +17,34 @@
 #: A step whose answer is so much later than it should be is asked about elsewhere.
 #: An instance that is gone costs a quote this much of its half second; answers
 #: through a peer come within 5 ms of when they should.
-_SLACK_S = 0.25
+_LATE_AFTER_S = 0.25
 #: An answer that is so much later does not come any more.
-_LOST_S = 3.0
+_LOST_AFTER_S = 3.0
 
 
-class Advising:
+class AdviserClient:
     """Carries out what the lead wants to know of the adviser.
 
     :param tickets: where answers go.
-    :param plan: keeps seats at the adviser for fast questions.
+    :param slot_plan: keeps seats at the adviser for fast questions.
     :param spawn: runs work beside the caller.
-    :param answered: called after each answer, or when none came.
+    :param on_answer: called after each answer, or when none came.
     """
 
     def __init__(
         self,
         instance: Instance,
         tickets: TicketBook,
-        plan: SeatPlan,
+        slot_plan: SeatPlan,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
-        answered: Callable[[], None],
+        on_answer: Callable[[], None],
     ) -> None:
         self._instance = instance
         self._tickets = tickets
         self._spawn = spawn
-        self._answered = answered
-        self._seats: dict[str, AdviserSeat] = {}
-        self._plan = plan
+        self._on_answer = on_answer
+        self._slots: dict[str, AdviserSeat] = {}
+        self._slot_plan = slot_plan
 
     def ask_all(self, wishes: list[AdviceWish], now: float) -> None:
         """Ask what is wished for, as far as instances are free to."""
@@ -53,8 +53,8 @@
             if not advice.wished:
                 # Once for each question, however often it is put off.
                 advice.wished = True
-                self._plan.note(_kind(wish), wish.cost_s, now)
-        self._plan.note_waiting((_kind(w), w.cost_s) for w in wishes)
+                self._slot_plan.note(_question_class(wish), wish.cost_s, now)
+        self._slot_plan.note_waiting((_question_class(w), w.cost_s) for w in wishes)
         for wish in sorted(wishes, key=lambda w: w.before):
             self._ask_one(wish, now)
 
@@ -62,67 +62,69 @@
         advice = self._tickets.of(wish.step)
         if advice.asking:
             return
-        seat = choose_seat(self._current_seats(), wish.cost_s, self._plan, now)
-        if seat is None:
+        slot = choose_seat(self._current_slots(), wish.cost_s, self._slot_plan, now)
+        if slot is None:
             return
         advice.asking = True
-        seat.busy_until = max(seat.busy_until, now) + wish.cost_s
-        self._spawn(self._ask(wish, seat))
+        slot.busy_until = max(slot.busy_until, now) + wish.cost_s
+        self._spawn(self._ask(wish, slot))
 
-    def _current_seats(self) -> list[AdviserSeat]:
+    def _current_slots(self) -> list[AdviserSeat]:
         peers = self._instance.replica.peers.values()
         # The records that an instance reads at its start fill its link for seconds,
         # and a question through it is lost in the meantime.
         names = {peer.name for peer in peers if not peer.reading}
         names.add(self._instance.settings.name)
-        if names != set(self._seats):
-            self._seats = {n: self._seats.get(n) or AdviserSeat(n) for n in names}
-        return list(self._seats.values())
+        if names != set(self._slots):
+            self._slots = {n: self._slots.get(n) or AdviserSeat(n) for n in names}
+        return list(self._slots.values())
 
-    async def _ask(self, wish: AdviceWish, seat: AdviserSeat) -> None:
+    async def _ask(self, wish: AdviceWish, slot: AdviserSeat) -> None:
         began = boot_time()
         names = tuple(name for name, _ in wish.workers)
-        expected_s = max(seat.busy_until - began, wish.cost_s)
+        expected_s = max(slot.busy_until - began, wish.cost_s)
         advice = self._tickets.of(wish.step)
         asking = asyncio.create_task(
-            self._ask_through(seat.name, wish.step.name, names, expected_s + _LOST_S)
+            self._ask_through(
+                slot.name, wish.step.name, names, expected_s + _LOST_AFTER_S
+            )
         )
         is_late = False
         try:
-            done, _ = await asyncio.wait({asking}, timeout=expected_s + _SLACK_S)
+            done, _ = await asyncio.wait({asking}, timeout=expected_s + _LATE_AFTER_S)
             if not done:
                 is_late = True
-                seat.note_late()
+                slot.note_late()
                 advice.asking = advice.wished = False
-                self._note_late(wish, seat)
+                self._note_late(wish, slot)
             answer = await asking
         finally:
             asking.cancel()
             if is_late:
-                seat.note_overdue_answer()
+                slot.note_overdue_answer()
             else:
                 advice.asking = advice.wished = False
         now = boot_time()
         if answer is None:
-            seat.failed(now)
+            slot.failed(now)
         else:
-            seat.answered()
+            slot.answered()
             # Tickets hold from when the adviser gives them.  Of an answer that is
             # late it is not known on which part of its way it was held up.
             advice.take(wish.workers, answer, min(now, began + expected_s))
             queue = wish.step.job.queue.name
             self._instance.meters.time("advice", queue, now - began)
-        self._answered()
+        self._on_answer()
 
-    def _note_late(self, wish: AdviceWish, seat: AdviserSeat) -> None:
+    def _note_late(self, wish: AdviceWish, slot: AdviserSeat) -> None:
         """Have a step asked about elsewhere whose answer is late.
 
         The answer is waited for all the same: what it says of workers holds, and it
         may be the first one.
         """
-        log("advice.late", level="warning", peer=seat.name, step=wish.step.name)
-        self._instance.meters.count("advice_late", seat.name)
-        self._answered()
+        log("advice.late", level="warning", peer=slot.name, step=wish.step.name)
+        self._instance.meters.count("advice_late", slot.name)
+        self._on_answer()
 
     async def _ask_through(
         self, instance: str, step: str, workers: tuple[str, ...], timeout_s: float
@@ -144,5 +146,5 @@
         return Advice({t.worker: t.ticket for t in reply.tickets}, reply.valid_s)
 
 
-def _kind(wish: AdviceWish) -> str:
+def _question_class(wish: AdviceWish) -> str:
     return wish.step.job.queue.address
--- a/src/firhook/services/_orders.py
+++ b/src/firhook/services/_order_sender.py
@@ -19,18 +19,18 @@
 _ORDER_RETRY_S = 0.1
 #: A start is repeated for so long; then it is stopped, which any worker that
 #: answers at all confirms.
-_START_TRIES_S = 2.5
+_START_RETRY_LIMIT_S = 2.5
 #: Starts that are under way at once at most.
-_STARTS_AT_ONCE = 24
+_MAX_CONCURRENT_STARTS = 24
 #: Urgent starts go before others that were due so much earlier.
-_HEAD_START_S = 0.4
+_URGENT_HEAD_START_S = 0.4
 #: A start that was not answered by then is not counted any more.
-_SLOT_S = 0.1
+_SLOT_HOLD_S = 0.1
 #: The members of a gang must all have started within this part of the time for
 #: which they wait for each other.
-_GANG_PART = 0.6
+_GANG_START_FRACTION = 0.6
 #: Answers to a start after which it is sent once more.
-_TRIED_AGAIN = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.LATE)
+_RETRIED_OUTCOMES = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.LATE)
 
 
 class OrderOwner(Protocol):
@@ -42,7 +42,7 @@
 
     fence: int
     lost: bool
-    book: Book
+    job_table: Book
     tickets: TicketBook
     workers: Workers
 
@@ -57,7 +57,7 @@
         """Take note that a worker has seen a higher fencing token."""
 
 
-class Orders:
+class OrderSender:
     """Carries out what the book says, each order until it is settled.
 
     :param spawn: runs work beside the caller.
@@ -77,10 +77,10 @@
         self._meters = meters
         self._spawn = spawn
         self._wake = wake
-        self._unanswered: dict[str, dict[tuple[str, int], float]] = {}
-        self._waiting: list[tuple[float, int, Run]] = []
-        self._count = 0
-        self._slots = _STARTS_AT_ONCE
+        self._unanswered_starts: dict[str, dict[tuple[str, int], float]] = {}
+        self._queued_starts: list[tuple[float, int, Run]] = []
+        self._queued_count = 0
+        self._free_slots = _MAX_CONCURRENT_STARTS
 
     def stop_late_starts(self, link: WorkerLink, now: float) -> None:
         """Stop in a worker's new life what may yet arrive from before.
@@ -90,28 +90,28 @@
         knows of neither, and run the task beside its next run.
         """
         term = self._term
-        starts = self._unanswered.pop(link.name, {})
+        starts = self._unanswered_starts.pop(link.name, {})
         for (task, number), sent_at in starts.items():
-            active = (task, number) in term.book.worker_runs.get(link.name, {})
+            active = (task, number) in term.job_table.worker_runs.get(link.name, {})
             if now - sent_at < LATE_ORDER_S and not active:
                 self._spawn(term.workers.stop(link.entry, task, number, term.fence))
 
-    def begin(self, runs: list[Run]) -> None:
+    def start_runs(self, runs: list[Run]) -> None:
         """Have runs started, whose assignment is stored now."""
         now = boot_time()
         for run in runs:
             run.stored = True
             if run.stopping or run not in run.task.runs:
                 # It was cancelled while its assignment was stored; nothing was sent.
-                self._term.book.void(run, "not_sent", now)
+                self._term.job_table.void(run, "not_sent", now)
                 continue
             urgent = run.task.step.job.queue.priority == 0
-            self._count += 1
-            due = now if urgent else now + _HEAD_START_S
-            heapq.heappush(self._waiting, (due, self._count, run))
-        self._send_waiting()
+            self._queued_count += 1
+            due = now if urgent else now + _URGENT_HEAD_START_S
+            heapq.heappush(self._queued_starts, (due, self._queued_count, run))
+        self._send_queued()
 
-    def _send_waiting(self) -> None:
+    def _send_queued(self) -> None:
         """Send the starts that wait, urgent ones with a head start, some at a time.
 
         Load: a step of a hundred tasks starts while short urgent ones come.  Harm:
@@ -119,36 +119,40 @@
         heartbeats, questions to the adviser and the starts of urgent work wait.  Sent
         after all that is urgent, they would wait without end, and their tickets end.
         """
-        while self._waiting and self._slots > 0:
-            _, _, run = heapq.heappop(self._waiting)
-            self._slots -= 1
+        while self._queued_starts and self._free_slots > 0:
+            _, _, run = heapq.heappop(self._queued_starts)
+            self._free_slots -= 1
             self._spawn(self._start(run))
 
-    def _free_slot(self) -> None:
-        self._slots += 1
-        self._send_waiting()
+    def _release_slot(self) -> None:
+        self._free_slots += 1
+        self._send_queued()
 
     async def _start(self, run: Run) -> None:
         # A worker that does not answer holds up other starts for a moment only.
         loop = asyncio.get_running_loop()
-        slot = loop.call_later(_SLOT_S, self._free_slot)
+        slot = loop.call_later(_SLOT_HOLD_S, self._release_slot)
         began = boot_time()
         try:
             await self._start_until_settled(run, began)
         finally:
             if not slot.cancelled() and slot.when() > loop.time():
                 slot.cancel()
-                self._free_slot()
+                self._release_slot()
 
     async def _start_until_settled(self, run: Run, began: float) -> None:
         step = run.task.step
-        limit_s = self._bounds.gang_s * _GANG_PART if step.spec.gang else _START_TRIES_S
+        limit_s = (
+            self._bounds.gang_s * _GANG_START_FRACTION
+            if step.spec.gang
+            else _START_RETRY_LIMIT_S
+        )
         while run in run.task.runs and not run.stopping and not self._term.lost:
             if boot_time() - began > limit_s:
-                self._give_up_start(run, "start_unanswered")
+                self._abandon_start(run, "start_unanswered")
                 return
             answer = await self._send_start(run)
-            if self._take_start_answer(run, answer, began):
+            if self._handle_start_answer(run, answer, began):
                 return
             await asyncio.sleep(_ORDER_RETRY_S)
 
@@ -168,22 +172,22 @@
         # one that may yet arrive.
         run.unanswered += 1
         run.sent_at = boot_time()
-        call = link.answers.sent(run.sent_at)
+        call = link.pending_calls.sent(run.sent_at)
         try:
             answer = await self._term.workers.start(link.entry, order)
         finally:
-            link.answers.over(call)
+            link.pending_calls.over(call)
         if answer.outcome is OrderOutcome.UNKNOWN:
-            link.doubted = True
-            self._unanswered.setdefault(run.worker, {})[run.key] = run.sent_at
+            link.suspected = True
+            self._unanswered_starts.setdefault(run.worker, {})[run.key] = run.sent_at
         else:
             run.unanswered -= 1
         if answer.life:
-            link.heard(answer.life, answer.clock_s, boot_time())
+            link.on_order_answer(answer.life, answer.clock_s, boot_time())
         self._meters.count("starts", answer.outcome.value)
         return answer
 
-    def _take_start_answer(self, run: Run, answer: OrderAnswer, began: float) -> bool:
+    def _handle_start_answer(self, run: Run, answer: OrderAnswer, began: float) -> bool:
         """Return whether the start is settled."""
         outcome = answer.outcome
         step = run.task.step
@@ -196,7 +200,7 @@
             if outcome is OrderOutcome.TAKEN:
                 self._note_started(run, began)
             return True
-        if outcome in _TRIED_AGAIN:
+        if outcome in _RETRIED_OUTCOMES:
             return False
         if outcome is OrderOutcome.FENCED:
             self._term.on_fenced(run.worker)
@@ -211,20 +215,20 @@
         )
         if outcome is OrderOutcome.NO_TICKET:
             self._term.tickets.of(step).drop_ticket(run.worker)
-        self._give_up_start(run, outcome.value)
+        self._abandon_start(run, outcome.value)
         return True
 
-    def _give_up_start(self, run: Run, reason: str) -> None:
+    def _abandon_start(self, run: Run, reason: str) -> None:
         if run not in run.task.runs:
             return
         if run.unanswered:
             # A copy of the start may yet be carried out; only a stop that is
             # answered makes sure that it is not.
-            self._term.book.stop(run, reason)
+            self._term.job_table.stop(run, reason)
             if run.task.step.spec.gang:
-                self._term.book.break_gang(run.task.step, run.number)
+                self._term.job_table.break_gang(run.task.step, run.number)
         else:
-            self._term.book.void(run, reason, boot_time())
+            self._term.job_table.void(run, reason, boot_time())
         self._wake()
 
     def _note_started(self, run: Run, began: float) -> None:
@@ -232,7 +236,7 @@
         now = boot_time()
         self._term.tickets.note_start(now - run.begun_at)
         run.begun_at = now
-        self._term.book.note_begun(run.task.step.job, now)
+        self._term.job_table.note_begun(run.task.step.job, now)
         self._meters.time("start", "", now - began)
         log(
             "run.started",
--- a/src/firhook/services/_placing.py
+++ b/src/firhook/services/_placer.py
@@ -11,14 +11,14 @@
 from firhook.decide.waiting import longest_waiting
 from firhook.logs import log
 from firhook.meters import Meters
-from firhook.services._advising import Advising
+from firhook.services._adviser_client import AdviserClient
 from firhook.services._worker_link import WorkerLink
 
 #: The weight of the newest urgent step in the mean of what they need: the last
 #: twenty or so count.
 _URGENT_WEIGHT = 0.1
 #: How often the lead tells what has waited longest.
-_TELL_EVERY_S = 1.0
+_LOG_INTERVAL_S = 1.0
 
 PlaceRound = Callable[
     [Book, dict[str, WorkerView], TicketBook, float],
@@ -26,69 +26,69 @@
 ]
 
 
-class Placing:
+class Placer:
     """Holds rounds: shows the workers to the decision, and carries out what it says.
 
     :param links: the workers that are known, by name.
-    :param decide: which waiting tasks start, and where.
+    :param place_round: which waiting tasks start, and where.
     """
 
     def __init__(
         self,
-        book: Book,
+        job_table: Book,
         links: Mapping[str, WorkerLink],
         speeds: SpeedBook,
         tickets: TicketBook,
-        advising: Advising,
+        adviser_client: AdviserClient,
         meters: Meters,
-        decide: PlaceRound,
+        place_round: PlaceRound,
     ) -> None:
-        self._book = book
+        self._job_table = job_table
         self._links = links
         self._speeds = speeds
         self._tickets = tickets
-        self._advising = advising
+        self._adviser_client = adviser_client
         self._meters = meters
-        self._decide = decide
+        self._place_round = place_round
         self._urgent_need_m = 0
         self._waits: dict[str, Wait] = {}
-        self._told_at = float("-inf")
-        self._known_free: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
+        self._logged_at = float("-inf")
+        self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
-    def rest(self) -> None:
+    def skip_round(self) -> None:
         """Place nothing in a round; why steps wait is not known then."""
         self._waits = {}
 
     def place(self, now: float) -> None:
         """Assign the tasks that may run now, and ask for the advice that is missing."""
         self._waits = {}
-        if not self._book.open_steps:
+        if not self._job_table.open_steps:
             return
         views = self._views(now)
-        result = self._decide(self._book, views, self._tickets, now)
+        result = self._place_round(self._job_table, views, self._tickets, now)
         for placement in result.placements:
             step = placement.step
-            for run in self._book.plan(step, placement.tasks, now):
+            for run in self._job_table.plan(step, placement.tasks, now):
                 run.ticket = self._tickets.text(step, run.worker)
             if step.job.queue.priority == 0:
-                self._note_urgent(step.spec.held.cpu_m)
+                self._update_urgent_need(step.spec.held.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
         self._waits = result.waits
-        self._advising.ask_all(result.wishes, now)
-        self._tickets.keep_only(self._book.jobs)
+        self._adviser_client.ask_all(result.wishes, now)
+        self._tickets.keep_only(self._job_table.jobs)
         took_s = boot_time() - now
         self._meters.time("round", "", took_s)
 
-    def tell_waiting(self, now: float) -> None:
+    def log_waiting(self, now: float) -> None:
         """Log what has waited longest, and why."""
-        if now - self._told_at < _TELL_EVERY_S:
+        if now - self._logged_at < _LOG_INTERVAL_S:
             return
-        self._told_at = now
-        answering = {n for n, link in self._links.items() if not link.doubted}
+        self._logged_at = now
+        answering = {n for n, link in self._links.items() if not link.suspected}
         waiting = longest_waiting(
-            self._book, self._waits, self._tickets, answering, now
+            self._job_table, self._waits, self._tickets, answering, now
         )
         if waiting:
             rows = [
@@ -105,16 +105,17 @@
             ]
             log("steps.waiting", steps=rows)
 
-    def _note_urgent(self, cpu_m: int) -> None:
+    def _update_urgent_need(self, cpu_m: int) -> None:
         """Keep a running mean of what urgent tasks need."""
         self._urgent_need_m += int((cpu_m - self._urgent_need_m) * _URGENT_WEIGHT)
 
     def _views(self, now: float) -> dict[str, WorkerView]:
         views = {}
         late = {
-            name: link.answers.late_since(now) for name, link in self._links.items()
+            name: link.pending_calls.late_since(now)
+            for name, link in self._links.items()
         }
-        dark = dark_zones(
+        cutoffs = dark_zones(
             (self._links[name].entry.zone, due)
             for name, due in late.items()
             if due is not None
@@ -123,13 +124,20 @@
             if late[name] is not None or not link.usable(now):
                 continue
             entry = link.entry
-            if dark and link.answered_at < dark.get(entry.zone, link.answered_at):
+            if cutoffs and link.last_reply_at < cutoffs.get(
+                entry.zone, link.last_reply_at
+            ):
                 continue
-            running = len(self._book.worker_runs.get(name, ()))
+            running = len(self._job_table.worker_runs.get(name, ()))
             if not link.health.accepts(running, now):
                 continue
             view = WorkerView(
-                name, link.life, entry.pool, entry.rack, entry.labels, self._free(link)
+                name,
+                link.incarnation,
+                entry.pool,
+                entry.rack,
+                entry.labels,
+                self._free(link),
             )
             view.slow = self._speeds.slow(name)
             view.urgent_cpu_m = urgent_room_m(entry.capacity.cpu_m, self._urgent_need_m)
@@ -143,9 +151,9 @@
         with each change of one of them.  Harm: worked out anew for all of them it
         was a quarter of a round, during which the lead does nothing else.
         """
-        use = self._book.worker_use.get(link.name, NOTHING)
-        known = self._known_free.get(link.name)
-        if known is None or known[0] is not link.entry or known[1] is not use:
+        use = self._job_table.worker_use.get(link.name, NOTHING)
+        cached = self._free_cache.get(link.name)
+        if cached is None or cached[0] is not link.entry or cached[1] is not use:
             free = link.entry.capacity.minus(use)
-            known = self._known_free[link.name] = (link.entry, use, free)
-        return known[2]
+            cached = self._free_cache[link.name] = (link.entry, use, free)
+        return cached[2]
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -14,88 +14,92 @@
 
 #: How long a worker may wait with its answer for a run to end.  Each look is
 #: priced; a worker in use answers several times a second in any case.
-_WAIT_S = 1.0
+_LONG_POLL_S = 1.0
 #: Between looks while ends wait to be stored: the worker answers such a look at
 #: once, as it lists ends that it was not yet told to forget.
-_UNSTORED_WAIT_S = 0.4
+_UNSTORED_PAUSE_S = 0.4
 #: After ends were stored, the next look waits so long, so that ends that come
 #: close together are told by one look: four a second and worker end, of which
 #: a fifth come within this of another.
-_GATHER_S = 0.06
+_BATCH_DELAY_S = 0.06
 #: Between tries at a worker that does not answer.
 _RETRY_S = 0.25
 #: A look at a worker that left the last one unanswered waits so long for an answer.
-_PROBE_S = 0.5
+_PROBE_TIMEOUT_S = 0.5
 #: A worker's clock may be 2% slow against ours.
-_DRIFT = 1.021
+_CLOCK_DRIFT_FACTOR = 1.021
 #: On top of a lease, for times that are rounded and answers on their way.
-_LAPSE_MARGIN_S = 0.15
+_EXPIRY_MARGIN_S = 0.15
 #: A worker without an entry is used so long: entries that lapsed while the
 #: store was away come back within two seconds of its return.
-_UNLISTED_S = 3.0
+_UNLISTED_GRACE_S = 3.0
 #: A worker that was silent for so long gets no new work.
-_SILENT_S = 2.4
+_SILENCE_LIMIT_S = 2.4
 
 
 class LinkOwner(Protocol):
     """What a link needs of the lead's term."""
 
     fence: int
-    book: Book
+    job_table: Book
     workers: Workers
 
     def may_renew(self) -> bool:
         """Return whether leases may be renewed."""
 
-    def on_look(self, link: "WorkerLink", look: Look, sent_at: float) -> None:
+    def on_poll(self, link: "WorkerLink", reply: Look, sent_at: float) -> None:
         """Take in a worker's answer."""
 
-    def on_life(self, link: "WorkerLink") -> None:
+    def on_incarnation(self, link: "WorkerLink") -> None:
         """Take note that a worker began a life that was not known."""
 
     def on_fenced(self, worker: str) -> None:
         """Take note that a worker has seen a higher fencing token."""
 
-    def on_dark(self, link: "WorkerLink") -> None:
+    def on_unreachable(self, link: "WorkerLink") -> None:
         """Take note that a worker stopped answering."""
 
 
 class WorkerLink:
     """Looks at one worker again and again.
 
-    :param lapse_at: when every lease that others may have given it has lapsed.
+    :param leases_expire_at: when every lease that others may have given it has lapsed.
     :ivar ack: all ends up to this number are stored.
     :ivar processed: all ends up to this number are in the book.
-    :ivar life: the life that answered last; 0 if none did.
-    :ivar answers: the calls to it that are not answered yet.
-    :ivar has_strays: whether runs go on there that the book does not know, left
+    :ivar incarnation: the life that answered last; 0 if none did.
+    :ivar pending_calls: the calls to it that are not answered yet.
+    :ivar has_orphaned_runs: whether runs go on there that the book does not know, left
         by orders that were carried out late.  What they take is not accounted
         for, so that nothing more is started beside them.
     """
 
     def __init__(
-        self, owner: LinkOwner, entry: WorkerEntry, lease_s: float, lapse_at: float
+        self,
+        owner: LinkOwner,
+        entry: WorkerEntry,
+        lease_s: float,
+        leases_expire_at: float,
     ) -> None:
         self.entry = entry
-        self.life = 0
+        self.incarnation = 0
         self.ack = 0
         self.processed = 0
         self.health = WorkerHealth()
-        self.lapse_at = lapse_at
+        self.leases_expire_at = leases_expire_at
         self.unlisted_at: float | None = None
         self.drain_ends_at: float | None = None
-        self.answered_at = float("-inf")
-        self.doubted = False
-        self.has_strays = False
+        self.last_reply_at = float("-inf")
+        self.suspected = False
+        self.has_orphaned_runs = False
         self._owner = owner
         self._lease_s = lease_s
-        self._clock_s = 0.0
-        self._clock_at = 0.0
-        self._dark = False
-        self._failed = False
+        self._worker_clock_s = 0.0
+        self._worker_clock_read_at = 0.0
+        self._unreachable = False
+        self._last_poll_failed = False
         self._lease_end_s = 0.0
-        self.answers = AnswerWatch()
-        self._stored = asyncio.Event()
+        self.pending_calls = AnswerWatch()
+        self._ends_stored = asyncio.Event()
 
     @property
     def name(self) -> str:
@@ -104,11 +108,19 @@
 
     def usable(self, now: float) -> bool:
         """Return whether new work may be sent there, if none of its answers is late."""
-        if not self.life or self.entry.draining or self.doubted or self.has_strays:
+        if (
+            not self.incarnation
+            or self.entry.draining
+            or self.suspected
+            or self.has_orphaned_runs
+        ):
             return False
-        if self.unlisted_at is not None and now - self.unlisted_at > _UNLISTED_S:
+        if self.unlisted_at is not None and now - self.unlisted_at > _UNLISTED_GRACE_S:
             return False
-        return now - self.answered_at < _SILENT_S and self.life >= self.entry.life
+        return (
+            now - self.last_reply_at < _SILENCE_LIMIT_S
+            and self.incarnation >= self.entry.life
+        )
 
     def lease_until(self) -> float:
         """Return the end of a lease given now, on the worker's clock.
@@ -118,45 +130,53 @@
         answers late gets no longer lease than it has.
         """
         now = boot_time()
-        if self._lease_end_s and self.answers.late_since(now) is not None:
+        if self._lease_end_s and self.pending_calls.late_since(now) is not None:
             return self._lease_end_s
-        until = self._clock_s + (now - self._clock_at) + self._lease_s
-        lapses_at = self._clock_at + (until - self._clock_s) * _DRIFT + _LAPSE_MARGIN_S
-        self.lapse_at = max(self.lapse_at, lapses_at)
+        until = (
+            self._worker_clock_s + (now - self._worker_clock_read_at) + self._lease_s
+        )
+        expires_at = (
+            self._worker_clock_read_at
+            + (until - self._worker_clock_s) * _CLOCK_DRIFT_FACTOR
+            + _EXPIRY_MARGIN_S
+        )
+        self.leases_expire_at = max(self.leases_expire_at, expires_at)
         self._lease_end_s = until
         return until
 
     def set_ack(self, number: int) -> None:
         """Take note that all ends up to a number are stored."""
         self.ack = max(self.ack, number)
-        self._stored.set()
+        self._ends_stored.set()
 
-    def heard(self, life: int, clock_s: float | None, now: float) -> None:
+    def on_order_answer(
+        self, incarnation: int, clock_s: float | None, now: float
+    ) -> None:
         """Take note of a worker's answer to an order."""
-        if life > self.life:
-            self._begin_life(life)
+        if incarnation > self.incarnation:
+            self._begin_incarnation(incarnation)
         if clock_s is not None:
-            self._clock_s, self._clock_at = clock_s, now
-        self.doubted = False
+            self._worker_clock_s, self._worker_clock_read_at = clock_s, now
+        self.suspected = False
 
-    def _begin_life(self, life: int) -> None:
+    def _begin_incarnation(self, incarnation: int) -> None:
         """Take note that the worker started anew; it numbers its ends from 1.
 
         Whichever answer tells so first, a look or an order's, the next look
         must not carry the old life's acknowledgement: the new life would forget
         ends that nobody has read, and tasks that are done would run again.
         """
-        if self.life:
-            log("worker.restarted", worker=self.name, life=life)
+        if self.incarnation:
+            log("worker.restarted", worker=self.name, life=incarnation)
         self._lease_end_s = 0.0
-        self.life, self.ack, self.processed = life, 0, 0
-        self._owner.on_life(self)
+        self.incarnation, self.ack, self.processed = incarnation, 0, 0
+        self._owner.on_incarnation(self)
 
     async def run(self) -> None:
         """Look at the worker until cancelled."""
         while True:
             try:
-                answered = await self._answered()
+                answered = await self._try_poll()
             except Exception as exc:
                 # Ended by it, the link would neither renew the worker's lease nor
                 # ever find that it lapsed, and its tasks would wait for good.
@@ -165,82 +185,88 @@
             if not answered:
                 await asyncio.sleep(_RETRY_S)
 
-    async def _answered(self) -> bool:
+    async def _try_poll(self) -> bool:
         """Look once, and return whether the worker answered as it should."""
         try:
-            await self._look_once()
+            await self._poll_once()
         except WorkerUnreachableError as exc:
-            self._note_silence(exc)
+            self._on_poll_failed(exc)
             return False
         except WorkerFencedError:
             self._owner.on_fenced(self.name)
             return False
         return True
 
-    async def _look_once(self) -> None:
+    async def _poll_once(self) -> None:
         sent_at = boot_time()
         # The tasks of a worker that is gone are free again only when the last
         # lease that it may have got has lapsed: renewed into the dark, it would
         # put that off.  One that lives answers the next look at once.
-        renews = self.life and not self._failed and self._owner.may_renew()
+        renews = (
+            self.incarnation and not self._last_poll_failed and self._owner.may_renew()
+        )
         until = self.lease_until() if renews else None
-        wait_s = 0.0 if not self.life or self._failed else _WAIT_S
+        wait_s = 0.0 if not self.incarnation or self._last_poll_failed else _LONG_POLL_S
         # After a failure the worker may be in a new life, whose ends have the
         # numbers of others; acknowledging none is always right.
-        ack = 0 if self._failed else self.ack
-        call = self.answers.sent(sent_at + wait_s)
-        looking = self._owner.workers.look(
+        ack = 0 if self._last_poll_failed else self.ack
+        call = self.pending_calls.sent(sent_at + wait_s)
+        polling = self._owner.workers.look(
             self.entry, self._owner.fence, ack, until, wait_s
         )
         try:
-            look = await self._in_time(looking)
+            reply = await self._await_reply(polling)
         finally:
-            self.answers.over(call)
-        self._failed = False
+            self.pending_calls.over(call)
+        self._last_poll_failed = False
         now = boot_time()
-        self._clock_s, self._clock_at = look.clock_s, now
-        if look.life < self.life:
+        self._worker_clock_s, self._worker_clock_read_at = reply.clock_s, now
+        if reply.life < self.incarnation:
             # An answer from before the restart that another one told of.
             return
-        if look.life > self.life:
-            self._begin_life(look.life)
-        self.answered_at = now
-        self.doubted = False
-        if self._dark:
-            self._dark = False
+        if reply.life > self.incarnation:
+            self._begin_incarnation(reply.life)
+        self.last_reply_at = now
+        self.suspected = False
+        if self._unreachable:
+            self._unreachable = False
             log("worker.regained", worker=self.name)
-        self._owner.on_look(self, look, sent_at)
-        if look.ended:
-            self.processed = max(self.processed, look.ended[-1].number)
+        self._owner.on_poll(self, reply, sent_at)
+        if reply.ended:
+            self.processed = max(self.processed, reply.ended[-1].number)
         if self.processed > self.ack:
-            await self._wait_stored()
-            await asyncio.sleep(_GATHER_S)
+            await self._wait_ends_stored()
+            await asyncio.sleep(_BATCH_DELAY_S)
 
-    async def _in_time(self, looking: Coroutine[Any, Any, Look]) -> Look:
+    async def _await_reply(self, polling: Coroutine[Any, Any, Look]) -> Look:
         """Wait for a look; not for long if the last one was not answered."""
         try:
-            async with asyncio.timeout(_PROBE_S if self._failed else None):
-                return await looking
+            async with asyncio.timeout(
+                _PROBE_TIMEOUT_S if self._last_poll_failed else None
+            ):
+                return await polling
         except TimeoutError as exc:
             raise WorkerUnreachableError(f"{self.name}: no answer") from exc
 
-    async def _wait_stored(self) -> None:
-        self._stored.clear()
+    async def _wait_ends_stored(self) -> None:
+        self._ends_stored.clear()
         try:
             # Unlike wait_for, this does not lose a cancelling that comes in the
             # moment in which the event is set: the link would never end.
-            async with asyncio.timeout(_UNSTORED_WAIT_S):
-                await self._stored.wait()
+            async with asyncio.timeout(_UNSTORED_PAUSE_S):
+                await self._ends_stored.wait()
         except TimeoutError:
             log("worker.ends_unstored", level="debug", worker=self.name)
 
-    def _note_silence(self, exc: Exception) -> None:
+    def _on_poll_failed(self, exc: Exception) -> None:
         now = boot_time()
-        self.doubted = self._failed = True
-        if not self._dark:
-            self._dark = True
+        self.suspected = self._last_poll_failed = True
+        if not self._unreachable:
+            self._unreachable = True
             log("worker.lost", level="warning", worker=self.name, error=str(exc)[:200])
-        self._owner.on_dark(self)
-        if now > self.lapse_at and self._owner.book.worker_runs.get(self.name):
+        self._owner.on_unreachable(self)
+        if now > self.leases_expire_at and self._owner.job_table.worker_runs.get(
+            self.name
+        ):
             log("worker.lapsed", level="warning", worker=self.name)
-            self._owner.book.lapse(self.name, now)
+            self._owner.job_table.lapse(self.name, now)
--- a/src/firhook/services/_worker_list.py
+++ b/src/firhook/services/_worker_list.py
@@ -10,25 +10,25 @@
 from firhook.platform.store import WORKER_TOPIC, Store
 from firhook.services._topic import TopicReader
 
-_WAIT_S = 1.0
+_LONG_POLL_S = 1.0
 #: Workers write about once in 1.5 s each, mostly nothing new.  News of a worker
 #: that leaves is acted on within the two seconds that are allowed for it.
-_GATHER_S = 0.25
+_BATCH_DELAY_S = 0.25
 _RETRY_S = 0.2
 
 
 class WorkerList:
     """Follows the list.
 
-    :param changed: called with a worker's name and its entry, ``None`` if it
+    :param on_change: called with a worker's name and its entry, ``None`` if it
         is no longer registered.
     """
 
     def __init__(
-        self, store: Store, changed: Callable[[str, WorkerEntry | None], None]
+        self, store: Store, on_change: Callable[[str, WorkerEntry | None], None]
     ) -> None:
-        self._topic = TopicReader(store, WORKER_TOPIC, _WAIT_S)
-        self._changed = changed
+        self._topic = TopicReader(store, WORKER_TOPIC, _LONG_POLL_S)
+        self._on_change = on_change
         self._names: set[str] = set()
 
     async def run(self) -> None:
@@ -41,21 +41,21 @@
                 await asyncio.sleep(_RETRY_S)
 
     async def _read(self) -> None:
-        records, whole = await self._topic.read()
+        records, is_complete = await self._topic.read()
         latest = {record.key: record.value for record in records}
-        if whole:
+        if is_complete:
             for name in self._names - set(latest):
-                self._take(name, None)
+                self._apply(name, None)
         for name, value in latest.items():
-            self._take(name, value)
-        await asyncio.sleep(_GATHER_S)
+            self._apply(name, value)
+        await asyncio.sleep(_BATCH_DELAY_S)
 
-    def _take(self, name: str, value: bytes | None) -> None:
+    def _apply(self, name: str, value: bytes | None) -> None:
         if value is None:
             self._names.discard(name)
-            self._changed(name, None)
+            self._on_change(name, None)
             return
         entry = decode_worker(name, value)
         if entry is not None:
             self._names.add(name)
-            self._changed(name, entry)
+            self._on_change(name, entry)
--- a/tests/services/test_copying.py
+++ b/tests/services/test_copying.py
@@ -106,8 +106,8 @@
                 _over_a_thin_link(cell, name)
         for name in ("i0", "i1", "i2", "i3"):
             cell.kill(name)
-        await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 20.0)
-        assert set(cell.lead().lead.term.book.jobs) >= set(jobs)
+        await cell.until(lambda: cell.lead() and cell.lead().lead.term.taken_over, 20.0)
+        assert set(cell.lead().lead.term.job_table.jobs) >= set(jobs)
         await cell.all_done(60.0)
         assert cell.checks.broken == []
 
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_handing_on.py
@@ -120,8 +120,8 @@
         assert len(holders) < len(cell.instances) - 1
         for name in [lead, *holders]:
             cell.kill(name)
-        await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 5.0)
-        book = cell.lead().lead.term.book
+        await cell.until(lambda: cell.lead() and cell.lead().lead.term.taken_over, 5.0)
+        book = cell.lead().lead.term.job_table
         assert all(book.jobs[job].accepted.spec.steps for job in jobs)
         assert sum(len(runs) for runs in book.worker_runs.values()) > 0
         await cell.all_done(40.0)
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -660,7 +660,7 @@
         await cell.begin()
         others = [i.lead for n, i in cell.instances.items() if n != cell.lead_name()]
         cell.drops = 1.0
-        await asyncio.gather(*(lead._stand(offered=True) for lead in others))
+        await asyncio.gather(*(lead._campaign(offered=True) for lead in others))
         leads = [i.lead for i in cell.instances.values()]
         epochs = [lead.term.fence for lead in leads if lead.term is not None]
         assert len(set(epochs)) == len(epochs)
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -82,8 +82,8 @@
         # The successor reaches no worker, so that it can only tell what is stored.
         for worker in cell.workers.values():
             worker.cut_from |= set(cell.instances) - {first}
-        orders = cell.instances[first].lead.term._orders
-        orders.begin = lambda run: cell.kill(first)
+        orders = cell.instances[first].lead.term._order_sender
+        orders.start_runs = lambda run: cell.kill(first)
         job, _ = await cell.submit([step(1)], work_s=5.0)
         await cell.until(lambda: led_by_another(cell, first), 5.0)
         await pause(0.5)
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -10,7 +10,7 @@
 import pytest
 
 from firhook.cell import Book
-from firhook.services._orders import Orders
+from firhook.services._order_sender import OrderSender
 from firhook.services._term import Term
 from firhook.services._worker_link import WorkerLink
 from standins.model import Trouble, run_virtual
@@ -30,7 +30,7 @@
     store = Term._store_changes
 
     async def hasty(self):
-        self._orders.begin(self.book.take_planned())
+        self._order_sender.start_runs(self.job_table.take_planned())
         await store(self)
 
     monkeypatch.setattr(Term, "_store_changes", hasty)
@@ -39,14 +39,14 @@
 
 
 def test_acknowledging_ends_before_they_are_stored_is_caught(monkeypatch):
-    look = Term.on_look
+    look = Term.on_poll
 
     def hasty(self, link, seen, sent_at):
         look(self, link, seen, sent_at)
         if seen.ended:
             link.set_ack(seen.ended[-1].number)
 
-    monkeypatch.setattr(Term, "on_look", hasty)
+    monkeypatch.setattr(Term, "on_poll", hasty)
     assert caught(("kill", "store_down")) is not None
 
 
@@ -68,7 +68,7 @@
 
 def _short_lease(self):
     until = WorkerLink._plain_lease_until(self)
-    self.lapse_at = 0.0
+    self.leases_expire_at = 0.0
     return until
 
 
@@ -76,13 +76,13 @@
 
 
 def test_forgetting_a_start_without_an_answer_is_caught(monkeypatch):
-    give_up = Orders._give_up_start
+    give_up = OrderSender._abandon_start
 
     def careless(self, run, reason):
         run.unanswered = 0
         give_up(self, run, reason)
 
-    monkeypatch.setattr(Orders, "_give_up_start", careless)
+    monkeypatch.setattr(OrderSender, "_abandon_start", careless)
     assert caught(("orders_late", "worker_cut")) is not None
 
 
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -90,14 +90,14 @@
     neither ended nor ran elsewhere.
     """
     failures = [RuntimeError("once")]
-    on_dark = Term.on_dark
+    on_unreachable = Term.on_unreachable
 
     def fail_once(self, link):
         if failures:
             raise failures.pop()
-        on_dark(self, link)
+        on_unreachable(self, link)
 
-    monkeypatch.setattr(Term, "on_dark", fail_once)
+    monkeypatch.setattr(Term, "on_unreachable", fail_once)
 
     async def play():
         cell = ModelCell(instances=1, workers=1)
