--- a/src/firhook/services/__init__.py
+++ b/src/firhook/services/__init__.py
@@ -1,1 +1,1 @@
-"""The services of an instance: plug-ins with I/O, thin over cell and decide."""
+"""The services of an instance: plug-ins that do I/O around ``cell`` and ``decide``."""
--- a/src/firhook/services/_adviser_client.py
+++ b/src/firhook/services/_adviser_client.py
@@ -1,4 +1,4 @@
-"""Asking the adviser, through whichever instance it answers first."""
+"""The lead's questions to the adviser, sent through the instance that is fastest."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,21 +14,21 @@
 from firhook.logs import log
 from firhook.services._events import AskInstance
 
-#: A step whose answer is so much later than it should be is asked about elsewhere.
-#: An instance that is gone costs a quote this much of its half second; answers
-#: through a peer come within 5 ms of when they should.
+#: If an answer is overdue by more than this, the question is repeated through
+#: another instance.  A quote has half a second, of which an unreachable instance
+#: costs this much.  Answers through a peer arrive within 5 ms of the expected time.
 _LATE_AFTER_S = 0.25
-#: An answer that is so much later does not come any more.
+#: An answer that is overdue by more than this is considered lost.
 _LOST_AFTER_S = 3.0
 
 
 class AdviserClient:
-    """Carries out what the lead wants to know of the adviser.
+    """Asks the adviser the lead's questions.
 
-    :param tickets: where answers go.
-    :param slot_plan: keeps seats at the adviser for fast questions.
-    :param spawn: runs work beside the caller.
-    :param on_answer: called after each answer, or when none came.
+    :param tickets: stores the answers.
+    :param slot_plan: reserves adviser slots for fast questions.
+    :param spawn: starts a coroutine as a background task.
+    :param on_answer: called after each answer, and when an answer is late or lost.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
         self._slot_plan = slot_plan
 
     def ask_all(self, wishes: list[AdviceWish], now: float) -> None:
-        """Ask what is wished for, as far as instances are free to."""
+        """Ask the most urgent questions first, as long as adviser slots are free."""
         for wish in wishes:
             advice = self._tickets.of(wish.step)
             if not advice.wished:
-                # Once for each question, however often it is put off.
+                # Counted once per question, however often it is deferred.
                 advice.wished = True
                 self._slot_plan.note(_question_class(wish), wish.cost_s, now)
         self._slot_plan.note_waiting((_question_class(w), w.cost_s) for w in wishes)
@@ -71,8 +71,8 @@
 
     def _current_slots(self) -> list[AdviserSeat]:
         peers = self._instance.replica.peers.values()
-        # The records that an instance reads at its start fill its link for seconds,
-        # and a question through it is lost in the meantime.
+        # The records that a starting instance reads fill its network link for
+        # seconds.  Questions through it would be lost meanwhile.
         names = {peer.name for peer in peers if not peer.reading}
         names.add(self._instance.settings.name)
         if names != set(self._slots):
@@ -109,18 +109,18 @@
             slot.failed(now)
         else:
             slot.answered()
-            # Tickets hold from when the adviser gives them.  Of an answer that is
-            # late it is not known on which part of its way it was held up.
+            # Tickets are valid from the moment at which the adviser issues them.
+            # It is unknown where a late answer was delayed, so that its tickets
+            # count from the expected time of the answer.
             advice.take(wish.workers, answer, min(now, began + expected_s))
             queue = wish.step.job.queue.name
             self._instance.meters.time("advice", queue, now - began)
         self._on_answer()
 
     def _note_late(self, wish: AdviceWish, slot: AdviserSeat) -> None:
-        """Have a step asked about elsewhere whose answer is late.
+        """Allow a late question to be asked again through another instance.
 
-        The answer is waited for all the same: what it says of workers holds, and it
-        may be the first one.
+        The late answer is still awaited: it is valid, and it may arrive first.
         """
         log("advice.late", level="warning", peer=slot.name, step=wish.step.name)
         self._instance.meters.count("advice_late", slot.name)
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -1,4 +1,4 @@
-"""Stands for the lead of the cell, leads it, and hands it over."""
+"""Campaigns for the lead of the cell, leads it and hands it over."""
 
 import asyncio
 import contextlib
@@ -50,59 +50,62 @@
 from firhook.services._term import PROOF_S, Term
 from firhook.tasks import log_failure
 
-#: How often an instance looks whether the lead is its own business.
+#: The interval at which an instance checks whether it must act on the lead.
 _TICK_S = 0.1
-#: How often the lead tells the others that it leads.
+#: The interval at which the lead announces itself to the other instances.
 _ANNOUNCE_INTERVAL_S = 0.1
-#: The longest that the claim of the lead may take at the store.
+#: The time limit for the append that claims the lead.
 _CLAIM_TIMEOUT_S = 1.0
-#: An offered lead still writes until it is told that its offer is taken, and a
-#: claim holds only if nothing was written since the log was read.
+#: An instance that accepted an offer may have to repeat its claim: the old lead
+#: writes until it learns that its offer was accepted, and a claim fails if
+#: anything was written since the log was read.
 _CLAIM_ATTEMPTS = 6
-#: A new lead that has not begun after this leaves the cell to another one.  Its
-#: four calls to a store that answers 60 times slower than its 4 ms take 1.5 s.
+#: A new lead steps down if its takeover lasts longer than this.  The takeover's
+#: four calls take 1.5 s at a store that is 60 times slower than its usual 4 ms.
 _TAKEOVER_LIMIT_S = 3.0
-#: One that reads the jobs for it over a thin link may take so long: others that
-#: could lead have to read them too.
+#: The limit while the takeover reads the jobs, which is slow over a link of low
+#: bandwidth.  It is longer because other candidates must read the jobs as well.
 _READING_LIMIT_S = 12.0
-#: An instance whose takeover failed leaves the lead to others for so long.
+#: An instance whose takeover failed is not a candidate for this time.
 _FAILED_TAKEOVER_PAUSE_S = 6.0
-#: An instance that was replaced does not stand before its successor is heard.
+#: A superseded lead is not a candidate until it can have heard from its successor.
 _SUPERSEDED_PAUSE_S = 0.5
-#: The lead offers itself to a successor if the store took none of its appends for
-#: so long.  It proves itself every 0.2 s.
+#: The lead offers the cell to a successor if the store accepted none of its appends
+#: for this time.  It appends a proof every 0.2 s.
 _UNPROVEN_OFFER_S = 0.4
-#: Between offers while nobody takes the lead.
+#: The interval between offers while no instance accepts.
 _OFFER_INTERVAL_S = 0.5
-#: Instances that are offered the lead at most, and how long each may take to answer.
+#: The maximum number of instances asked per offer, and the timeout of each.
 _MAX_OFFERS = 4
 _OFFER_TIMEOUT_S = 0.2
-#: A stopping lead waits for a store that takes longer than this to be faster again,
-#: for this part of the time that the platform gives it to stop.
+#: A stopping lead delays its offer while a call to the store takes longer than
+#: ``_SLOW_STORE_S``, for at most this fraction of the time it has to stop.
 _SLOW_STORE_S = 0.05
 _STOP_WAIT_FRACTION = 0.5
-#: A lead whose offer was taken writes nothing for so long.
+#: A lead stops writing for this time after its offer was accepted, so that the
+#: successor's claim succeeds.
 _HANDOVER_PAUSE_S = 0.5
-#: The lead moves to a stronger instance only after it led, and the stronger one
-#: was ready, for so long: at a start of all, the strong ones are not the first.
+#: The lead moves to a stronger instance only after it has led, and the stronger one
+#: has been ready, for this time: when all instances start together, the strong
+#: ones are not ready first.
 _MIN_SETTLED_S = 2.0
-#: How often a stronger instance says that it is there.
+#: The interval at which a stronger instance notifies the lead.
 _STRONGER_INTERVAL_S = 1.0
 
 
 @register_service("lead")
 class Lead(InstanceService):
-    """Stands for the lead when it is due, and leads the cell.
+    """Campaigns for the lead when it is due, and leads the cell.
 
-    :cvar place: decides which waiting tasks start, and where.
-    :cvar slot_plan: makes what keeps seats at the adviser for fast questions.
+    :cvar place: decides which waiting tasks start, and on which workers.
+    :cvar slot_plan: the class that reserves adviser slots for fast questions.
     """
 
     place = staticmethod(place_round)
     slot_plan = SeatPlan
 
     def wire(self) -> None:
-        """Take in what the lead goes by."""
+        """Initialise the state and subscribe to what the lead depends on."""
         self._election = Election(self.settings.name)
         self._act_until = float("-inf")
         self._drained = False
@@ -124,7 +127,7 @@
         self.bus.answer(HeardLead, self._current_lead)
 
     async def on_started(self) -> None:
-        """Begin to listen for the lead."""
+        """Serve messages of other instances, and start the main loop."""
         self.bus.publish(ServeInstance(AdviceAsk, self._serve_advice))
         self.bus.publish(ServeInstance(LeadAlive, self._on_alive))
         self.bus.publish(ServeInstance(LeadOffer, self._on_offer))
@@ -148,27 +151,33 @@
         tickets = tuple(WorkerTicket(w, t) for w, t in advice.tickets.items())
         return AdviceReply(True, tickets, advice.valid_s)
 
-    # What proves the lead.
+    # Proof of leadership.
 
     def may_act(self) -> bool:
-        """Return whether this instance leads, as far as it can know now."""
+        """Return whether this instance may act as the lead now.
+
+        It may for a limited time after the last append that the store accepted.
+        """
         return boot_time() < self._act_until
 
     def note_proof(self, sent_at: float) -> None:
-        """Take note that the store took an append under the term's epoch.
+        """Record that the store accepted an append under the term's epoch.
+
+        A successor sets its own epoch at the store before it sends any order, so
+        no successor had begun when the append was sent.  A successor counts the
+        leases of its predecessors from its own start plus ``PROOF_S``, which covers
+        orders sent within ``PROOF_S`` after the proof.
 
-        A successor has its own epoch set before it gives any order; so none had
-        begun when the append was sent.  It counts every lease from when it began,
-        so that orders which follow the proof within this time are accounted for.
+        :param sent_at: when the append was sent, on the boot clock.
         """
         if self.term is not None and not self.term.lost and not self._drained:
             self._act_until = max(self._act_until, sent_at + PROOF_S)
 
     def seconds_since_proof(self) -> float:
-        """Return how long ago the last append was sent that the store took."""
+        """Return the seconds since the last append that the store accepted was sent."""
         return boot_time() - (self._act_until - PROOF_S)
 
-    # Who leads.
+    # Tracking the lead.
 
     def _on_lead_seen(self, event: LeadSeen) -> None:
         self._election.read(event.epoch, event.version, boot_time())
@@ -187,7 +196,7 @@
         return PassedOn()
 
     def _step_down_if_superseded(self, epoch: int) -> None:
-        """Give up at once if another lead has begun."""
+        """Step down at once if a lead with a higher epoch exists."""
         if self.term is not None and epoch > self.term.fence:
             self.term.step_down("replaced", by_epoch=epoch)
             self._wake.set()
@@ -201,8 +210,8 @@
     async def _can_lead(self) -> bool:
         """Return whether this instance could lead.
 
-        Nothing is to be led before there is something to lead by; and who the
-        others are is read from the cell's records.
+        It needs a configuration, its own entry among the registered instances, and
+        a replica that follows the cell's records.
         """
         if self.instance.stopping or self.instance.config.config is None:
             return False
@@ -245,10 +254,13 @@
         if last is not None:
             self._election.know(last.epoch, last.name)
 
-    # Taking the lead.
+    # Claiming the lead.
 
     async def _campaign(self, offered: bool) -> None:
-        """Claim the lead, and begin a term if the claim holds."""
+        """Claim the lead, and begin a term if the claim succeeds.
+
+        :param offered: whether the present lead offered the cell to this instance.
+        """
         began = boot_time()
         log("lead.standing", offered=offered, last=self._election.lead)
         epoch = None
@@ -267,12 +279,13 @@
         self.announce()
 
     async def _claim(self, offered: bool) -> int | None:
-        """Write that this instance leads; return the epoch if it holds.
+        """Append a claim of the lead; return its epoch, or ``None`` if it failed.
 
-        Of several that stand at once one gets the epoch: the append holds only if
-        nothing was written since the log was read.  What was read also tells
-        whether the lead is alive after all, and only its messages got lost; and
-        whether another one has the epoch, under which two would start each task.
+        Of several concurrent candidates only one gets the epoch: the append
+        succeeds only if nothing was written since the log was read.  Reading the
+        log first also shows whether the lead is alive and only its messages were
+        lost, and whether another candidate has claimed the epoch.  Two leads with
+        one epoch would both start each task.
         """
         partition, known = LEAD_PARTITIONS[0], self._election.epoch
         end = await self.bus.ask(ReadToEnd(partition))
@@ -285,8 +298,8 @@
             return None
         epoch = self._election.epoch + 1
         name, incarnation = self.settings.name, self.instance.incarnation
-        mine = LeadRecord(name, incarnation, epoch, state_version(epoch, 0))
-        record = KeyedRecord(LEAD_KEY, encode_record(mine))
+        lead_record = LeadRecord(name, incarnation, epoch, state_version(epoch, 0))
+        record = KeyedRecord(LEAD_KEY, encode_record(lead_record))
         try:
             await self.store.append(
                 CELL_TOPIC,
@@ -300,10 +313,12 @@
         return epoch
 
     async def _on_offer(self, msg: LeadOffer) -> LeadOfferReply:
-        """Take the cell over, if the store serves this instance.
+        """Accept an offer of the lead if this instance can lead.
 
-        An offer may have waited behind a cut while another instance took the lead;
-        taken up then, it would move the lead for nothing.
+        An offer of an older epoch is refused: it was delayed by a network
+        partition while another instance took the lead, and accepting it would move
+        the lead for no reason.  So is any offer while the store does not serve this
+        instance.
         """
         if msg.epoch < self._election.epoch or self.term is not None:
             return LeadOfferReply(False)
@@ -316,15 +331,15 @@
         self._wake.set()
         return LeadOfferReply(True)
 
-    # Keeping the lead, and handing it over.
+    # Keeping the lead and handing it over.
 
     def _maintain_lead(self, term: Term, now: float) -> None:
-        """Say that this instance leads, and see whether another one should."""
+        """Announce the lead, and step down or offer it if another should lead."""
         if now - self._announced_at >= _ANNOUNCE_INTERVAL_S:
             self.announce()
         if not term.taken_over:
             if self._stronger_peer_ready:
-                # It has all that a lead goes by, or reads it sooner.
+                # The stronger instance has the jobs, or reads them sooner.
                 self._election.rest(now + _FAILED_TAKEOVER_PAUSE_S)
                 term.step_down("stronger_instance", doing=term.takeover_stage)
             elif now - self._term_began_at > _takeover_limit_s(term):
@@ -340,7 +355,7 @@
             self._start_offer("stronger_instance", now)
 
     def announce(self) -> None:
-        """Tell the others that this instance leads."""
+        """Broadcast that this instance leads."""
         term, now = self.term, boot_time()
         if term is None or term.lost:
             return
@@ -351,28 +366,31 @@
         self.bus.publish(LeadSpoke(message))
 
     def _start_offer(self, reason: str, now: float) -> None:
-        """Offer the lead to others, unless that is under way or was tried lately."""
-        under_way = self._offer_task is not None and not self._offer_task.done()
-        if under_way or now - self._last_offer_at < _OFFER_INTERVAL_S:
+        """Start an offer of the lead, unless one is under way or was made recently."""
+        in_progress = self._offer_task is not None and not self._offer_task.done()
+        if in_progress or now - self._last_offer_at < _OFFER_INTERVAL_S:
             return
         self._last_offer_at = now
         self._offer_task = asyncio.create_task(self._offer_lead(reason))
         self._offer_task.add_done_callback(log_failure("lead.offer_failed"))
 
     async def _offer_lead(self, reason: str) -> bool:
-        """Offer the lead to the next in line; return whether one takes it."""
+        """Offer the lead to candidates in turn; return whether one accepted it.
+
+        An offer also counts as accepted if the term ended meanwhile.
+        """
         store_s = await self.bus.ask(StoreTime())
         if reason == "unproven" and store_s < math.inf:
-            # The store answers here; another lead would fare no better.
+            # The store answers this instance, so another lead would do no better.
             return False
         if reason == "stopping" and store_s > _SLOW_STORE_S:
-            stops_for_s = boot_time() - self._stop_began_at
-            if stops_for_s < self.settings.bounds.stop_s * _STOP_WAIT_FRACTION:
-                # A takeover is six calls in turn.  While the store is 36 times
-                # slower than usual nothing would start for a second.
+            stopping_for_s = boot_time() - self._stop_began_at
+            if stopping_for_s < self.settings.bounds.stop_s * _STOP_WAIT_FRACTION:
+                # A takeover makes six calls one after the other.  With a store
+                # that is 36 times slower than usual, no task starts for a second.
                 return False
-        line = line_of_succession(candidates(self.replica), self.settings.name)
-        names = [c.name for c, _ in line if c.name != self.settings.name]
+        succession = line_of_succession(candidates(self.replica), self.settings.name)
+        names = [c.name for c, _ in succession if c.name != self.settings.name]
         for name in names[:_MAX_OFFERS]:
             term = self.term
             if term is None or term.lost:
@@ -391,7 +409,7 @@
         return False
 
     def _announce_strength(self, now: float) -> None:
-        """Tell a lead that is much weaker that this instance is there."""
+        """Notify a much weaker lead that this instance is ready."""
         lead = self.replica.peers.get(self._election.lead)
         if lead is None or not much_stronger(self.settings.strength, lead.strength):
             return
@@ -418,11 +436,14 @@
             await term.end()
 
     async def drain(self) -> None:
-        """Give no more orders; successors were asked since the stop began."""
+        """End the term and send no more orders.
+
+        The lead has been offered to successors since the stop began.
+        """
         self._drained = True
         await self._end_term("stopping")
 
 
 def _takeover_limit_s(term: Term) -> float:
-    """Return how long a takeover may take that does what this one does now."""
+    """Return the time limit of a takeover in its present stage, in seconds."""
     return _READING_LIMIT_S if term.takeover_stage == "reading" else _TAKEOVER_LIMIT_S
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -1,4 +1,4 @@
-"""The orders of a lead's term to the workers: starts and stops of runs."""
+"""Sends the orders of a lead's term to the workers: starts and stops of runs."""
 
 import asyncio
 import heapq
@@ -15,29 +15,29 @@
 from firhook.platform.workers import Workers
 from firhook.services._worker_link import WorkerLink
 
-#: An order that got no answer is repeated after this.
+#: The delay before an order without an answer is repeated.
 _ORDER_RETRY_S = 0.1
-#: A start is repeated for so long; then it is stopped, which any worker that
-#: answers at all confirms.
+#: A start is repeated for this time.  After that the run is stopped, which every
+#: worker that answers at all confirms.
 _START_RETRY_LIMIT_S = 2.5
-#: Starts that are under way at once at most.
+#: The maximum number of starts in flight.
 _MAX_CONCURRENT_STARTS = 24
-#: Urgent starts go before others that were due so much earlier.
+#: Urgent starts precede others that were queued up to this much earlier.
 _URGENT_HEAD_START_S = 0.4
-#: A start that was not answered by then is not counted any more.
+#: A start without an answer stops counting as in flight after this.
 _SLOT_HOLD_S = 0.1
-#: The members of a gang must all have started within this part of the time for
-#: which they wait for each other.
+#: All members of a gang must have started within this fraction of the time for which
+#: they wait for each other.
 _GANG_START_FRACTION = 0.6
-#: Answers to a start after which it is sent once more.
+#: The outcomes after which a start is sent again.
 _RETRIED_OUTCOMES = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.LATE)
 
 
 class OrderOwner(Protocol):
-    """What orders need of the lead's term.
+    """What an order sender needs of the lead's term.
 
     :ivar fence: the fencing token of every order.
-    :ivar lost: whether another lead has been seen.
+    :ivar lost: whether the term is over, or is ending.
     """
 
     fence: int
@@ -48,20 +48,20 @@
 
     @property
     def links(self) -> Mapping[str, WorkerLink]:
-        """The workers that are known, by name."""
+        """The known workers, by name."""
 
     def may_act(self) -> bool:
-        """Return whether orders may be given at this moment."""
+        """Return whether orders may be sent now."""
 
     def on_fenced(self, worker: str) -> None:
-        """Take note that a worker has seen a higher fencing token."""
+        """Handle that a worker has seen a higher fencing token."""
 
 
 class OrderSender:
-    """Carries out what the book says, each order until it is settled.
+    """Sends the starts and stops of runs, each until it is settled.
 
-    :param spawn: runs work beside the caller.
-    :param wake: called after a change that a round should see.
+    :param spawn: starts a coroutine as a background task.
+    :param wake: called after a change that needs a round.
     """
 
     def __init__(
@@ -83,11 +83,11 @@
         self._free_slots = _MAX_CONCURRENT_STARTS
 
     def stop_late_starts(self, link: WorkerLink, now: float) -> None:
-        """Stop in a worker's new life what may yet arrive from before.
+        """Stop starts to a worker's previous incarnation that may still arrive.
 
-        A start that got no answer was stopped, or outlived its lease, in the
-        worker's last life.  Carried out late it would reach the new one, which
-        knows of neither, and run the task beside its next run.
+        A start without an answer was stopped in the previous incarnation, or its
+        lease expired there.  The new incarnation knows of neither.  If the start
+        arrives late, it would run the task beside the task's next run.
         """
         term = self._term
         starts = self._unanswered_starts.pop(link.name, {})
@@ -97,12 +97,12 @@
                 self._spawn(term.workers.stop(link.entry, task, number, term.fence))
 
     def start_runs(self, runs: list[Run]) -> None:
-        """Have runs started, whose assignment is stored now."""
+        """Queue the starts of runs whose assignments are now stored."""
         now = boot_time()
         for run in runs:
             run.stored = True
             if run.stopping or run not in run.task.runs:
-                # It was cancelled while its assignment was stored; nothing was sent.
+                # Cancelled while its assignment was being stored; nothing was sent.
                 self._term.job_table.void(run, "not_sent", now)
                 continue
             urgent = run.task.step.job.queue.priority == 0
@@ -112,12 +112,13 @@
         self._send_queued()
 
     def _send_queued(self) -> None:
-        """Send the starts that wait, urgent ones with a head start, some at a time.
+        """Send queued starts, a limited number at a time and urgent ones early.
 
-        Load: a step of a hundred tasks starts while short urgent ones come.  Harm:
-        sent all at once its starts fill the link and the loop for half a second;
-        heartbeats, questions to the adviser and the starts of urgent work wait.  Sent
-        after all that is urgent, they would wait without end, and their tickets end.
+        A step of a hundred tasks may start while short urgent ones arrive.  Sent all
+        at once, its starts would occupy the network link and the event loop for half
+        a second, during which heartbeats, questions to the adviser and urgent starts
+        wait.  Sent only after all urgent starts, they could wait without end, and
+        their tickets would expire.
         """
         while self._queued_starts and self._free_slots > 0:
             _, _, run = heapq.heappop(self._queued_starts)
@@ -129,7 +130,7 @@
         self._send_queued()
 
     async def _start(self, run: Run) -> None:
-        # A worker that does not answer holds up other starts for a moment only.
+        # A worker that does not answer delays other starts only briefly.
         loop = asyncio.get_running_loop()
         slot = loop.call_later(_SLOT_HOLD_S, self._release_slot)
         began = boot_time()
@@ -168,8 +169,8 @@
             checkpoint=step.start_checkpoint(run.task),
             ticket=run.ticket,
         )
-        # Counted before it is sent: whoever looks meanwhile must take it for
-        # one that may yet arrive.
+        # Counted before it is sent, so that other tasks treat it as one that may
+        # still arrive.
         run.unanswered += 1
         run.sent_at = boot_time()
         call = link.pending_calls.sent(run.sent_at)
@@ -188,11 +189,11 @@
         return answer
 
     def _handle_start_answer(self, run: Run, answer: OrderAnswer, began: float) -> bool:
-        """Return whether the start is settled."""
+        """Handle the answer to a start; return whether the start is settled."""
         outcome = answer.outcome
         step = run.task.step
         if outcome in (OrderOutcome.TAKEN, OrderOutcome.OLD):
-            # Every earlier copy of this start is void now: the run is there.
+            # The worker has the run, so that earlier copies of the start are void.
             run.unanswered = 0
             run.settled_at = boot_time()
             if answer.life > run.life:
@@ -222,8 +223,8 @@
         if run not in run.task.runs:
             return
         if run.unanswered:
-            # A copy of the start may yet be carried out; only a stop that is
-            # answered makes sure that it is not.
+            # A copy of the start may still be carried out.  Only a confirmed stop
+            # rules that out.
             self._term.job_table.stop(run, reason)
             if run.task.step.spec.gang:
                 self._term.job_table.break_gang(run.task.step, run.number)
@@ -247,7 +248,7 @@
         )
 
     async def stop(self, run: Run) -> None:
-        """Order a run to be stopped until the worker confirms it."""
+        """Send a stop of a run until the worker confirms it."""
         log(
             "run.stopping",
             task=run.task.name,
--- a/src/firhook/services/_placer.py
+++ b/src/firhook/services/_placer.py
@@ -1,4 +1,4 @@
-"""Placing: which worker gets which task of a lead's term, round by round."""
+"""The placement rounds of a lead's term, which assign tasks to workers."""
 
 from collections.abc import Callable, Mapping
 
@@ -14,10 +14,10 @@
 from firhook.services._adviser_client import AdviserClient
 from firhook.services._worker_link import WorkerLink
 
-#: The weight of the newest urgent step in the mean of what they need: the last
-#: twenty or so count.
+#: The weight of the newest urgent step in the running mean of their CPU need.  About
+#: the last twenty steps count.
 _URGENT_WEIGHT = 0.1
-#: How often the lead tells what has waited longest.
+#: The interval at which the lead logs the steps that have waited longest.
 _LOG_INTERVAL_S = 1.0
 
 PlaceRound = Callable[
@@ -27,10 +27,10 @@
 
 
 class Placer:
-    """Holds rounds: shows the workers to the decision, and carries out what it says.
+    """Runs placement rounds and carries out their decisions.
 
-    :param links: the workers that are known, by name.
-    :param place_round: which waiting tasks start, and where.
+    :param links: the known workers, by name.
+    :param place_round: decides which waiting tasks start, and on which workers.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
         self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
     def skip_round(self) -> None:
-        """Place nothing in a round; why steps wait is not known then."""
+        """Skip a round, after which the reasons why steps wait are unknown."""
         self._waits = {}
 
     def place(self, now: float) -> None:
-        """Assign the tasks that may run now, and ask for the advice that is missing."""
+        """Assign the tasks that may run now, and ask the adviser about others."""
         self._waits = {}
         if not self._job_table.open_steps:
             return
@@ -82,7 +82,7 @@
         self._meters.time("round", "", took_s)
 
     def log_waiting(self, now: float) -> None:
-        """Log what has waited longest, and why."""
+        """Log the steps that have waited longest, and why they wait."""
         if now - self._logged_at < _LOG_INTERVAL_S:
             return
         self._logged_at = now
@@ -106,7 +106,7 @@
             log("steps.waiting", steps=rows)
 
     def _update_urgent_need(self, cpu_m: int) -> None:
-        """Keep a running mean of what urgent tasks need."""
+        """Update the running mean of the CPU need of urgent tasks, in millicores."""
         self._urgent_need_m += int((cpu_m - self._urgent_need_m) * _URGENT_WEIGHT)
 
     def _views(self, now: float) -> dict[str, WorkerView]:
@@ -145,11 +145,12 @@
         return views
 
     def _free(self, link: WorkerLink) -> Resources:
-        """Return what is left on a worker.
+        """Return the free resources of a worker.
 
-        Most workers are as they were a round ago.  Load: 270 workers, and a round
-        with each change of one of them.  Harm: worked out anew for all of them it
-        was a quarter of a round, during which the lead does nothing else.
+        The result is cached, as most workers are unchanged since the last round.
+        With 270 workers and a round after each change of one of them, computing it
+        again for all took a quarter of a round, during which the lead does nothing
+        else.
         """
         use = self._job_table.worker_use.get(link.name, NOTHING)
         cached = self._free_cache.get(link.name)
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -1,4 +1,4 @@
-"""One term of a lead: from the moment it took the cell until it gives it up."""
+"""One term of a lead: from the claim of the cell until the lead steps down."""
 
 import asyncio
 import contextlib
@@ -56,36 +56,39 @@
 from firhook.services._worker_list import WorkerList
 from firhook.tasks import log_failure
 
-#: Changes are gathered for so long before a round, so that ends which come
-#: together are stored together.
+#: The delay before a round, during which changes are collected, so that ends which
+#: arrive together are stored in one append.
 _BATCH_DELAY_S = 0.004
-#: A round is held at least this often, for tickets that end and times that come.
+#: The longest interval between rounds.  Tickets expire and scheduled times come due
+#: without any event.
 _ROUND_INTERVAL_S = 0.1
-#: Between tries when the store does not take an append.
+#: The delay before reading the log again after a failed read.
 _RETRY_S = 0.05
-#: The lead gives orders for so long after it sent the last append that the store
-#: took.
+#: The lead sends orders for this time after it sent the last append that the store
+#: accepted.
 PROOF_S = 0.75
-#: Leases are renewed so long after the last proof.  A store that is down
-#: takes the lead's proof of holding the cell away, but the tasks need not die
-#: with it; a successor adds this time to every lease that may still hold.
+#: Leases are renewed for this time after the last moment at which the lead might
+#: act.  While the store is down the lead cannot prove that it holds the cell, but
+#: the tasks need not end for that.  A successor adds this time to every lease that
+#: may still be valid.
 RENEW_UNPROVEN_S = 3.0
-#: A lease that a predecessor gave lapses within its length of the predecessor's
-#: last renewal, and some slack for clocks that run 2% slow.
+#: A predecessor's lease expires its duration after the last renewal.  The factor
+#: allows for clocks that run 2% slow.
 _OLD_LEASE_FACTOR = 1.03
-#: How often the lead looks whether it can still prove that it leads.
+#: The interval at which the lead appends a proof if it has nothing else to write.
 _PROOF_INTERVAL_S = 0.2
-#: For each order and question of a term.
+#: Logs a failed order or question of a term.
 _LOG_FAILURE = log_failure("term.task_failed")
-#: A submission that is to hold is written as so much earlier than its rival.
+#: A submission that keeps its job ID is rewritten with an acceptance time that is
+#: this much earlier than that of the conflicting one.
 _OWNER_PRECEDENCE_S = 0.001
 
 
 class TermOwner(Protocol):
-    """What a term needs of the service that stands for the lead.
+    """What a term needs of the lead service.
 
-    :ivar place: decides which waiting tasks start, and where.
-    :ivar slot_plan: makes what keeps seats at the adviser for fast questions.
+    :ivar place: decides which waiting tasks start, and on which workers.
+    :ivar slot_plan: the class that reserves adviser slots for fast questions.
     """
 
     instance: Instance
@@ -93,26 +96,26 @@
     slot_plan: type[SeatPlan]
 
     def may_act(self) -> bool:
-        """Return whether this instance leads, as far as it can know now."""
+        """Return whether this instance may act as the lead now."""
 
     def note_proof(self, sent_at: float) -> None:
-        """Take note that the store took an append under the term's epoch."""
+        """Record that the store accepted an append under the term's epoch."""
 
     def seconds_since_proof(self) -> float:
-        """Return how long ago the last append was sent that the store took."""
+        """Return the seconds since the last append that the store accepted was sent."""
 
     def announce(self) -> None:
-        """Tell the others that this instance leads."""
+        """Broadcast that this instance leads."""
 
 
 class Term:
-    """Leads the cell.
+    """Leads the cell under one epoch.
 
-    :param epoch: higher than that of any lead before; the epoch at the store
-        and the fencing token at the workers.
-    :ivar lost: whether another lead has been seen.
-    :ivar lost_reason: why it was lost, or empty.
-    :ivar taken_over: whether the cell is taken over.
+    :param epoch: the epoch at the store and the fencing token at the workers;
+        higher than that of every earlier lead.
+    :ivar lost: whether the term is over, or is ending.
+    :ivar lost_reason: why the lead was lost, or an empty string.
+    :ivar taken_over: whether the takeover is complete.
     :ivar takeover_stage: what the takeover waits for.
     """
 
@@ -164,14 +167,14 @@
             self, self._bounds, self._meters, self._spawn, self._wake.set
         )
 
-    # Life of a term.
+    # Beginning and end of a term.
 
     def begin(self) -> None:
-        """Take the cell over."""
+        """Start the takeover of the cell."""
         self._spawn(self._run())
 
     async def end(self) -> None:
-        """Stop at once; what was stored is the successor's."""
+        """Cancel all tasks of the term; a successor continues from the store."""
         self.lost = True
         tasks = [*self._tasks, *self._link_tasks.values()]
         for task in tasks:
@@ -186,22 +189,25 @@
         task.add_done_callback(_LOG_FAILURE)
 
     def may_act(self) -> bool:
-        """Return whether orders may be given at this moment."""
+        """Return whether orders may be sent now."""
         return not self.lost and self._lead.may_act()
 
     def may_renew(self) -> bool:
-        """Return whether leases may be renewed."""
+        """Return whether leases may be renewed now."""
         now = boot_time()
         if self.may_act():
             self._renew_until = now + RENEW_UNPROVEN_S
         return not self.lost and now < self._renew_until
 
     def step_down(self, reason: str, **fields: object) -> None:
-        """Give no more orders: another instance leads, or is to."""
+        """Give up the lead in favour of another instance.
+
+        :param fields: further fields of the log line.
+        """
         self._mark_lost(reason, level="info", **fields)
 
     def pause_writes(self, duration_s: float) -> None:
-        """Write nothing for a while, so that a successor's claim holds."""
+        """Pause all writes, so that a successor's claim succeeds."""
         self._writes_paused_until = boot_time() + duration_s
 
     @property
@@ -209,7 +215,7 @@
         return boot_time() < self._writes_paused_until
 
     def on_fenced(self, worker: str) -> None:
-        """Give up: a worker has seen the fencing token of another lead."""
+        """End the term: a worker has seen a higher fencing token."""
         self._mark_lost("fenced", worker=worker)
 
     async def _run(self) -> None:
@@ -222,10 +228,10 @@
             self._mark_lost("crashed", level="error", error=repr(exc))
 
     def _mark_lost(self, reason: str, level: str = "warning", **fields: object) -> None:
-        """Give no more orders in this term, and look at no worker any more.
+        """Mark the term as lost, and stop polling workers.
 
-        A worker that has seen a higher fencing token refuses all that follows
-        with this one, and so would every further call be refused.
+        A worker that has seen a higher fencing token refuses every further call
+        of this term.
         """
         if self.lost:
             return
@@ -235,8 +241,8 @@
             task.cancel()
 
     async def _take_over(self) -> None:
-        # From here on the store refuses what a lead before this one appends,
-        # so that what is read next is all there is.
+        # From here on the store refuses the appends of earlier leads, so that the
+        # log as read next is complete.
         await self._writer.set_epoch()
         self.takeover_stage = "log"
         while True:
@@ -255,8 +261,9 @@
             self._known_jobs.add(job_id)
             self._add_job(job_id, job, now, unix)
             self._resolve_owner(job_id, job)
-        # From here on changes are taken in as they are read.  Without a pause in
-        # between: a job that is accepted in such a pause would be in neither.
+        # From here on changes are handled as they are read.  There is no await
+        # between the loop above and this line: a job accepted in between would be
+        # missed by both.
         self._handles_changes = True
         self.taken_over = True
         log(
@@ -278,10 +285,10 @@
         self._spawn(self._prove_periodically())
         self._spawn(WorkerList(self._store, self._on_worker).run())
 
-    # What comes in.
+    # Incoming changes.
 
     def on_job(self, job_id: str) -> None:
-        """Take in a change of a job's records."""
+        """Handle a change of a job's records."""
         if not self._handles_changes:
             return
         view = self._replica.jobs.get(job_id)
@@ -289,16 +296,16 @@
             return
         contested = self._resolve_owner(job_id, view)
         if job_id not in self._known_jobs:
-            # A job that ended in this term is known as well.  Its last record
-            # may not have been read back yet when a late repeat of its
-            # submission is; it must not begin anew.
+            # Jobs that ended in this term are known as well.  A late repeat of a
+            # submission may be read before the job's final record is, and must
+            # not start the job again.
             self._known_jobs.add(job_id)
             if not view.status.ended or view.cancelled:
                 self._add_job(job_id, view, boot_time(), unix_time())
         elif view.cancelled:
             self.job_table.cancel(job_id, unix_time())
         elif not contested:
-            # The lead's own record of a state, read back: nothing to decide.
+            # The lead's own state record, read back from the store.
             return
         self._wake.set()
 
@@ -306,11 +313,13 @@
         assert view.accepted is not None
         try:
             if view.accepted.is_digest:
-                raise RecordMalformedError("accepted, but not what it runs")
+                raise RecordMalformedError(
+                    "the accepted submission has no job specification"
+                )
             state = view.state.whole() if view.state else None
         except RecordMalformedError as exc:
-            # Without its state it would be run from the start, beside what may
-            # be running; left alone it harms nobody, and an operator is told.
+            # Without its state the job would run from the start, beside tasks
+            # that may still run.  It is skipped, and the log line tells operators.
             log("record.malformed", level="error", job=job_id, detail=exc.detail)
             return
         self.job_table.add(view.accepted, state, now, unix)
@@ -318,13 +327,15 @@
             self.job_table.cancel(job_id, unix)
 
     def _resolve_owner(self, job_id: str, view: JobView) -> bool:
-        """Have the submission that the lead took in hold; return if it was contested.
-
-        Load: two client accounts submit one id at two instances, neither of which
-        knows of the other's yet; both are appended.  Harm: the store keeps the
-        newest record of a key only.  The first one's job, which may be running,
-        would become the second one's, and the first be told that there is no such
-        job.  Written again elsewhere as the earliest, it holds for all.
+        """Settle which team owns a job ID; return whether several had claimed it.
+
+        Two teams may submit the same job ID at two instances before either
+        instance knows of the other submission, and both submissions are appended.
+        The store keeps only the newest record of a key.  The first team's job,
+        which may be running, would become the second team's, and the first team
+        would be told that the job does not exist.  The submission that the lead
+        accepted is therefore written again, on a partition of the lead and as the
+        earliest one, which makes it valid everywhere.
         """
         if not view.owners or view.owners == self._settled_owners.get(job_id):
             return False
@@ -341,7 +352,7 @@
         return True
 
     def on_config(self, config: CellConfig) -> None:
-        """Go by another version of the configuration."""
+        """Apply a new version of the configuration."""
         self.job_table.set_config(config)
         self._wake.set()
 
@@ -362,7 +373,7 @@
         link.entry, link.unlisted_at = entry, None
 
     def _on_draining(self, link: WorkerLink, entry: WorkerEntry) -> None:
-        """Move what would not end before the worker leaves."""
+        """Stop the runs that would not end before the worker leaves."""
         now = boot_time()
         runs = list(self.job_table.worker_runs.get(link.name, {}).values())
         log("worker.draining", worker=link.name, runs=len(runs), left=entry.leaves_in_s)
@@ -372,7 +383,7 @@
         self._wake.set()
 
     def on_poll(self, link: WorkerLink, reply: Look, sent_at: float) -> None:
-        """Take in what a worker lists."""
+        """Handle a worker's poll reply."""
         now, unix = boot_time(), unix_time()
         orphaned = self.job_table.take_look(link.name, reply, sent_at, now, unix)
         for run, end in self.job_table.ends:
@@ -386,7 +397,7 @@
         self._wake.set()
 
     def _stop_stalled(self, link: WorkerLink, now: float) -> None:
-        """Have what stands still on a worker run elsewhere."""
+        """Stop the stalled runs of a worker, so that they run elsewhere."""
         runs = self.job_table.worker_runs.get(link.name, {})
         for run in standing_still(runs.values(), now):
             log(
@@ -421,12 +432,12 @@
             log("worker.rests", level="warning", worker=link.name)
 
     def on_incarnation(self, link: WorkerLink) -> None:
-        """Forget what was known of a worker's last life."""
+        """Discard what was known of a worker's previous incarnation."""
         self.speeds.forget(link.name)
         self._order_sender.stop_late_starts(link, boot_time())
 
     def on_unreachable(self, link: WorkerLink) -> None:
-        """Take note that a worker stopped answering."""
+        """Let tasks that run only on suspected workers start a copy elsewhere."""
         for run in list(self.job_table.worker_runs.get(link.name, {}).values()):
             others = (self.links.get(other.worker) for other in run.task.runs)
             if all(other is None or other.suspected for other in others):
@@ -436,10 +447,10 @@
     # The control loop.
 
     async def _prove_periodically(self) -> None:
-        """Prove that this is the lead while it has nothing else to write.
+        """Append a proof of leadership while the lead has nothing else to write.
 
-        The record that is appended tells instances which hear nothing else of the
-        lead, as when all connections between instances hang, that it is alive.
+        The appended record is also a heartbeat for instances that receive nothing
+        else from the lead, as when all connections between instances hang.
         """
         while not self.lost:
             await asyncio.sleep(_PROOF_INTERVAL_S)
@@ -450,18 +461,18 @@
                 continue
             try:
                 record = encode_keyed(self._heartbeat_record())
-                # Told of first, the record does not pass for a sign of life of
-                # the moment when it happens to be read.
+                # Announced before it is appended, the record does not count as a
+                # newer heartbeat whenever it happens to be read.
                 self._lead.announce()
                 await self._writer.prove([record])
             except LogFencedError:
                 self._mark_lost("fenced")
 
     def _heartbeat_record(self) -> KeyedRecord:
-        """Return the record that tells who leads, and that it lives."""
+        """Return the record that names the lead and shows that it is alive."""
         name, incarnation = self._instance.settings.name, self._instance.incarnation
-        mine = LeadRecord(name, incarnation, self.fence, self._version())
-        return KeyedRecord(LEAD_KEY, encode_record(mine))
+        lead_record = LeadRecord(name, incarnation, self.fence, self._version())
+        return KeyedRecord(LEAD_KEY, encode_record(lead_record))
 
     async def _control_loop(self) -> None:
         while not self.lost:
@@ -497,11 +508,11 @@
         self.job_table.voided.clear()
 
     def _expire_unlisted_workers(self) -> None:
-        """Free what ran on workers that are not registered any more.
+        """End the runs on workers that are no longer registered.
 
-        A worker may be lost for good while the lead changes: its entry is gone
-        before the new lead reads the list, so that no link watches it, and its
-        tasks would wait for it for ever.  Their lease lapses like any other.
+        A worker may be lost for good while the lead changes.  Its entry is gone
+        before the new lead reads the list, so that no link polls the worker and
+        its tasks would wait forever.  Their leases expire like any other.
         """
         now = boot_time()
         if now < self._old_leases_expire_at():
@@ -512,7 +523,7 @@
                 self.job_table.lapse(name, now)
 
     def _old_leases_expire_at(self) -> float:
-        """Return when every lease has lapsed that a lead before this one gave."""
+        """Return when all leases granted by earlier leads have expired."""
         longest_s = self._bounds.lease_s * _OLD_LEASE_FACTOR
         return self._begun_at + PROOF_S + RENEW_UNPROVEN_S + longest_s
 
@@ -556,21 +567,21 @@
 
     @property
     def newest_version(self) -> int:
-        """The version of the newest record that was written in this term."""
+        """The version of the newest record written in this term."""
         return state_version(self.fence, self._version_count)
 
     def _version(self) -> int:
-        """Return the next version of a state, above that of every lead before."""
+        """Return the next state version, above those of all earlier leads."""
         self._version_count += 1
         return self.newest_version
 
     async def _append(self, records: Iterable[KeyedRecord]) -> None:
-        """Append records under this term's epoch, until an answer comes.
+        """Append records under this term's epoch, retrying until the store answers.
 
         :raises LogFencedError: if another lead has begun.
         """
-        most = self._instance.settings.store_limits.append_bytes
-        for chunk in split_records(list(records), most):
+        max_bytes = self._instance.settings.store_limits.append_bytes
+        for chunk in split_records(list(records), max_bytes):
             partition, offset = await self._writer.append(
                 [encode_keyed(r) for r in chunk]
             )
@@ -578,12 +589,12 @@
             self._instance.bus.publish(event)
 
     async def _delete_keys(self, partition: int, keys: list[str]) -> bool:
-        """Drop keys on one partition; return whether the store took it.
+        """Delete keys on one partition; return whether the store accepted it.
 
         :raises LogFencedError: if another lead has begun.
         """
-        most = self._instance.settings.store_limits.append_bytes
-        for chunk in split_records([KeyedRecord(key, None) for key in keys], most):
+        max_bytes = self._instance.settings.store_limits.append_bytes
+        for chunk in split_records([KeyedRecord(key, None) for key in keys], max_bytes):
             offset = await self._writer.append_to(
                 partition, [encode_keyed(r) for r in chunk]
             )
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -1,4 +1,4 @@
-"""The lead's connection to one worker: its lease, its runs and its ends."""
+"""The lead's connection to one worker, which polls its runs and renews its lease."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,65 +12,70 @@
 from firhook.logs import log
 from firhook.platform.workers import Workers
 
-#: How long a worker may wait with its answer for a run to end.  Each look is
-#: priced; a worker in use answers several times a second in any case.
+#: How long a worker may hold a poll until a run ends.  Every poll is charged for; a
+#: busy worker replies several times a second anyway.
 _LONG_POLL_S = 1.0
-#: Between looks while ends wait to be stored: the worker answers such a look at
-#: once, as it lists ends that it was not yet told to forget.
+#: The longest delay before the next poll while ends are being stored.  The worker
+#: replies to such a poll at once, as it lists all ends without an acknowledgement.
 _UNSTORED_PAUSE_S = 0.4
-#: After ends were stored, the next look waits so long, so that ends that come
-#: close together are told by one look: four a second and worker end, of which
-#: a fifth come within this of another.
+#: The delay of the next poll after ends were stored, so that one poll reports ends
+#: that are close together.  Four runs a second end on a worker, a fifth of them
+#: within this time of another.
 _BATCH_DELAY_S = 0.06
-#: Between tries at a worker that does not answer.
+#: The delay between polls of a worker that does not answer.
 _RETRY_S = 0.25
-#: A look at a worker that left the last one unanswered waits so long for an answer.
+#: The timeout of a poll after one that failed.
 _PROBE_TIMEOUT_S = 0.5
-#: A worker's clock may be 2% slow against ours.
+#: Allows for a worker's clock that runs 2% slower than this instance's.
 _CLOCK_DRIFT_FACTOR = 1.021
-#: On top of a lease, for times that are rounded and answers on their way.
+#: Added to a lease for rounded times and answers in transit.
 _EXPIRY_MARGIN_S = 0.15
-#: A worker without an entry is used so long: entries that lapsed while the
-#: store was away come back within two seconds of its return.
+#: A worker without an entry is used for this time.  Entries that expired while the
+#: store was unavailable are written again within two seconds of its return.
 _UNLISTED_GRACE_S = 3.0
-#: A worker that was silent for so long gets no new work.
+#: A worker without a reply for this time gets no new work.
 _SILENCE_LIMIT_S = 2.4
 
 
 class LinkOwner(Protocol):
-    """What a link needs of the lead's term."""
+    """What a worker link needs of the lead's term."""
 
     fence: int
     job_table: Book
     workers: Workers
 
     def may_renew(self) -> bool:
-        """Return whether leases may be renewed."""
+        """Return whether leases may be renewed now."""
 
     def on_poll(self, link: "WorkerLink", reply: Look, sent_at: float) -> None:
-        """Take in a worker's answer."""
+        """Handle a worker's poll reply.
+
+        :param sent_at: when the poll was sent, on the boot clock.
+        """
 
     def on_incarnation(self, link: "WorkerLink") -> None:
-        """Take note that a worker began a life that was not known."""
+        """Handle that a worker has a new incarnation."""
 
     def on_fenced(self, worker: str) -> None:
-        """Take note that a worker has seen a higher fencing token."""
+        """Handle that a worker has seen a higher fencing token."""
 
     def on_unreachable(self, link: "WorkerLink") -> None:
-        """Take note that a worker stopped answering."""
+        """Handle that a worker did not answer a poll."""
 
 
 class WorkerLink:
-    """Looks at one worker again and again.
+    """Polls one worker periodically.
 
-    :param leases_expire_at: when every lease that others may have given it has lapsed.
+    :param leases_expire_at: when all leases that earlier leads may have granted to
+        the worker have expired.
     :ivar ack: all ends up to this number are stored.
-    :ivar processed: all ends up to this number are in the book.
-    :ivar incarnation: the life that answered last; 0 if none did.
-    :ivar pending_calls: the calls to it that are not answered yet.
-    :ivar has_orphaned_runs: whether runs go on there that the book does not know, left
-        by orders that were carried out late.  What they take is not accounted
-        for, so that nothing more is started beside them.
+    :ivar processed: all ends up to this number are in the job table.
+    :ivar incarnation: the incarnation that answered last; 0 if none did.
+    :ivar pending_calls: the calls to the worker without an answer.
+    :ivar suspected: whether a call failed since the last answer.
+    :ivar has_orphaned_runs: whether the worker has runs that the job table does not
+        know, left by orders that were carried out late.  Their resources are not
+        accounted for, so that nothing is started beside them.
     """
 
     def __init__(
@@ -103,11 +108,11 @@
 
     @property
     def name(self) -> str:
-        """The worker's id."""
+        """The worker's ID."""
         return self.entry.name
 
     def usable(self, now: float) -> bool:
-        """Return whether new work may be sent there, if none of its answers is late."""
+        """Return whether the worker may get new work, late answers aside."""
         if (
             not self.incarnation
             or self.entry.draining
@@ -123,11 +128,12 @@
         )
 
     def lease_until(self) -> float:
-        """Return the end of a lease given now, on the worker's clock.
+        """Return the end of a lease granted now, on the worker's clock.
 
-        The longest time that the lease may last on our clock is noted: until
-        then nothing that may run there may start elsewhere.  So a worker that
-        answers late gets no longer lease than it has.
+        The link records the latest time on this instance's clock at which the lease
+        may still be valid.  Until then no task that may run on the worker may start
+        elsewhere.  The lease of a worker with a late answer is therefore not
+        extended.
         """
         now = boot_time()
         if self._lease_end_s and self.pending_calls.late_since(now) is not None:
@@ -145,14 +151,17 @@
         return until
 
     def set_ack(self, number: int) -> None:
-        """Take note that all ends up to a number are stored."""
+        """Record that all ends up to a number are stored."""
         self.ack = max(self.ack, number)
         self._ends_stored.set()
 
     def on_order_answer(
         self, incarnation: int, clock_s: float | None, now: float
     ) -> None:
-        """Take note of a worker's answer to an order."""
+        """Handle a worker's answer to an order.
+
+        :param clock_s: the worker's clock, or ``None`` if it was not reported.
+        """
         if incarnation > self.incarnation:
             self._begin_incarnation(incarnation)
         if clock_s is not None:
@@ -160,11 +169,11 @@
         self.suspected = False
 
     def _begin_incarnation(self, incarnation: int) -> None:
-        """Take note that the worker started anew; it numbers its ends from 1.
+        """Record that the worker restarted; it numbers its ends from 1 again.
 
-        Whichever answer tells so first, a look or an order's, the next look
-        must not carry the old life's acknowledgement: the new life would forget
-        ends that nobody has read, and tasks that are done would run again.
+        Either a poll reply or the answer to an order may show this first.  The next
+        poll must not carry the acknowledgement for the old incarnation: the new one
+        would delete ends that nobody has read, and finished tasks would run again.
         """
         if self.incarnation:
             log("worker.restarted", worker=self.name, life=incarnation)
@@ -173,20 +182,20 @@
         self._owner.on_incarnation(self)
 
     async def run(self) -> None:
-        """Look at the worker until cancelled."""
+        """Poll the worker until cancelled."""
         while True:
             try:
                 answered = await self._try_poll()
             except Exception as exc:
-                # Ended by it, the link would neither renew the worker's lease nor
-                # ever find that it lapsed, and its tasks would wait for good.
+                # If the link ended here, the worker's lease would be neither
+                # renewed nor ever found expired, and its tasks would wait forever.
                 log("link.failed", level="error", worker=self.name, error=repr(exc))
                 answered = False
             if not answered:
                 await asyncio.sleep(_RETRY_S)
 
     async def _try_poll(self) -> bool:
-        """Look once, and return whether the worker answered as it should."""
+        """Poll once; return whether the worker gave a valid reply."""
         try:
             await self._poll_once()
         except WorkerUnreachableError as exc:
@@ -199,16 +208,16 @@
 
     async def _poll_once(self) -> None:
         sent_at = boot_time()
-        # The tasks of a worker that is gone are free again only when the last
-        # lease that it may have got has lapsed: renewed into the dark, it would
-        # put that off.  One that lives answers the next look at once.
+        # The tasks of a lost worker may start elsewhere only after its last lease
+        # has expired.  Renewing the lease of an unreachable worker would delay
+        # that.  A worker that is alive answers the next poll at once.
         renews = (
             self.incarnation and not self._last_poll_failed and self._owner.may_renew()
         )
         until = self.lease_until() if renews else None
         wait_s = 0.0 if not self.incarnation or self._last_poll_failed else _LONG_POLL_S
-        # After a failure the worker may be in a new life, whose ends have the
-        # numbers of others; acknowledging none is always right.
+        # After a failure the worker may have a new incarnation, which numbers its
+        # ends from 1 again.  Acknowledging none is always safe.
         ack = 0 if self._last_poll_failed else self.ack
         call = self.pending_calls.sent(sent_at + wait_s)
         polling = self._owner.workers.look(
@@ -222,7 +231,7 @@
         now = boot_time()
         self._worker_clock_s, self._worker_clock_read_at = reply.clock_s, now
         if reply.life < self.incarnation:
-            # An answer from before the restart that another one told of.
+            # Sent before a restart that another answer has already shown.
             return
         if reply.life > self.incarnation:
             self._begin_incarnation(reply.life)
@@ -239,20 +248,22 @@
             await asyncio.sleep(_BATCH_DELAY_S)
 
     async def _await_reply(self, polling: Coroutine[Any, Any, Look]) -> Look:
-        """Wait for a look; not for long if the last one was not answered."""
+        """Await a poll reply, with a short timeout if the last poll failed."""
         try:
             async with asyncio.timeout(
                 _PROBE_TIMEOUT_S if self._last_poll_failed else None
             ):
                 return await polling
         except TimeoutError as exc:
-            raise WorkerUnreachableError(f"{self.name}: no answer") from exc
+            raise WorkerUnreachableError(
+                f"worker {self.name} did not answer a poll in time"
+            ) from exc
 
     async def _wait_ends_stored(self) -> None:
         self._ends_stored.clear()
         try:
-            # Unlike wait_for, this does not lose a cancelling that comes in the
-            # moment in which the event is set: the link would never end.
+            # Unlike asyncio.wait_for, this does not swallow a cancellation that
+            # arrives just as the event is set.  The link would then never end.
             async with asyncio.timeout(_UNSTORED_PAUSE_S):
                 await self._ends_stored.wait()
         except TimeoutError:
--- a/src/firhook/services/_worker_list.py
+++ b/src/firhook/services/_worker_list.py
@@ -1,4 +1,4 @@
-"""The workers that are registered in the platform's store."""
+"""Reads the list of workers that are registered in the platform's store."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 from firhook.services._topic import TopicReader
 
 _LONG_POLL_S = 1.0
-#: Workers write about once in 1.5 s each, mostly nothing new.  News of a worker
-#: that leaves is acted on within the two seconds that are allowed for it.
+#: The delay after each read.  Each worker writes about every 1.5 s, mostly without a
+#: change.  A worker that leaves must be noticed within two seconds.
 _BATCH_DELAY_S = 0.25
 _RETRY_S = 0.2
 
 
 class WorkerList:
-    """Follows the list.
+    """Follows the worker list.
 
-    :param on_change: called with a worker's name and its entry, ``None`` if it
-        is no longer registered.
+    :param on_change: called with a worker's name and its entry, which is ``None``
+        if the worker is no longer registered.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._names: set[str] = set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the list until cancelled."""
         while True:
             try:
                 await self._read()
