--- a/tests/services/test_adviser_client.py
+++ b/tests/services/test_adviser_client.py
@@ -1,7 +1,7 @@
 """The lead asks the adviser, over the model: answers that come late."""
 
 from standins.model import pause
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_answers_that_are_late_are_used():
@@ -11,7 +11,7 @@
     too: the adviser was busy, and no job began.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         cell.adviser.late_s = dict.fromkeys(cell.instances, 0.4)
         for _ in range(6):
             await cell.submit([step(2)], work_s=0.3)
@@ -20,13 +20,13 @@
         # Each was asked about again where its answer was late, and no more.
         assert cell.adviser.calls - calls <= 2 * 6
 
-    play(scene, instances=4, workers=6, advised=True)
+    run_scenario(scenario, instances=4, workers=6, advised=True)
 
 
 def test_instance_whose_answers_are_late_is_asked_no_more_until_they_came():
     """A question that is given up still stands in the instance's turn."""
 
-    async def scene(cell):
+    async def scenario(cell):
         slow = next(n for n in cell.instances if n != cell.lead_name())
         cell.adviser.late_s[slow] = 1.5
         before = cell.adviser.asked_through[slow]
@@ -37,7 +37,7 @@
         # What was under way to it when the first answer was found to be late.
         assert cell.adviser.asked_through[slow] - before <= 8
 
-    play(scene, instances=3, workers=6, advised=True)
+    run_scenario(scenario, instances=3, workers=6, advised=True)
 
 
 def test_ticket_is_not_used_beyond_its_time_when_its_answer_was_late():
@@ -46,7 +46,7 @@
     Starts with tickets that had ended were refused, and gangs fell apart.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         cell.adviser.late_s = dict.fromkeys(cell.instances, 0.2)
         # The workers are full until the first tickets of the others are about to end.
         for _ in range(12):
@@ -55,4 +55,4 @@
         late = {name: w.late_tickets for name, w in cell.workers.items()}
         assert sum(late.values()) == 0
 
-    play(scene, instances=4, workers=6, advised=True)
+    run_scenario(scenario, instances=4, workers=6, advised=True)
--- a/tests/services/test_appends.py
+++ b/tests/services/test_appends.py
@@ -6,7 +6,7 @@
 
 from firhook.platform.store import CELL_TOPIC
 from standins.model import ModelRequest, now, pause
-from tests.services.scenes import play
+from tests.services.scenarios import run_scenario
 
 JOB = b'{"specification":"x","steps":[{"count":1,"millicpus":1000}]}'
 JOB_ID = f"{7:016x}"
@@ -43,7 +43,7 @@
         stored = is_stored(cell, f"job/{JOB_ID}")
         assert status in ((200, 504) if stored else (503, 504)), body
 
-    play(scene, instances=3)
+    run_scenario(scene, instances=3)
 
 
 def test_caller_is_answered_within_its_time_though_others_may_wait_longer():
@@ -65,4 +65,4 @@
         assert status == 503
         await patient
 
-    play(scene, instances=3)
+    run_scenario(scene, instances=3)
--- a/tests/services/test_copying.py
+++ b/tests/services/test_copying.py
@@ -4,7 +4,7 @@
 
 from firhook.platform.store import CELL_TOPIC
 from standins.model import ModelCell, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 #: Two strong ones in each of two zones, and two weak ones.
 STRENGTHS = {"i0": 2.0, "i1": 2.0, "i2": 2.0, "i3": 2.0, "i4": 0.5, "i5": 0.5}
--- a/tests/services/test_forgetting.py
+++ b/tests/services/test_forgetting.py
@@ -14,7 +14,7 @@
 from firhook.services._forgetting import _drop_everywhere
 from firhook.services._members import read_members
 from standins.model import ModelCell, ModelRequest, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 STEP = step(1)
 
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_handing_on.py
@@ -4,7 +4,7 @@
 
 from firhook.cell.records import JOB_PREFIX
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 ZONES = ("z0", "z1", "z2")
 BEAT = "LeadAlive"
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -14,11 +14,11 @@
 from firhook.platform.store import KeyedRecord
 from firhook.services._events import Record, TellInstances
 from standins.model import ModelCell, ModelRequest, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 
 def test_job_runs_to_its_end_and_every_instance_says_so():
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         job, status = await cell.submit([step(3), step(2, after=[0])])
@@ -30,7 +30,7 @@
         assert states == {"completed"}
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_lead_decides_by_what_its_class_says():
@@ -43,14 +43,14 @@
         def services(self):
             return {**super().services(), "lead": IdleLead}
 
-    async def play(cell):
+    async def scenario(cell):
         await cell.begin()
         job, status = await cell.submit([step()])
         await pause(3.0)
         return status, await cell.status(job)
 
-    assert run_virtual(play(ModelCell())) == (200, "completed")
-    assert run_virtual(play(IdleCell())) == (200, "queued")
+    assert run_virtual(scenario(ModelCell())) == (200, "completed")
+    assert run_virtual(scenario(IdleCell())) == (200, "queued")
 
 
 def test_tasks_of_a_worker_that_is_gone_for_good_run_elsewhere_under_a_new_lead():
@@ -60,7 +60,7 @@
     user would see a job that is "running" for ever while the cell stands idle.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=2)
         await cell.begin()
         job, _ = await cell.submit([step(4)], work_s=5.0)
@@ -74,11 +74,11 @@
         assert await cell.status(job) == "completed"
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_jobs_that_ended_long_ago_are_forgotten_and_their_records_dropped():
-    async def play():
+    async def scenario():
         cell = ModelCell(bounds=Bounds(status_s=2.0))
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
@@ -91,7 +91,7 @@
         kept = [k for p in cell.store.partitions.values() for k in p.newest]
         assert not any(job in key for key in kept)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_a_late_repeat_of_a_submission_starts_nothing_anew():
@@ -101,7 +101,7 @@
     be charged twice.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
@@ -112,7 +112,7 @@
         assert cell.checks.broken == []
         assert await cell.status(job) == "completed"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_a_silent_store_refuses_new_jobs_truly_and_at_once():
@@ -122,7 +122,7 @@
     that nothing was recorded, and when to come back, it does.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         cell.store.mode["*"] = "silent"
@@ -136,7 +136,7 @@
         assert problem["retry_after"] > 0
         assert now() - began < 0.1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_an_instance_that_cannot_read_the_keys_answers_for_none_of_them():
@@ -144,7 +144,7 @@
     withdrawn meanwhile.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
@@ -156,7 +156,7 @@
         assert await cell.status(job, cell.instances["i0"]) == "503"
         assert await cell.status(job, cell.instances["i1"]) == "401"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
@@ -167,7 +167,7 @@
     platform goes on sending them there.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         away = next(n for n in cell.instances if n != cell.lead_name())
@@ -191,7 +191,7 @@
         await pause(1.0)
         assert await found.instance.services["callers"].ready()
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_instance_in_a_zone_that_is_cut_off_refuses_at_once_and_says_it_did_not_run():
@@ -200,7 +200,7 @@
     Callers that are held until a time-out have no time left to go elsewhere.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=4)
         await cell.begin()
         away = next(n for n in cell.instances if n != cell.lead_name())
@@ -217,11 +217,11 @@
         assert problem["ran"] == "no"
         assert now() - began < 0.1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_a_successor_gives_its_first_order_soon_after_the_lead_falls_silent():
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         cell.kill(cell.lead_name())
@@ -231,7 +231,7 @@
         assert now() - began < 1.5
         assert job in cell.accepted
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_tasks_start_and_end_while_one_of_the_leads_partitions_is_away():
@@ -241,7 +241,7 @@
     user would see none of them begin until it is back.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         cell.store.partly_down = {0}
@@ -257,11 +257,11 @@
         assert {await cell.status(job) for job in jobs} == {"completed"}
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_jobs_are_accepted_while_one_of_the_callers_partitions_is_away():
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         cell.store.partly_down = {1}
@@ -271,7 +271,7 @@
         await cell.all_done(3.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_the_lead_stays_while_no_message_between_instances_arrives():
@@ -282,7 +282,7 @@
     what the lead appends says that it lives.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
         first = cell.lead()
@@ -294,7 +294,7 @@
         await cell.all_done(3.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def longest_gap(cell, changes, seconds):
@@ -324,7 +324,7 @@
     late; a lead that moved back to the first would cost as much once more.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=7, seed=seed)
         await cell.begin()
         await pause(cell.rng.random())
@@ -336,7 +336,7 @@
         assert await watching <= 0.6
         assert len(changes) == 1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 async def longest_gap_from(cell, changes, seconds):
@@ -355,7 +355,7 @@
     A lead that is told to stop hands over first; callers should notice nothing.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5, seed=seed)
         await cell.begin()
         changes = []
@@ -367,7 +367,7 @@
         assert await watching <= 0.1
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
@@ -377,7 +377,7 @@
     That one still reaches its peers, so that nobody needs to wait for its silence.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
         first = cell.lead_name()
@@ -391,11 +391,11 @@
         await longest_gap(cell, changes, 3.0)
         assert changes == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_lead_stays_while_the_store_is_away_for_all():
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
         first = cell.lead_name()
@@ -405,7 +405,7 @@
         await cell.until(lambda: cell.lead() is not None, 2.0)
         assert cell.lead_name() == first
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_strong_instance_leads_and_a_weak_one_only_while_there_is_none():
@@ -416,7 +416,7 @@
     weak lead is better than none, until one of them is back.
     """
 
-    async def play():
+    async def scenario():
         strengths = {"i1": 4.0, "i3": 4.0}
         cell = ModelCell(instances=4, strengths=strengths)
 
@@ -446,7 +446,7 @@
         assert await cell.status(job) == "completed"
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_weak_instance_that_was_cut_off_from_the_store_does_not_take_the_lead():
@@ -456,7 +456,7 @@
     would move to a weak one and on to a strong one; nothing is started in between.
     """
 
-    async def play():
+    async def scenario():
         strengths = {"i1": 4.0, "i3": 4.0}
         cell = ModelCell(instances=6, strengths=strengths)
         await cell.begin()
@@ -471,7 +471,7 @@
             await pause(0.05)
             assert cell.lead_name() == first
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_records_that_overtake_each_other_between_instances_are_not_read_again():
@@ -482,7 +482,7 @@
     most of what an idle instance does: 2,900 calls here, now 340.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=8)
         cell.drops, cell.jitter_s = 0.0, 0.02
         await cell.begin()
@@ -497,7 +497,7 @@
         assert (cell.store.reads - reads) / 5.0 / 8 < 9
         await cell.all_done(20.0)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_lead_tells_all_what_each_instance_accepted():
@@ -508,7 +508,7 @@
     and the lead tells all what it gathers, together with its states: 196.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=10)
         cell.drops = 0.0
         await cell.begin()
@@ -534,7 +534,7 @@
         await cell.all_done(10.0)
         assert cell.told - told < 300
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_large_records_of_many_instances_at_once_fit_into_messages():
@@ -545,7 +545,7 @@
     """
     size = 250_000
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=7, workers=0)
         cell.drops = 0.0
         await cell.begin()
@@ -566,7 +566,7 @@
         rows = [r for push in pushes for b in push.batches for r in b.records]
         assert {row.key for row in rows} >= set(keys)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_two_instances_that_take_themselves_for_the_lead_do_not_echo_each_other():
@@ -577,7 +577,7 @@
     record would go back and forth for ever, and more with each that comes.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=2)
         cell.drops = 0.0
         await cell.begin()
@@ -591,7 +591,7 @@
         await pause(3.0)
         assert cell.told - told < 10
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_job_is_found_by_an_instance_whose_place_in_the_log_has_expired():
@@ -602,7 +602,7 @@
     or gives it up, though it is accepted and runs.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=3)
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -617,7 +617,7 @@
             status, _ = await cell.instances[behind].call(asked)
             assert status == 200
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_instance_whose_replica_lags_says_what_the_lead_knows_of_waiting_jobs():
@@ -627,7 +627,7 @@
     workers by that figure add none.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=1)
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -644,7 +644,7 @@
         status, _ = await found.call(ModelRequest("GET", "/plan/"))
         assert status == 503
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -655,7 +655,7 @@
     epoch both start every task, and a user is charged twice.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5, seed=seed)
         await cell.begin()
         others = [i.lead for n, i in cell.instances.items() if n != cell.lead_name()]
@@ -667,4 +667,4 @@
         await pause(1.0)
         await cell.until(lambda: cell.lead() is not None, 3.0)
 
-    run_virtual(play())
+    run_virtual(scenario())
--- a/tests/services/test_lookups.py
+++ b/tests/services/test_lookups.py
@@ -5,7 +5,7 @@
 import pytest
 
 from standins.model import ModelCell, ModelRequest, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 #: Operators are told that a count may be so old.
 OLDEST_S = 2.0
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -9,8 +9,7 @@
 from firhook.services._members import Registration
 from firhook.services._mesh import MeshService
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import play as play_scene
-from tests.services.scenes import step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_instance_finds_its_peers_before_it_has_read_the_jobs():
@@ -59,7 +58,7 @@
         assert cell.adviser.asked_through["i2"] > asked
         await cell.all_done(20.0)
 
-    play_scene(scene, instances=3, workers=6, advised=True)
+    run_scenario(scene, instances=3, workers=6, advised=True)
 
 
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
@@ -92,4 +91,4 @@
         for instance in cell.instances.values():
             assert "i2" not in instance.instance.replica.peers
 
-    play_scene(scene, instances=3)
+    run_scenario(scene, instances=3)
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -4,7 +4,7 @@
 
 from firhook.cell import OrderOutcome
 from standins.model import ModelRequest, now, pause
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 WAITING, RUNNING = ("queued", 1), ("running", 0)
 
@@ -73,7 +73,7 @@
         set_mode(cell, "up")
         await check_begins(cell, job)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_job_whose_lead_was_lost_between_assignment_and_order_is_not_said_to_run():
@@ -93,7 +93,7 @@
             worker.cut_from.clear()
         await check_begins(cell, job)
 
-    play(scene)
+    run_scenario(scene)
 
 
 REFUSALS = [
@@ -122,7 +122,7 @@
             del worker.start
         await cell.all_done(20.0)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_job_whose_lead_is_lost_just_after_a_worker_began_it_is_said_to_run():
@@ -135,7 +135,7 @@
         await pause(1.0)
         await check_runs(cell, job)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_job_whose_begun_run_is_lost_with_its_worker_is_not_said_to_wait_again():
@@ -148,7 +148,7 @@
         cell.workers["w0"].restart()
         await cell.all_done(20.0)
 
-    play(scene, workers=1)
+    run_scenario(scene, workers=1)
 
 
 def test_job_that_a_worker_began_without_an_answer_is_said_to_run_once_it_is_listed():
@@ -160,4 +160,4 @@
         await pause(2.0)
         await check_runs(cell, job)
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/services/test_slow_store.py
+++ b/tests/services/test_slow_store.py
@@ -7,7 +7,7 @@
 from firhook._peer_messages import AppendAsk, AppendReply, PushedRecord
 from firhook.errors import LogOutcomeUnknownError
 from standins.model import now, pause
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 
 async def submit_all(cell, per_s, lasts_s):
@@ -40,7 +40,7 @@
         await pause(1.0)
         assert {s for s, _ in await submit_all(cell, 20, 0.5)} == {200}
 
-    play(scene, instances=30, workers=4)
+    run_scenario(scene, instances=30, workers=4)
 
 
 @pytest.mark.parametrize("trouble", ["cut_off", "turned_away"])
@@ -60,7 +60,7 @@
         accepted = [status for status, _ in got if status == 200]
         assert len(accepted) > len(got) * 0.9, got
 
-    play(scene, instances=4, workers=4)
+    run_scenario(scene, instances=4, workers=4)
 
 
 def test_job_that_the_lead_did_not_send_to_a_silent_store_is_refused():
@@ -81,4 +81,4 @@
         assert got.count(AppendReply(False)) == 5
         cell.store.mode.clear()
 
-    play(scene, instances=3, workers=4)
+    run_scenario(scene, instances=3, workers=4)
--- a/tests/services/test_starts.py
+++ b/tests/services/test_starts.py
@@ -1,7 +1,7 @@
 """The order in which a lead sends starts, over the model of links."""
 
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 LINK_BYTES_S = 250_000.0
 
@@ -17,7 +17,7 @@
     second; the quotes that came behind it began late.
     """
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=30)
         cell.drops = 0.0
         await cell.begin()
@@ -36,13 +36,13 @@
         await cell.all_done(20.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_starts_that_get_no_answer_do_not_hold_up_the_others():
     """A zone of workers is dark, and starts to it are waited for for 0.8 s."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=60)
         await cell.begin()
         for name in list(cell.workers)[::2]:
@@ -52,4 +52,4 @@
         lit = [w for w in cell.workers.values() if not w.late_share]
         assert [len(w.runs) for w in lit] == [1] * 30
 
-    run_virtual(play())
+    run_virtual(scenario())
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -2,7 +2,7 @@
 
 from firhook.services._term import Term
 from standins.model import ModelCell, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 
 async def lose_all_power(cell):
@@ -21,7 +21,7 @@
 def test_gang_accepted_before_a_new_lead_has_heard_most_workers_starts():
     """The adviser is asked about the one worker that is heard, which cannot hold it."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=10, advised=True)
         await cell.begin()
         await lose_all_power(cell)
@@ -38,13 +38,13 @@
         await cell.all_done(20.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_lead_tells_once_a_second_why_the_oldest_steps_wait(caplog):
     """Step after step waits for room that no worker has."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=2)
         await cell.begin()
         for _ in range(8):
@@ -52,7 +52,7 @@
         await pause(10.0)
 
     with caplog.at_level("INFO", logger="firhook.events"):
-        run_virtual(play())
+        run_virtual(scenario())
     told = [r for r in caplog.records if r.message == "steps.waiting"]
     assert 6 <= len(told) <= 8
     for line in told:
@@ -62,7 +62,7 @@
 def test_ends_that_follow_the_end_of_their_job_are_told_as_those_of_a_gang(caplog):
     """One member's end stands for all, whose own are listed a moment later."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(workers=6)
         await cell.begin()
         job_id, _ = await cell.submit([step(6, 8000, all_or_nothing=True)])
@@ -74,7 +74,7 @@
         return job_id
 
     with caplog.at_level("INFO", logger="firhook.events"):
-        job_id = run_virtual(play())
+        job_id = run_virtual(scenario())
     told = [r for r in caplog.records if r.message in ("run.ended", "job.ended")]
     assert [r.message for r in told] == ["run.ended"] * 5 + ["job.ended", "run.ended"]
     assert told[-1].task.startswith(job_id)
@@ -99,7 +99,7 @@
 
     monkeypatch.setattr(Term, "on_unreachable", fail_once)
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=1, workers=1)
         await cell.begin()
         await cell.submit([{"count": 1, "millicpus": 1000}], work_s=2.0)
@@ -110,6 +110,6 @@
         await cell.all_done(20.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
     [failed] = [r for r in caplog.records if r.message == "link.failed"]
     assert "once" in failed.error
--- a/tests/services/test_submissions.py
+++ b/tests/services/test_submissions.py
@@ -10,7 +10,7 @@
 from firhook.platform.store import CELL_TOPIC
 from firhook.services import _callers
 from standins.model import ModelCell, ModelRequest, TaskPlan, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 STEP = step(1)
 BODY = msgspec.json.encode({"specification": "other", "steps": [STEP]})
--- a/tests/services/test_work_survives.py
+++ b/tests/services/test_work_survives.py
@@ -4,7 +4,7 @@
 
 from firhook.cell import JobStatus
 from standins.model import now, pause
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 SEEDS = range(8)
 HERE, AWAY = ("i0", "i1"), ("i2", "i3")
@@ -75,7 +75,7 @@
     themselves, and at no time run in two places.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         job = await submit_running(cell, 12, 6.0)
         began = dict(cell.checks.last_start)
         cell.kill(cell.lead_name())
@@ -84,7 +84,7 @@
         # The workers were never lost, so that nothing had to start again.
         assert cell.checks.last_start == began
 
-    play(scene, seed=seed)
+    run_scenario(scenario, seed=seed)
 
 
 @pytest.mark.row(2)
@@ -96,7 +96,7 @@
     must not run a reconciliation a second time.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         for _ in range(10):
             await cell.submit([step(2, 4000)], work_s=4.0)
         await pause(0.6)
@@ -108,7 +108,7 @@
         assert not cell.instances[first].leads
         await cell.all_done(40.0)
 
-    play(scene, seed=seed)
+    run_scenario(scenario, seed=seed)
 
 
 def lose_zone(cell):
@@ -131,7 +131,7 @@
     anything; and what was saved of it must not have been done again.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         await lead_from(cell, HERE)
         job = await submit_running(cell, 18, 12.0, enable_checkpoints=True)
         await pause(4.0)
@@ -149,7 +149,7 @@
         await cell.all_done(40.0)
         assert cell.final(job) is JobStatus.COMPLETED
 
-    play(scene, instances=4, seed=seed)
+    run_scenario(scenario, instances=4, seed=seed)
 
 
 @pytest.mark.row(2)
@@ -162,7 +162,7 @@
     the morning or be done twice.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         await lead_from(cell, AWAY)
         job = await submit_running(cell, 18, 12.0)
         await pause(4.0)
@@ -172,7 +172,7 @@
         assert cell.final(job) is JobStatus.COMPLETED
         assert all(cell.checks.last_start[task] > lost_at for task in lost)
 
-    play(scene, instances=4, seed=seed)
+    run_scenario(scenario, instances=4, seed=seed)
 
 
 @pytest.mark.row(2)
@@ -185,7 +185,7 @@
     takes the work over.  Back again, the old lead must not go on with it.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         await lead_from(cell, AWAY)
         job = await submit_running(cell, 18, 25.0)
         cut_zone(cell)
@@ -195,7 +195,7 @@
         await cell.all_done(100.0)
         assert cell.final(job) is JobStatus.COMPLETED
 
-    play(scene, instances=4, seed=seed)
+    run_scenario(scenario, instances=4, seed=seed)
 
 
 @pytest.mark.row(1)
@@ -207,7 +207,7 @@
     A worker given more than it has would kill tasks for want of memory.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         for _ in range(12):
             await cell.submit([step(4, 3000)], work_s=1.0)
         await cell.until(lambda: used_cores(cell) > CORES / 2, 5.0)
@@ -216,7 +216,7 @@
         await cell.all_done(60.0)
         assert now() - began > 1.0
 
-    play(scene, seed=seed)
+    run_scenario(scenario, seed=seed)
 
 
 def used_cores(cell):
@@ -231,7 +231,7 @@
     They must start again, there or elsewhere, and finish.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         job = await submit_running(cell, 12, 5.0)
         worker = next(w for w in cell.workers.values() if w.runs)
         lost = set(runs_on([worker]))
@@ -242,4 +242,4 @@
         assert cell.final(job) is JobStatus.COMPLETED
         assert all(cell.checks.last_start[task] > crashed_at for task in lost)
 
-    play(scene, seed=seed)
+    run_scenario(scenario, seed=seed)
--- a/tests/services/test_worker_link.py
+++ b/tests/services/test_worker_link.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_link_that_is_cancelled_as_its_ends_are_stored_ends():
@@ -13,7 +13,7 @@
     to rest until the platform kills it.
     """
 
-    async def scene(cell):
+    async def scenario(cell):
         lead = cell.lead().lead
         links = lead.term.links
         stopping = []
@@ -30,4 +30,4 @@
         await cell.until(lambda: stopping, 5.0)
         await cell.until(stopping[0].done, 5.0)
 
-    play(scene)
+    run_scenario(scenario)
