--- a/src/firhook/decide/_waiting.py
+++ b/src/firhook/decide/_waiting.py
@@ -70,7 +70,8 @@
         for step in job.steps.values():
             if step.ready_at is None or now - step.ready_at < _MIN_WAIT_S:
                 continue
-            if step.remaining and not any(_is_active(run, answering) for run in step.runs()
+            if step.remaining and not any(
+                _is_active(run, answering) for run in step.runs()
             ):
                 yield step.ready_at, step.name, step
 
--- a/src/firhook/services/_advising.py
+++ b/src/firhook/services/_adviser_client.py
@@ -1,4 +1,4 @@
-"""Asking the adviser, through whichever instance it answers first."""
+"""The lead's questions to the adviser, sent through the instance that is fastest."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,47 +14,47 @@
 from firhook.logs import log
 from firhook.services._events import AskInstance
 
-#: A step whose answer is so much later than it should be is asked about elsewhere.
-#: An instance that is gone costs a quote this much of its half second; answers
-#: through a peer come within 5 ms of when they should.
-_SLACK_S = 0.25
-#: An answer that is so much later does not come any more.
-_LOST_S = 3.0
+#: If an answer is overdue by more than this, the question is repeated through
+#: another instance.  A quote has half a second, of which an unreachable instance
+#: costs this much.  Answers through a peer arrive within 5 ms of the expected time.
+_LATE_AFTER_S = 0.25
+#: An answer that is overdue by more than this is considered lost.
+_LOST_AFTER_S = 3.0
 
 
-class Advising:
-    """Carries out what the lead wants to know of the adviser.
+class AdviserClient:
+    """Asks the adviser the lead's questions.
 
-    :param tickets: where answers go.
-    :param plan: keeps seats at the adviser for fast questions.
-    :param spawn: runs work beside the caller.
-    :param answered: called after each answer, or when none came.
+    :param tickets: stores the answers.
+    :param slot_plan: reserves adviser slots for fast questions.
+    :param spawn: starts a coroutine as a background task.
+    :param on_answer: called after each answer, and when an answer is late or lost.
     """
 
     def __init__(
         self,
         instance: Instance,
         tickets: TicketTable,
-        plan: SlotPlan,
+        slot_plan: SlotPlan,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
-        answered: Callable[[], None],
+        on_answer: Callable[[], None],
     ) -> None:
         self._instance = instance
         self._tickets = tickets
         self._spawn = spawn
-        self._answered = answered
-        self._seats: dict[str, AdviserSlot] = {}
-        self._plan = plan
+        self._on_answer = on_answer
+        self._slots: dict[str, AdviserSlot] = {}
+        self._slot_plan = slot_plan
 
     def ask_all(self, wishes: list[AdviceRequest], now: float) -> None:
-        """Ask what is wished for, as far as instances are free to."""
+        """Ask the most urgent questions first, as long as adviser slots are free."""
         for wish in wishes:
             advice = self._tickets.advice_for(wish.step)
             if not advice.queued:
-                # Once for each question, however often it is put off.
+                # Counted once per question, however often it is deferred.
                 advice.queued = True
-                self._plan.record_request(_kind(wish), wish.cost_s, now)
-        self._plan.set_waiting((_kind(w), w.cost_s) for w in wishes)
+                self._slot_plan.record_request(_question_class(wish), wish.cost_s, now)
+        self._slot_plan.set_waiting((_question_class(w), w.cost_s) for w in wishes)
         for wish in sorted(wishes, key=lambda w: w.order_key):
             self._ask_one(wish, now)
 
@@ -62,67 +62,69 @@
         advice = self._tickets.advice_for(wish.step)
         if advice.in_flight:
             return
-        seat = choose_slot(self._current_seats(), wish.cost_s, self._plan, now)
-        if seat is None:
+        slot = choose_slot(self._current_slots(), wish.cost_s, self._slot_plan, now)
+        if slot is None:
             return
         advice.in_flight = True
-        seat.busy_until = max(seat.busy_until, now) + wish.cost_s
-        self._spawn(self._ask(wish, seat))
+        slot.busy_until = max(slot.busy_until, now) + wish.cost_s
+        self._spawn(self._ask(wish, slot))
 
-    def _current_seats(self) -> list[AdviserSlot]:
+    def _current_slots(self) -> list[AdviserSlot]:
         peers = self._instance.replica.peers.values()
-        # The records that an instance reads at its start fill its link for seconds,
-        # and a question through it is lost in the meantime.
+        # The records that a starting instance reads fill its network link for
+        # seconds.  Questions through it would be lost meanwhile.
         names = {peer.name for peer in peers if not peer.catching_up}
         names.add(self._instance.settings.name)
-        if names != set(self._seats):
-            self._seats = {n: self._seats.get(n) or AdviserSlot(n) for n in names}
-        return list(self._seats.values())
+        if names != set(self._slots):
+            self._slots = {n: self._slots.get(n) or AdviserSlot(n) for n in names}
+        return list(self._slots.values())
 
-    async def _ask(self, wish: AdviceRequest, seat: AdviserSlot) -> None:
+    async def _ask(self, wish: AdviceRequest, slot: AdviserSlot) -> None:
         began = boot_time()
         names = tuple(name for name, _ in wish.workers)
-        expected_s = max(seat.busy_until - began, wish.cost_s)
+        expected_s = max(slot.busy_until - began, wish.cost_s)
         advice = self._tickets.advice_for(wish.step)
         asking = asyncio.create_task(
-            self._ask_through(seat.name, wish.step.name, names, expected_s + _LOST_S)
+            self._ask_through(
+                slot.name, wish.step.name, names, expected_s + _LOST_AFTER_S
+            )
         )
         is_late = False
         try:
-            done, _ = await asyncio.wait({asking}, timeout=expected_s + _SLACK_S)
+            done, _ = await asyncio.wait({asking}, timeout=expected_s + _LATE_AFTER_S)
             if not done:
                 is_late = True
-                seat.note_overdue()
+                slot.note_overdue()
                 advice.in_flight = advice.queued = False
-                self._note_late(wish, seat)
+                self._note_late(wish, slot)
             answer = await asking
         finally:
             asking.cancel()
             if is_late:
-                seat.clear_overdue()
+                slot.clear_overdue()
             else:
                 advice.in_flight = advice.queued = False
         now = boot_time()
         if answer is None:
-            seat.note_failure(now)
+            slot.note_failure(now)
         else:
-            seat.note_answer()
-            # Tickets hold from when the adviser gives them.  Of an answer that is
-            # late it is not known on which part of its way it was held up.
+            slot.note_answer()
+            # Tickets are valid from the moment at which the adviser issues them.
+            # It is unknown where a late answer was delayed, so that its tickets
+            # count from the expected time of the answer.
             advice.record_answer(wish.workers, answer, min(now, began + expected_s))
             queue = wish.step.job.queue.name
             self._instance.meters.time("advice", queue, now - began)
-        self._answered()
+        self._on_answer()
 
-    def _note_late(self, wish: AdviceRequest, seat: AdviserSlot) -> None:
-        """Have a step asked about elsewhere whose answer is late.
+    def _note_late(self, wish: AdviceRequest, slot: AdviserSlot) -> None:
+        """Allow a late question to be asked again through another instance.
 
-        The answer is waited for all the same: what it says of workers holds, and it
-        may be the first one.
+        The late answer is still awaited: it is valid, and it may arrive first.
         """
-        log("advice.late", level="warning", peer=seat.name, step=wish.step.name)
-        self._instance.meters.count("advice_late", seat.name)
-        self._answered()
+        log("advice.late", level="warning", peer=slot.name, step=wish.step.name)
+        self._instance.meters.count("advice_late", slot.name)
+        self._on_answer()
 
     async def _ask_through(
         self, instance: str, step: str, workers: tuple[str, ...], timeout_s: float
@@ -144,5 +146,5 @@
         return Advice({t.worker: t.ticket for t in reply.tickets}, reply.valid_s)
 
 
-def _kind(wish: AdviceRequest) -> str:
+def _question_class(wish: AdviceRequest) -> str:
     return wish.step.job.queue.address
--- a/src/firhook/services/_placing.py
+++ b/src/firhook/services/_placer.py
@@ -1,4 +1,4 @@
-"""Placing: which worker gets which task of a lead's term, round by round."""
+"""The placement rounds of a lead's term, which assign tasks to workers."""
 
 from collections.abc import Callable, Mapping
 
@@ -16,14 +16,14 @@
 from firhook.decide.waiting import longest_waiting
 from firhook.logs import log
 from firhook.meters import Meters
-from firhook.services._advising import Advising
+from firhook.services._adviser_client import AdviserClient
 from firhook.services._worker_link import WorkerLink
 
-#: The weight of the newest urgent step in the mean of what they need: the last
-#: twenty or so count.
+#: The weight of the newest urgent step in the running mean of their CPU need.  About
+#: the last twenty steps count.
 _URGENT_WEIGHT = 0.1
-#: How often the lead tells what has waited longest.
-_TELL_EVERY_S = 1.0
+#: The interval at which the lead logs the steps that have waited longest.
+_LOG_INTERVAL_S = 1.0
 
 PlaceRound = Callable[
     [JobTable, dict[str, WorkerView], TicketTable, float],
@@ -31,69 +31,69 @@
 ]
 
 
-class Placing:
-    """Holds rounds: shows the workers to the decision, and carries out what it says.
+class Placer:
+    """Runs placement rounds and carries out their decisions.
 
-    :param links: the workers that are known, by name.
-    :param decide: which waiting tasks start, and where.
+    :param links: the known workers, by name.
+    :param place_round: decides which waiting tasks start, and on which workers.
     """
 
     def __init__(
         self,
-        book: JobTable,
+        job_table: JobTable,
         links: Mapping[str, WorkerLink],
         speeds: SpeedEstimator,
         tickets: TicketTable,
-        advising: Advising,
+        adviser_client: AdviserClient,
         meters: Meters,
-        decide: PlaceRound,
+        place_round: PlaceRound,
     ) -> None:
-        self._book = book
+        self._job_table = job_table
         self._links = links
         self._speeds = speeds
         self._tickets = tickets
-        self._advising = advising
+        self._adviser_client = adviser_client
         self._meters = meters
-        self._decide = decide
+        self._place_round = place_round
         self._urgent_need_m = 0
         self._waits: dict[str, WaitReason] = {}
-        self._told_at = float("-inf")
-        self._known_free: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
+        self._logged_at = float("-inf")
+        self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
-    def rest(self) -> None:
-        """Place nothing in a round; why steps wait is not known then."""
+    def skip_round(self) -> None:
+        """Skip a round, after which the reasons why steps wait are unknown."""
         self._waits = {}
 
     def place(self, now: float) -> None:
-        """Assign the tasks that may run now, and ask for the advice that is missing."""
+        """Assign the tasks that may run now, and ask the adviser about others."""
         self._waits = {}
-        if not self._book.open_steps:
+        if not self._job_table.open_steps:
             return
         views = self._views(now)
-        result = self._decide(self._book, views, self._tickets, now)
+        result = self._place_round(self._job_table, views, self._tickets, now)
         for placement in result.placements:
             step = placement.step
-            for run in self._book.plan(step, placement.tasks, now):
+            for run in self._job_table.plan(step, placement.tasks, now):
                 run.ticket = self._tickets.ticket_text(step, run.worker)
             if step.job.queue.priority == 0:
-                self._note_urgent(step.spec.reserved.cpu_m)
+                self._update_urgent_need(step.spec.reserved.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
         self._waits = result.wait_reasons
-        self._advising.ask_all(result.advice_requests, now)
-        self._tickets.retain_jobs(self._book.jobs)
+        self._adviser_client.ask_all(result.advice_requests, now)
+        self._tickets.retain_jobs(self._job_table.jobs)
         took_s = boot_time() - now
         self._meters.time("round", "", took_s)
 
-    def tell_waiting(self, now: float) -> None:
-        """Log what has waited longest, and why."""
-        if now - self._told_at < _TELL_EVERY_S:
+    def log_waiting(self, now: float) -> None:
+        """Log the steps that have waited longest, and why they wait."""
+        if now - self._logged_at < _LOG_INTERVAL_S:
             return
-        self._told_at = now
-        answering = {n for n, link in self._links.items() if not link.doubted}
+        self._logged_at = now
+        answering = {n for n, link in self._links.items() if not link.suspected}
         waiting = longest_waiting(
-            self._book, self._waits, self._tickets, answering, now
+            self._job_table, self._waits, self._tickets, answering, now
         )
         if waiting:
             rows = [
@@ -110,16 +110,17 @@
             ]
             log("steps.waiting", steps=rows)
 
-    def _note_urgent(self, cpu_m: int) -> None:
-        """Keep a running mean of what urgent tasks need."""
+    def _update_urgent_need(self, cpu_m: int) -> None:
+        """Update the running mean of the CPU need of urgent tasks, in millicores."""
         self._urgent_need_m += int((cpu_m - self._urgent_need_m) * _URGENT_WEIGHT)
 
     def _views(self, now: float) -> dict[str, WorkerView]:
         views = {}
         late = {
-            name: link.answers.overdue_since(now) for name, link in self._links.items()
+            name: link.pending_calls.overdue_since(now)
+            for name, link in self._links.items()
         }
-        dark = suspected_zones(
+        cutoffs = suspected_zones(
             (self._links[name].entry.zone, due)
             for name, due in late.items()
             if due is not None
@@ -128,13 +129,20 @@
             if late[name] is not None or not link.usable(now):
                 continue
             entry = link.entry
-            if dark and link.answered_at < dark.get(entry.zone, link.answered_at):
+            if cutoffs and link.last_reply_at < cutoffs.get(
+                entry.zone, link.last_reply_at
+            ):
                 continue
-            running = len(self._book.worker_runs.get(name, ()))
+            running = len(self._job_table.worker_runs.get(name, ()))
             if not link.health.accepts(running, now):
                 continue
             view = WorkerView(
-                name, link.life, entry.pool, entry.rack, entry.labels, self._free(link)
+                name,
+                link.incarnation,
+                entry.pool,
+                entry.rack,
+                entry.labels,
+                self._free(link),
             )
             view.slow = self._speeds.is_slow(name)
             view.urgent_cpu_m = urgent_headroom_m(
@@ -144,15 +152,16 @@
         return views
 
     def _free(self, link: WorkerLink) -> Resources:
-        """Return what is left on a worker.
+        """Return the free resources of a worker.
 
-        Most workers are as they were a round ago.  Load: 270 workers, and a round
-        with each change of one of them.  Harm: worked out anew for all of them it
-        was a quarter of a round, during which the lead does nothing else.
+        The result is cached, as most workers are unchanged since the last round.
+        With 270 workers and a round after each change of one of them, computing it
+        again for all took a quarter of a round, during which the lead does nothing
+        else.
         """
-        use = self._book.worker_usage.get(link.name, NO_RESOURCES)
-        known = self._known_free.get(link.name)
-        if known is None or known[0] is not link.entry or known[1] is not use:
+        use = self._job_table.worker_usage.get(link.name, NO_RESOURCES)
+        cached = self._free_cache.get(link.name)
+        if cached is None or cached[0] is not link.entry or cached[1] is not use:
             free = link.entry.capacity.subtract(use)
-            known = self._known_free[link.name] = (link.entry, use, free)
-        return known[2]
+            cached = self._free_cache[link.name] = (link.entry, use, free)
+        return cached[2]
