--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -126,7 +126,6 @@
             now - self.last_reply_at < _SILENCE_LIMIT_S
             and self.incarnation >= self.entry.incarnation
         )
-        )
 
     def lease_until(self) -> float:
         """Return the end of a lease granted now, on the worker's clock.
