--- a/tests/services/test_left_askers.py
+++ b/tests/services/test_left_askers.py
@@ -141,7 +141,7 @@
             raise RuntimeError("on purpose")
 
         lead.bus._handlers[StoreLatency] = fail
-        lead._offer("stopping", boot_time())
+        lead._start_offer("stopping", boot_time())
         await pause(0.1)
 
     assert play_unheard(play) == []
