--- a/bench/_lab/_cell.py
+++ b/bench/_lab/_cell.py
@@ -76,9 +76,11 @@
         super().__init__()
         self.began: dict[str, float] = {}
 
-    def started(self, at: float, task: str, worker: str, life: int, run: int) -> None:
+    def started(
+        self, at: float, task: str, worker: str, incarnation: int, run: int
+    ) -> None:
         """See :meth:`Checks.started`."""
-        super().started(at, task, worker, life, run)
+        super().started(at, task, worker, incarnation, run)
         self.began.setdefault(task.partition(".")[0], at)
 
 
@@ -92,8 +94,8 @@
     def _class_of(self, step: str) -> JobClass:
         return self._classes[step.partition(".")[0]]
 
-    def takes_s(self, step: str, workers: int) -> float:
-        """See :meth:`ModelAdviser.takes_s`."""
+    def answer_duration_s(self, step: str, workers: int) -> float:
+        """See :meth:`ModelAdviser.answer_duration_s`."""
         return self._class_of(step).advice_takes_s(workers)
 
     def may_run(self, step: str, worker: str) -> bool:
@@ -263,14 +265,16 @@
             return one != other and (one in zones or other in zones)
 
         zones_of = {name: self._zone(name) for name in self.instances}
-        self.cuts[:] = [
+        self.cut_links[:] = [
             {one, other}
             for one, other in itertools.combinations(zones_of, 2)
             if apart(zones_of[one], zones_of[other])
         ]
         self.store.mode = {n: "silent" for n, zone in zones_of.items() if zone in zones}
         for worker in self.workers.values():
-            worker.cut_from = {n for n in zones_of if apart(worker.zone, zones_of[n])}
+            worker.unreachable_from = {
+                n for n in zones_of if apart(worker.zone, zones_of[n])
+            }
 
 
 def _route(kind: JobClass) -> dict[str, Any]:
@@ -318,5 +322,5 @@
     """
     cell = LabCell(day, lead, bounds)
     outcomes = run_virtual(cell.play())
-    assert not cell.checks.broken, cell.checks.broken[:3]
+    assert not cell.checks.violations, cell.checks.violations[:3]
     return outcomes
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -43,7 +43,7 @@
             await lose_the_lead(fleet, lead)
             await stop_one(fleet, lead)
             await withdraw(fleet, lead)
-            broken = fleet.model.checks.broken
+            broken = fleet.model.checks.violations
             expect("no task ran twice, no worker was overfull", not broken, broken)
 
 
--- a/src/firhook/_calls.py
+++ b/src/firhook/_calls.py
@@ -13,7 +13,7 @@
 from firhook.decide.queue import CLASSES
 from firhook.decide.retry import IDEMPOTENT
 from firhook.errors import FirhookError, NotPermittedError, RequestMalformedError
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 from firhook.queries import CheckFresh
 
 PREFIX = "/r/"
@@ -181,7 +181,7 @@
         exc.extra.setdefault("earlier_attempts", "unknown")
 
 
-def whole_response(answer: Exchange, closing: bool) -> web.Response:
+def whole_response(answer: EndpointResponse, closing: bool) -> web.Response:
     """Return a runner's answer to the caller.
 
     :param closing: whether to close the caller's connection after it.
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -16,7 +16,7 @@
 from firhook.decide.grants import GrantBook
 from firhook.decide.limits import Account
 from firhook.logs import log
-from firhook.platform.clients import CountedLog, Platform
+from firhook.platform.clients import CountingLog, Platform
 from firhook.state import States
 from firhook.stats import Stats
 
@@ -112,7 +112,7 @@
         super().__init__()
         self.cfg = cfg
         self.stats = Stats(clock)
-        counted = CountedLog(platform.log, self.stats.counters)
+        counted = CountingLog(platform.log, self.stats.counters)
         self.platform = attrs.evolve(platform, log=counted)
         self.clock = clock
         self.lane = f"{cfg.name}#{incarnation}"
--- a/src/firhook/platform/_base.py
+++ b/src/firhook/platform/_base.py
@@ -66,14 +66,14 @@
     """Reaches workers."""
 
     @abstractmethod
-    async def look(self, worker: Endpoint) -> Report:
+    async def poll(self, worker: Endpoint) -> Report:
         """Return the worker's inventory and clock, and change nothing.
 
         :raises WorkerUnreachableError: if it did not answer.
         """
 
     @abstractmethod
-    async def sync(self, worker: Endpoint, order: Order) -> Report:
+    async def send_order(self, worker: Endpoint, order: Order) -> Report:
         """Give an order and return the inventory after it.
 
         :raises WorkerUnreachableError: if it did not answer; the order may have
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen(slots=True)
-class Exchange:
+class EndpointResponse:
     """An answer of a runner, whole.
 
     :param leaving: whether the runner said that it takes no new work.
@@ -108,7 +108,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> Exchange:
+    ) -> EndpointResponse:
         """Send a request and return the whole answer.
 
         :raises NoEndpointError: if certainly no byte of the request was sent.
--- a/src/firhook/platform/_client.py
+++ b/src/firhook/platform/_client.py
@@ -11,7 +11,7 @@
 #: A connection on which sent bytes stay without acknowledgement for so long is
 #: dropped.  A peer behind a partition answers nothing, not even a reset, and
 #: the kernel by itself would wait for many minutes.
-UNACKNOWLEDGED_MS = 1500
+TCP_USER_TIMEOUT_MS = 1500
 #: Probes on an idle connection: after a second, each second, three missed.
 _KEEPALIVE = (
     (socket.TCP_KEEPIDLE, 1),
@@ -20,22 +20,22 @@
 )
 #: An idle connection is kept so long.  New connections to workers are priced,
 #: and each costs a round trip.
-_KEEP_IDLE_S = 30.0
+_IDLE_CONNECTION_S = 30.0
 #: Connections to one worker or to the store.
-_PER_HOST = 32
-_SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+_MAX_CONNECTIONS_PER_HOST = 32
+_SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class NotSentError(Exception):
     """Nothing was sent, since no connection could be made."""
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """No whole answer came; the call may have been carried out, or may yet be."""
 
 
 @attrs.frozen(slots=True)
-class Answer:
+class Response:
     """An answer, whole."""
 
     status: int
@@ -46,7 +46,7 @@
     family, kind, proto, _, _ = info
     sock = socket.socket(family=family, type=kind, proto=proto)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for option, value in _KEEPALIVE:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
@@ -57,14 +57,14 @@
     """Return the session that an instance makes its calls with."""
     connector = aiohttp.TCPConnector(
         limit=0,
-        limit_per_host=_PER_HOST,
-        keepalive_timeout=_KEEP_IDLE_S,
+        limit_per_host=_MAX_CONNECTIONS_PER_HOST,
+        keepalive_timeout=_IDLE_CONNECTION_S,
         socket_factory=_make_socket,
     )
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
-        skip_auto_headers=_SKIPPED_HEADERS,
+        skip_auto_headers=_SUPPRESSED_HEADERS,
         auto_decompress=False,
     )
 
@@ -76,27 +76,27 @@
     timeout_s: float,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
-    longest_s: float | None = None,
-) -> Answer:
+    total_timeout_s: float | None = None,
+) -> Response:
     """Make a call and return the whole answer.
 
     :param timeout_s: how long to wait for the answer.
-    :param longest_s: how long the whole of a long answer may take, as long as
+    :param total_timeout_s: how long the whole of a long answer may take, as long as
         some of it comes within each ``timeout_s``; no longer than that if ``None``.
     :raises NotSentError: if certainly nothing was sent.
-    :raises NoAnswerError: if the call may have reached its receiver.
+    :raises NoResponseError: if the call may have reached its receiver.
     """
     timeout = aiohttp.ClientTimeout(
-        total=longest_s or timeout_s,
-        sock_read=timeout_s if longest_s else None,
-        sock_connect=timeout_s if longest_s else None,
+        total=total_timeout_s or timeout_s,
+        sock_read=timeout_s if total_timeout_s else None,
+        sock_connect=timeout_s if total_timeout_s else None,
     )
     target = URL(url, encoded=True)
     try:
         async with session.request(
             method, target, data=body, headers=headers, timeout=timeout
         ) as resp:
-            return Answer(resp.status, await resp.read())
+            return Response(resp.status, await resp.read())
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise NotSentError(repr(exc)) from exc
     except (
@@ -105,4 +105,4 @@
         OSError,
         asyncio.IncompleteReadError,
     ) as exc:
-        raise NoAnswerError(repr(exc)) from exc
+        raise NoResponseError(repr(exc)) from exc
--- a/src/firhook/platform/_config.py
+++ b/src/firhook/platform/_config.py
@@ -13,14 +13,14 @@
 )
 from firhook.platform._fields import (
     FieldError,
-    flag,
-    number,
+    get_bool,
+    get_int,
+    get_list,
+    get_number,
+    get_object,
+    get_str,
+    get_str_list,
     parse_json,
-    rows,
-    table,
-    text,
-    texts,
-    whole,
 )
 
 #: The key under which operators keep it.
@@ -33,71 +33,71 @@
     :raises FieldError: if it cannot be read.
     """
     data = parse_json(raw)
-    limits = table(data, "limits")
+    limits = get_object(data, "limits")
     return CellConfig(
-        version=whole(data, "version"),
+        version=get_int(data, "version"),
         # A route is a queue, a service a pool of workers, a tenant a team.
-        queues=tuple(_queue(row) for row in _objects(data, "routes")),
-        teams=tuple(_team(row) for row in _objects(data, "tenants")),
-        pools=tuple(_pool(row) for row in _objects(data, "services")),
-        max_body_bytes=whole(limits, "max_body_bytes", 262144),
+        queues=tuple(_decode_queue(row) for row in _get_object_list(data, "routes")),
+        teams=tuple(_decode_team(row) for row in _get_object_list(data, "tenants")),
+        pools=tuple(_decode_pool(row) for row in _get_object_list(data, "services")),
+        max_body_bytes=get_int(limits, "max_body_bytes", 262144),
     )
 
 
-def _objects(data: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    values = rows(data, name)
+def _get_object_list(data: dict[str, Any], name: str) -> list[dict[str, Any]]:
+    values = get_list(data, name)
     if not all(isinstance(value, dict) for value in values):
         raise FieldError(f"{name}: not a list of objects")
     return values
 
 
-def _queue(row: dict[str, Any]) -> Queue:
-    advice = table(row, "recommendation")
+def _decode_queue(row: dict[str, Any]) -> Queue:
+    advice = get_object(row, "recommendation")
     return Queue(
-        name=text(row, "name"),
-        host=text(row, "host"),
-        prefix=text(row, "path_prefix"),
-        pool=text(row, "service"),
-        priority=whole(row, "priority", 0),
-        max_attempts=whole(row, "max_attempts", 1),
-        slack_factor=number(row, "slack_factor", 1.0),
+        name=get_str(row, "name"),
+        host=get_str(row, "host"),
+        prefix=get_str(row, "path_prefix"),
+        pool=get_str(row, "service"),
+        priority=get_int(row, "priority", 0),
+        max_attempts=get_int(row, "max_attempts", 1),
+        slack_factor=get_number(row, "slack_factor", 1.0),
         # Not how long a job should take, but what its objective allows beside
         # a multiple of its work.
-        target_s=number(row, "target_duration_ms", 1000) / 1000,
-        anonymous=flag(row, "allow_anonymous"),
-        advice=_advice(advice) if advice else None,
+        target_s=get_number(row, "target_duration_ms", 1000) / 1000,
+        anonymous=get_bool(row, "allow_anonymous"),
+        advice=_decode_advice(advice) if advice else None,
     )
 
 
-def _advice(row: dict[str, Any]) -> AdvicePolicy:
+def _decode_advice(row: dict[str, Any]) -> AdvicePolicy:
     return AdvicePolicy(
-        base_s=number(row, "decision_ms") / 1000,
-        per_worker_s=number(row, "per_item_ms", 0) / 1000,
-        valid_s=number(row, "validity_ms", 1000) / 1000,
+        base_s=get_number(row, "decision_ms") / 1000,
+        per_worker_s=get_number(row, "per_item_ms", 0) / 1000,
+        valid_s=get_number(row, "validity_ms", 1000) / 1000,
     )
 
 
-def _team(row: dict[str, Any]) -> Team:
+def _decode_team(row: dict[str, Any]) -> Team:
     return Team(
-        name=text(row, "name"),
-        key_digests=frozenset(key_digest(key) for key in texts(row, "api_keys")),
-        weight=number(row, "weight", 1.0),
-        limit=decode_resources(table(row, "upper_limit")),
+        name=get_str(row, "name"),
+        key_digests=frozenset(key_digest(key) for key in get_str_list(row, "api_keys")),
+        weight=get_number(row, "weight", 1.0),
+        limit=decode_resources(get_object(row, "upper_limit")),
     )
 
 
-def _pool(row: dict[str, Any]) -> Pool:
+def _decode_pool(row: dict[str, Any]) -> Pool:
     return Pool(
-        name=text(row, "name"),
-        guards_capacity=flag(row, "enforce_capacity"),
-        standby=flag(row, "standby"),
+        name=get_str(row, "name"),
+        guards_capacity=get_bool(row, "enforce_capacity"),
+        standby=get_bool(row, "standby"),
     )
 
 
 def decode_resources(row: dict[str, Any]) -> Resources:
     """Decode amounts of processor, memory and accelerators."""
     return Resources(
-        cpu_m=int(number(row, "millicpus", 0)),
-        memory_mb=int(number(row, "task_memory_mb", 0)),
-        accelerators=int(number(row, "gpus", 0)),
+        cpu_m=int(get_number(row, "millicpus", 0)),
+        memory_mb=int(get_number(row, "task_memory_mb", 0)),
+        accelerators=int(get_number(row, "gpus", 0)),
     )
--- a/src/firhook/platform/_connections.py
+++ b/src/firhook/platform/_connections.py
@@ -21,10 +21,10 @@
     adviser: Adviser | None
 
     @abstractmethod
-    def workers(self, sending: Callable[[], bool]) -> Workers:
+    def workers(self, may_send: Callable[[], bool]) -> Workers:
         """Return a client of the workers.
 
-        :param sending: asked before each order is sent, whether the sender may
+        :param may_send: asked before each order is sent, whether the sender may
             still give orders.
         """
 
@@ -41,6 +41,6 @@
             HttpAdviser(session, settings.adviser) if settings.adviser else None
         )
 
-    def workers(self, sending: Callable[[], bool]) -> Workers:
+    def workers(self, may_send: Callable[[], bool]) -> Workers:
         """See :meth:`Connections.workers`."""
-        return HttpWorkers(self._session, sending)
+        return HttpWorkers(self._session, may_send)
--- a/src/firhook/platform/_counted.py
+++ b/src/firhook/platform/_counting_log.py
@@ -7,7 +7,7 @@
 from firhook.platform._base import LogPage, LogService
 
 
-class CountedLog(LogService):
+class CountingLog(LogService):
     """A log service that counts its traffic, for the metrics.
 
     Whatever role appends, and however it batches, the log sees what is counted
--- a/src/firhook/platform/_fields.py
+++ b/src/firhook/platform/_fields.py
@@ -29,7 +29,7 @@
     return data
 
 
-def text(data: dict[str, Any], name: str, default: str | None = None) -> str:
+def get_str(data: dict[str, Any], name: str, default: str | None = None) -> str:
     """Return a text."""
     value = data.get(name, default)
     if not isinstance(value, str):
@@ -37,7 +37,7 @@
     return value
 
 
-def number(data: dict[str, Any], name: str, default: float | None = None) -> float:
+def get_number(data: dict[str, Any], name: str, default: float | None = None) -> float:
     """Return a number that is not negative."""
     value = data.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
@@ -48,15 +48,15 @@
     return value
 
 
-def whole(data: dict[str, Any], name: str, default: int | None = None) -> int:
+def get_int(data: dict[str, Any], name: str, default: int | None = None) -> int:
     """Return a whole number that is not negative."""
-    value = number(data, name, default)
+    value = get_number(data, name, default)
     if value != int(value):
         raise FieldError(f"{name}: {value!r} is no whole number")
     return int(value)
 
 
-def flag(data: dict[str, Any], name: str) -> bool:
+def get_bool(data: dict[str, Any], name: str) -> bool:
     """Return a truth value; false if it is left out."""
     value = data.get(name, False)
     if not isinstance(value, bool):
@@ -64,7 +64,7 @@
     return value
 
 
-def table(data: dict[str, Any], name: str) -> dict[str, Any]:
+def get_object(data: dict[str, Any], name: str) -> dict[str, Any]:
     """Return an object; an empty one if it is left out."""
     value = data.get(name)
     if value is None:
@@ -74,7 +74,7 @@
     return value
 
 
-def rows(data: dict[str, Any], name: str) -> list[Any]:
+def get_list(data: dict[str, Any], name: str) -> list[Any]:
     """Return a list; an empty one if it is left out."""
     value = data.get(name)
     if value is None:
@@ -84,9 +84,9 @@
     return value
 
 
-def texts(data: dict[str, Any], name: str) -> list[str]:
+def get_str_list(data: dict[str, Any], name: str) -> list[str]:
     """Return a list of texts."""
-    values = rows(data, name)
+    values = get_list(data, name)
     if not all(isinstance(value, str) for value in values):
         raise FieldError(f"{name}: not a list of texts")
     return values
--- a/src/firhook/platform/_http.py
+++ b/src/firhook/platform/_http.py
@@ -21,7 +21,7 @@
 from firhook.platform._base import (
     Endpoint,
     EndpointClient,
-    Exchange,
+    EndpointResponse,
     InstanceList,
     LogEntry,
     LogPage,
@@ -55,7 +55,7 @@
 
 _LOG_RETRY_S = 2.0
 #: What an answer of the log raises that is cut short, late or no such answer.
-_UNREADABLE = (
+_RESPONSE_ERRORS = (
     aiohttp.ClientError,
     msgspec.MsgspecError,
     TimeoutError,
@@ -101,7 +101,7 @@
                 return int(answer["first"])
         except aiohttp.ClientConnectorError as exc:
             raise LogUnavailableError(str(exc), retry_after_s=_LOG_RETRY_S) from exc
-        except _UNREADABLE as exc:
+        except _RESPONSE_ERRORS as exc:
             raise LogOutcomeUnknownError(repr(exc), retry_after_s=_LOG_RETRY_S) from exc
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
@@ -123,7 +123,7 @@
                     for at, data in page["records"]
                 )
                 return LogPage(entries, int(page["end"]))
-        except _UNREADABLE as exc:
+        except _RESPONSE_ERRORS as exc:
             raise LogUnavailableError(repr(exc), retry_after_s=_LOG_RETRY_S) from exc
 
 
@@ -175,11 +175,11 @@
         self._session = session
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
 
-    async def look(self, worker: Endpoint) -> Report:
+    async def poll(self, worker: Endpoint) -> Report:
         """Return the inventory; see :class:`WorkerClient`."""
         return await self._call(worker, "GET", None)
 
-    async def sync(self, worker: Endpoint, order: Order) -> Report:
+    async def send_order(self, worker: Endpoint, order: Order) -> Report:
         """Give an order; see :class:`WorkerClient`."""
         # What is empty is left out: most orders only renew by digest.
         fields = {k: v for k, v in msgspec.to_builtins(order).items() if v}
@@ -199,15 +199,15 @@
                         f"{worker.name} answered {resp.status}"
                     )
                 return msgspec.json.decode(text, type=Report)
-        except _UNREADABLE as exc:
+        except _RESPONSE_ERRORS as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc!r}") from exc
 
 
 #: Runners commonly close a connection that was idle for five seconds or more.
 #: A request sent into that moment is cut, and nobody can tell whether it was
 #: run; connections are therefore given up well before.
-_IDLE_S = 3.0
-_CONNECT_S = 1.0
+_IDLE_CONNECTION_S = 3.0
+_CONNECT_TIMEOUT_S = 1.0
 _BODILESS = frozenset((204, 304))
 
 
@@ -222,9 +222,11 @@
     """
 
     def __init__(self, max_answer_bytes: int = 8 << 20) -> None:
-        self._max = max_answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._session = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=_IDLE_S),
+            connector=aiohttp.TCPConnector(
+                limit=0, keepalive_timeout=_IDLE_CONNECTION_S
+            ),
             # A cookie that a runner sets is for one caller; a jar would send
             # it with the requests of all.
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -249,14 +251,16 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> Exchange:
+    ) -> EndpointResponse:
         """Send a request; see :class:`EndpointClient`.
 
         No byte can have left when the connection was never made: refused,
         unreachable or not made in time.  Any other error leaves open whether
         the runner has the request, also on a reused connection that it closed.
         """
-        timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=_CONNECT_S)
+        timeout = aiohttp.ClientTimeout(
+            total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
+        )
         # The path goes out as it came in; decoding it and encoding it again
         # would turn "%2F" into a slash.
         url = URL(f"http://{endpoint.address}{path}", encoded=True)
@@ -264,16 +268,16 @@
             async with self._session.request(
                 method,
                 url,
-                headers=end_to_end(headers),
+                headers=end_to_end_headers(headers),
                 data=body or None,
                 timeout=timeout,
                 allow_redirects=False,
             ) as resp:
                 answer = await self._read_whole(endpoint, method, resp)
-                return _exchange(method, resp, answer)
+                return _to_response(method, resp, answer)
         except (aiohttp.ConnectionTimeoutError, aiohttp.ClientConnectorError) as exc:
             raise NoEndpointError(
-                f"{endpoint.name}: {exc}", retry_after_s=_CONNECT_S
+                f"{endpoint.name}: {exc}", retry_after_s=_CONNECT_TIMEOUT_S
             ) from exc
         except TimeoutError as exc:
             raise EndpointTimeoutError(f"{endpoint.name}: no answer in time") from exc
@@ -302,10 +306,11 @@
         async for chunk in resp.content.iter_any():
             chunks.append(chunk)
             size += len(chunk)
-            if size > self._max:
+            if size > self._max_answer_bytes:
                 resp.close()
                 raise EndpointFailedError(
-                    f"{endpoint.name}: answer over {self._max} B", ran="yes"
+                    f"{endpoint.name}: answer over {self._max_answer_bytes} B",
+                    ran="yes",
                 )
         return b"".join(chunks)
 
@@ -314,7 +319,7 @@
         await self._session.close()
 
 
-def end_to_end(headers: Mapping[str, str]) -> CIMultiDict[str]:
+def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
     """Return the headers that may pass on, repeated ones as often as they came.
 
     Besides the well-known ones, those that the Connection header names belong
@@ -325,14 +330,16 @@
     return CIMultiDict((k, v) for k, v in headers.items() if k.lower() not in dropped)
 
 
-def _exchange(method: str, resp: aiohttp.ClientResponse, body: bytes) -> Exchange:
-    headers = end_to_end(resp.headers)
+def _to_response(
+    method: str, resp: aiohttp.ClientResponse, body: bytes
+) -> EndpointResponse:
+    headers = end_to_end_headers(resp.headers)
     length = resp.headers.get("Content-Length")
     if length is not None and (method == "HEAD" or resp.status in _BODILESS):
         # It tells the length of the body that a GET would have got.
         headers["Content-Length"] = length
     pairs = tuple(headers.items())
-    return Exchange(resp.status, pairs, body, "X-Leaving" in resp.headers)
+    return EndpointResponse(resp.status, pairs, body, "X-Leaving" in resp.headers)
 
 
 def http_platform(
--- a/src/firhook/platform/_instance.py
+++ b/src/firhook/platform/_instance.py
@@ -8,7 +8,13 @@
 
 from firhook.address import Address
 from firhook.errors import SettingsInvalidError
-from firhook.platform._fields import FieldError, number, table, text, whole
+from firhook.platform._fields import (
+    FieldError,
+    get_int,
+    get_number,
+    get_object,
+    get_str,
+)
 
 
 @attrs.frozen(slots=True)
@@ -29,43 +35,43 @@
 class Bounds:
     """Times that the platform and its users hold the system to, in seconds.
 
-    :param config_s: a configuration is in force everywhere so soon.
+    :param config_apply_s: a configuration is in force everywhere so soon.
     :param revocation_s: a withdrawn key is refused everywhere so soon.
     :param drain_s: a worker that leaves gets no new work after this.
-    :param stop_s: a process that is told to stop is killed after this.
+    :param stop_grace_s: a process that is told to stop is killed after this.
     :param lease_s: the longest lease that a worker grants.
     :param task_stop_s: a task that is stopped ends within this.
-    :param gang_s: members of a gang wait so long for the others.
+    :param gang_timeout_s: members of a gang wait so long for the others.
     :param cancel_s: no task of a cancelled job starts after this.
-    :param visible_s: an accepted job is seen everywhere so soon.
+    :param job_visibility_s: an accepted job is seen everywhere so soon.
     :param status_s: an ended job is kept at least so long.
-    :param early_s: a timed task may start so much before it is due.
+    :param early_start_s: a timed task may start so much before it is due.
     :param checkpoint_s: a task saves its progress so often.
     :param restore_s: resuming from a checkpoint takes so long.
-    :param holder_s: how long another holder of a machine must keep away.
-    :param pacing_s: a change of a task's pace works after so long.
-    :param interference_s: a serving task may be over its target so long.
-    :param notice_s: a task that was moved counts as away so long.
+    :param machine_lease_s: how long another holder of a machine must keep away.
+    :param throttle_delay_s: a change of a task's pace works after so long.
+    :param max_overrun_s: a serving task may be over its target so long.
+    :param move_notice_s: a task that was moved counts as away so long.
     :param remote_slowdown: tasks away from their data take so many times longer.
     """
 
-    config_s: float = 2.0
+    config_apply_s: float = 2.0
     revocation_s: float = 5.0
     drain_s: float = 2.0
-    stop_s: float = 6.0
+    stop_grace_s: float = 6.0
     lease_s: float = 10.0
     task_stop_s: float = 0.4
-    gang_s: float = 3.0
+    gang_timeout_s: float = 3.0
     cancel_s: float = 3.0
-    visible_s: float = 3.0
+    job_visibility_s: float = 3.0
     status_s: float = 120.0
-    early_s: float = 0.25
+    early_start_s: float = 0.25
     checkpoint_s: float = 0.5
     restore_s: float = 0.6
-    holder_s: float = 3.0
-    pacing_s: float = 0.1
-    interference_s: float = 4.0
-    notice_s: float = 4.5
+    machine_lease_s: float = 3.0
+    throttle_delay_s: float = 0.1
+    max_overrun_s: float = 4.0
+    move_notice_s: float = 4.5
     remote_slowdown: float = 2.0
 
 
@@ -105,7 +111,7 @@
     try:
         with path.open("rb") as file:
             data = tomllib.load(file)
-        return _settings(data)
+        return _decode_settings(data)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         problems = [f"{path.name}: {exc}"]
     except (FieldError, ValueError) as exc:
@@ -113,79 +119,79 @@
     raise SettingsInvalidError(problems[0], problems=problems)
 
 
-def _settings(data: dict[str, Any]) -> InstanceSettings:
-    listen = table(data, "listen_addresses")
-    limits = table(data, "limits")
+def _decode_settings(data: dict[str, Any]) -> InstanceSettings:
+    listen = get_object(data, "listen_addresses")
+    limits = get_object(data, "limits")
     ports = data.get("internal_port_range")
     if not isinstance(ports, list) or not all(type(p) is int for p in ports):
         raise FieldError("internal_port_range: give two ports")
     return InstanceSettings(
-        name=text(data, "node_name"),
-        zone=text(data, "zone"),
-        ip=text(data, "ip_address"),
-        callers=_address(listen, "frontend"),
-        probe=_address(listen, "readiness"),
+        name=get_str(data, "node_name"),
+        zone=get_str(data, "zone"),
+        ip=get_str(data, "ip_address"),
+        callers=_decode_address(listen, "frontend"),
+        probe=_decode_address(listen, "readiness"),
         peer_port=ports[0],
-        store=_address(table(data, "platform"), "address"),
+        store=_decode_address(get_object(data, "platform"), "address"),
         # The service is called by the name of what it gives, a recommendation.
-        adviser=_optional_address(data, "recommendation"),
-        machines_api=_optional_address(table(data, "cloud_api"), "address"),
+        adviser=_decode_optional_address(data, "recommendation"),
+        machines_api=_decode_optional_address(get_object(data, "cloud_api"), "address"),
         # A share of a core that is so many times as fast as a plain one.
-        strength=number(limits, "cpu_share", 1) * number(limits, "cores", 1),
-        heartbeat_s=number(data, "heartbeat_interval_ms", 1500) / 1000,
-        bounds=_bounds(table(data, "bounds")),
-        store_limits=_store_limits(table(data, "platform")),
+        strength=get_number(limits, "cpu_share", 1) * get_number(limits, "cores", 1),
+        heartbeat_s=get_number(data, "heartbeat_interval_ms", 1500) / 1000,
+        bounds=_decode_bounds(get_object(data, "bounds")),
+        store_limits=_decode_store_limits(get_object(data, "platform")),
     )
 
 
-def _address(data: dict[str, Any], name: str) -> Address:
-    host, _, port = text(data, name).rpartition(":")
+def _decode_address(data: dict[str, Any], name: str) -> Address:
+    host, _, port = get_str(data, name).rpartition(":")
     if not host or not port.isdigit():
         raise FieldError(f"{name}: give an IP number and a port")
     return Address(host, int(port))
 
 
-def _optional_address(data: dict[str, Any], name: str) -> Address | None:
-    return _address(data, name) if data.get(name) else None
+def _decode_optional_address(data: dict[str, Any], name: str) -> Address | None:
+    return _decode_address(data, name) if data.get(name) else None
 
 
-def _bounds(data: dict[str, Any]) -> Bounds:
-    plain = Bounds()
+def _decode_bounds(data: dict[str, Any]) -> Bounds:
+    defaults = Bounds()
 
     def seconds(name: str, default: float) -> float:
         if name.endswith("_ms"):
-            return number(data, name, default * 1000) / 1000
-        return number(data, name, default)
+            return get_number(data, name, default * 1000) / 1000
+        return get_number(data, name, default)
 
     return Bounds(
-        config_s=seconds("config_apply_ms", plain.config_s),
-        revocation_s=seconds("revocation_ms", plain.revocation_s),
-        drain_s=seconds("drain_ms", plain.drain_s),
-        stop_s=seconds("grace_period_s", plain.stop_s),
+        config_apply_s=seconds("config_apply_ms", defaults.config_apply_s),
+        revocation_s=seconds("revocation_ms", defaults.revocation_s),
+        drain_s=seconds("drain_ms", defaults.drain_s),
+        stop_grace_s=seconds("grace_period_s", defaults.stop_grace_s),
         # The most that a worker holds its tasks without a word.
-        lease_s=seconds("max_hold_ms", plain.lease_s),
-        task_stop_s=seconds("termination_grace_ms", plain.task_stop_s),
-        gang_s=seconds("gang_timeout_ms", plain.gang_s),
-        cancel_s=seconds("cancel_ms", plain.cancel_s),
-        visible_s=seconds("visible_ms", plain.visible_s),
-        status_s=seconds("status_s", plain.status_s),
-        early_s=seconds("early_ms", plain.early_s),
-        checkpoint_s=seconds("checkpoint_interval_s", plain.checkpoint_s),
-        restore_s=seconds("restore_ms", plain.restore_s),
+        lease_s=seconds("max_hold_ms", defaults.lease_s),
+        task_stop_s=seconds("termination_grace_ms", defaults.task_stop_s),
+        gang_timeout_s=seconds("gang_timeout_ms", defaults.gang_timeout_s),
+        cancel_s=seconds("cancel_ms", defaults.cancel_s),
+        job_visibility_s=seconds("visible_ms", defaults.job_visibility_s),
+        status_s=seconds("status_s", defaults.status_s),
+        early_start_s=seconds("early_ms", defaults.early_start_s),
+        checkpoint_s=seconds("checkpoint_interval_s", defaults.checkpoint_s),
+        restore_s=seconds("restore_ms", defaults.restore_s),
         # Of the holder of a machine, not of a worker's tasks.
-        holder_s=seconds("lease_duration_ms", plain.holder_s),
-        pacing_s=seconds("pacing_ms", plain.pacing_s),
-        interference_s=seconds("interference_ms", plain.interference_s),
-        notice_s=seconds("notice_period_ms", plain.notice_s),
-        remote_slowdown=number(data, "remote_slowdown", plain.remote_slowdown),
+        machine_lease_s=seconds("lease_duration_ms", defaults.machine_lease_s),
+        throttle_delay_s=seconds("pacing_ms", defaults.throttle_delay_s),
+        max_overrun_s=seconds("interference_ms", defaults.max_overrun_s),
+        move_notice_s=seconds("notice_period_ms", defaults.move_notice_s),
+        remote_slowdown=get_number(data, "remote_slowdown", defaults.remote_slowdown),
     )
 
 
-def _store_limits(data: dict[str, Any]) -> StoreLimits:
-    plain = StoreLimits()
+def _decode_store_limits(data: dict[str, Any]) -> StoreLimits:
+    defaults = StoreLimits()
     return StoreLimits(
-        record_bytes=whole(data, "record_bytes", plain.record_bytes),
-        append_bytes=whole(data, "request_bytes", plain.append_bytes),
-        writes_per_s=number(data, "writes_per_s", plain.writes_per_s),
-        reads_per_s=number(data, "reads_per_s", plain.reads_per_s),
+        record_bytes=get_int(data, "record_bytes", defaults.record_bytes),
+        append_bytes=get_int(data, "request_bytes", defaults.append_bytes),
+        writes_per_s=get_number(data, "writes_per_s", defaults.writes_per_s),
+        reads_per_s=get_number(data, "reads_per_s", defaults.reads_per_s),
     )
--- a/src/firhook/platform/_jobs.py
+++ b/src/firhook/platform/_jobs.py
@@ -10,12 +10,12 @@
 from firhook.platform._config import decode_resources
 from firhook.platform._fields import (
     FieldError,
-    flag,
-    number,
+    get_bool,
+    get_int,
+    get_list,
+    get_number,
+    get_str,
     parse_json,
-    rows,
-    text,
-    whole,
 )
 
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
@@ -26,7 +26,7 @@
 MAX_TASKS = 10000
 MAX_STEPS = 200
 
-_STATES = {
+_STATUS_BODIES = {
     JobStatus.QUEUED: b'{"state":"queued"}',
     JobStatus.RUNNING: b'{"state":"running"}',
     JobStatus.COMPLETED: b'{"state":"completed"}',
@@ -42,56 +42,58 @@
     """
     try:
         data = parse_json(raw)
-        job_text = text(data, "specification")
+        job_text = get_str(data, "specification")
         if len(job_text.encode()) > MAX_TEXT_BYTES:
             raise FieldError(f"specification: over {MAX_TEXT_BYTES} bytes")
-        steps = tuple(_step(row, i) for i, row in enumerate(rows(data, "steps")))
+        steps = tuple(
+            _decode_step(row, i) for i, row in enumerate(get_list(data, "steps"))
+        )
         if not 1 <= len(steps) <= MAX_STEPS:
             raise FieldError(f"steps: give 1 to {MAX_STEPS}")
         return JobSpec(
             text=job_text,
             steps=steps,
-            first_due=number(data, "start_time_ms", 0) / 1000,
-            interval_s=number(data, "interval_ms", 0) / 1000,
-            occurrences=whole(data, "repetitions", 0),
+            first_due=get_number(data, "start_time_ms", 0) / 1000,
+            interval_s=get_number(data, "interval_ms", 0) / 1000,
+            occurrences=get_int(data, "repetitions", 0),
         )
     except (FieldError, UnicodeEncodeError) as exc:
         raise RequestMalformedError(str(exc)) from exc
 
 
-def _step(row: Any, index: int) -> StepSpec:
+def _decode_step(row: Any, index: int) -> StepSpec:
     if not isinstance(row, dict):
         raise FieldError(f"steps.{index}: no object")
-    count = whole(row, "count")
+    count = get_int(row, "count")
     if not 1 <= count <= MAX_TASKS:
         raise FieldError(f"steps.{index}.count: give 1 to {MAX_TASKS}")
-    after = rows(row, "after")
+    after = get_list(row, "after")
     if not all(type(a) is int and 0 <= a < index for a in after):
         raise FieldError(f"steps.{index}.after: give numbers of earlier steps")
     return StepSpec(
         count=count,
         need=decode_resources(row),
-        estimate_s=number(row, "estimated_ms", 1000) / 1000,
+        estimate_s=get_number(row, "estimated_ms", 1000) / 1000,
         after=tuple(sorted(set(after))),
-        checkpoints=flag(row, "enable_checkpoints"),
-        gang=flag(row, "all_or_nothing"),
-        same_rack=flag(row, "same_rack"),
+        checkpoints=get_bool(row, "enable_checkpoints"),
+        gang=get_bool(row, "all_or_nothing"),
+        same_rack=get_bool(row, "same_rack"),
         # One label that the worker must have.
-        label=text(row, "requirements", ""),
-        data_rack=text(row, "data_rack", ""),
-        per_worker=whole(row, "anti_affinity", 0),
-        duplicates=flag(row, "allow_duplicates"),
-        lasting=flag(row, "run_forever"),
-        image=text(row, "image", ""),
-        target_s=number(row, "target_ms", 0) / 1000,
-        fills=flag(row, "fills"),
-        max_unavailable=whole(row, "max_unavailable", 0),
+        label=get_str(row, "requirements", ""),
+        data_rack=get_str(row, "data_rack", ""),
+        per_worker=get_int(row, "anti_affinity", 0),
+        duplicates=get_bool(row, "allow_duplicates"),
+        lasting=get_bool(row, "run_forever"),
+        image=get_str(row, "image", ""),
+        target_s=get_number(row, "target_ms", 0) / 1000,
+        fills=get_bool(row, "fills"),
+        max_unavailable=get_int(row, "max_unavailable", 0),
     )
 
 
 def encode_status(status: JobStatus) -> bytes:
     """Return the body that tells a caller where a job stands."""
-    return _STATES[status]
+    return _STATUS_BODIES[status]
 
 
 def encode_pending(count: int) -> bytes:
--- a/src/firhook/platform/_store.py
+++ b/src/firhook/platform/_store.py
@@ -20,8 +20,14 @@
     LogTrimmedError,
     LogUnavailableError,
 )
-from firhook.platform._client import Answer, NoAnswerError, NotSentError, call
-from firhook.platform._fields import FieldError, number, parse_json, rows, whole
+from firhook.platform._client import NoResponseError, NotSentError, Response, call
+from firhook.platform._fields import (
+    FieldError,
+    get_int,
+    get_list,
+    get_number,
+    parse_json,
+)
 
 #: The cell's own records.  A topic whose name begins so keeps the newest record
 #: of each key for good.
@@ -42,7 +48,7 @@
 #: takes 1.6 s on a link of 5 Mbit/s, and four partitions are read side by side
 #: when an instance starts.  With a limit as for short answers, instances on such
 #: links never got a first page after all had been without power.
-_LONGEST_READ_S = 12.0
+_MAX_READ_S = 12.0
 
 
 @attrs.frozen(slots=True)
@@ -59,7 +65,7 @@
 
 
 @attrs.frozen(slots=True)
-class Appended:
+class AppendResult:
     """Where records landed, and the offset that the next one will get."""
 
     offset: int
@@ -96,7 +102,7 @@
 
 
 @attrs.frozen(slots=True)
-class Newest:
+class NewestRecords:
     """The newest record of each key.
 
     :param end: where the partition ended before the first page was read: all
@@ -107,13 +113,13 @@
     end: int
 
 
-def encode_keyed(record: KeyedRecord) -> bytes:
+def encode_keyed_record(record: KeyedRecord) -> bytes:
     """Return a keyed record's content."""
     key = record.key.encode()
     return bytes((len(key),)) + key + (record.value or b"")
 
 
-def _decode_keyed(offset: int, content: bytes) -> StoredRecord | None:
+def _decode_keyed_record(offset: int, content: bytes) -> StoredRecord | None:
     if not content:
         return None
     end = 1 + content[0]
@@ -144,7 +150,7 @@
         producer: Producer | None = None,
         expected_end: int | None = None,
         timeout_s: float | None = None,
-    ) -> Appended:
+    ) -> AppendResult:
         """Append records, all or none; without records only set the epoch.
 
         :param expected_end: append only if the partition ends there.
@@ -165,9 +171,9 @@
         """
 
     @abstractmethod
-    async def newest(
+    async def read_newest(
         self, topic: str, partition: int = 0, after: str = "", until: str = ""
-    ) -> Newest:
+    ) -> NewestRecords:
         """Return the newest record of each key of a keyed topic.
 
         :param after: only of keys beyond this one, in the order of their bytes.
@@ -200,17 +206,22 @@
         query: str,
         body: bytes | None,
         timeout_s: float,
-        longest_s: float | None = None,
-    ) -> Answer:
+        total_timeout_s: float | None = None,
+    ) -> Response:
         url = f"{self._url}{name}{query}"
         try:
             answer = await call(
-                self._session, method, url, timeout_s, body, longest_s=longest_s
+                self._session,
+                method,
+                url,
+                timeout_s,
+                body,
+                total_timeout_s=total_timeout_s,
             )
         except NotSentError as exc:
             self._count(name, "not_sent")
             raise LogUnavailableError(str(exc), retry_after_s=_RETRY_S) from exc
-        except NoAnswerError as exc:
+        except NoResponseError as exc:
             self._count(name, "no_answer")
             raise LogOutcomeUnknownError(str(exc), retry_after_s=_RETRY_S) from exc
         self._count(name, str(answer.status))
@@ -228,7 +239,7 @@
         producer: Producer | None = None,
         expected_end: int | None = None,
         timeout_s: float | None = None,
-    ) -> Appended:
+    ) -> AppendResult:
         """See :meth:`Store.append`."""
         query = f"?topic={topic}&part={partition}"
         if producer is not None:
@@ -243,10 +254,10 @@
         if answer.status == 200:
             try:
                 data = parse_json(answer.body)
-                return Appended(whole(data, "offset", 0), whole(data, "end", 0))
+                return AppendResult(get_int(data, "offset", 0), get_int(data, "end", 0))
             except FieldError as exc:
                 raise LogOutcomeUnknownError(str(exc)) from exc
-        raise _append_error(answer)
+        raise _decode_append_error(answer)
 
     async def read(
         self, topic: str, partition: int, offset: int, wait_s: float = 0.0
@@ -256,7 +267,7 @@
         if wait_s > 0:
             query += f"&wait_ms={int(wait_s * 1000)}"
         answer = await self._call(
-            "GET", "read", query, None, wait_s + _READ_SLACK_S, _LONGEST_READ_S
+            "GET", "read", query, None, wait_s + _READ_SLACK_S, _MAX_READ_S
         )
         if answer.status == 410:
             raise LogTrimmedError(f"{topic} from {offset}")
@@ -264,27 +275,27 @@
             raise LogOutcomeUnknownError(f"the store answered {answer.status}")
         return _decode_slice(answer.body, offset)
 
-    async def newest(
+    async def read_newest(
         self, topic: str, partition: int = 0, after: str = "", until: str = ""
-    ) -> Newest:
-        """See :meth:`Store.newest`."""
+    ) -> NewestRecords:
+        """See :meth:`Store.read_newest`."""
         records: list[StoredRecord] = []
         end: int | None = None
         while True:
             query = f"?topic={topic}&part={partition}"
             if after:
-                query += f"&after={_quoted(after)}"
+                query += f"&after={_quote_key(after)}"
             answer = await self._call(
-                "GET", "newest", query, None, self._timeout_s, _LONGEST_READ_S
+                "GET", "newest", query, None, self._timeout_s, _MAX_READ_S
             )
             if answer.status != 200:
                 raise LogOutcomeUnknownError(f"the store answered {answer.status}")
             try:
                 data = parse_json(answer.body)
-                page = [_newest_record(item) for item in rows(data, "items")]
+                page = [_decode_newest_record(item) for item in get_list(data, "items")]
                 # Later pages may show later records; those are read again from
                 # the end that the first page told.
-                end = whole(data, "end", 0) if end is None else end
+                end = get_int(data, "end", 0) if end is None else end
                 more = data.get("has_more") is True
             except FieldError as exc:
                 raise LogOutcomeUnknownError(str(exc)) from exc
@@ -292,18 +303,18 @@
             records += [r for r in found if not until or r.key < until]
             beyond = bool(until) and any(r.key >= until for r in found)
             if not more or not page or page[-1] is None or beyond:
-                return Newest(tuple(records), end)
+                return NewestRecords(tuple(records), end)
             after = page[-1].key
 
 
-def _newest_record(item: Any) -> StoredRecord | None:
+def _decode_newest_record(item: Any) -> StoredRecord | None:
     if not isinstance(item, dict) or not isinstance(item.get("key"), str):
         return None
     try:
         value = base64.b64decode(item.get("value") or "")
     except (ValueError, TypeError):
         value = b""
-    return StoredRecord(int(number(item, "offset", 0)), item["key"], value or None)
+    return StoredRecord(int(get_number(item, "offset", 0)), item["key"], value or None)
 
 
 def _decode_slice(body: bytes, offset: int) -> Slice:
@@ -313,7 +324,7 @@
     while at + _LENGTH.size <= len(body):
         (length,) = _LENGTH.unpack_from(body, at)
         at += _LENGTH.size
-        record = _decode_keyed(offset, body[at : at + length])
+        record = _decode_keyed_record(offset, body[at : at + length])
         if record is not None:
             records.append(record)
         at += length
@@ -321,7 +332,7 @@
     return Slice(tuple(records), offset, end)
 
 
-def _append_error(answer: Answer) -> FirhookError:
+def _decode_append_error(answer: Response) -> FirhookError:
     try:
         data = parse_json(answer.body)
     except FieldError:
@@ -331,7 +342,9 @@
     if answer.status == 409 and reason == "fenced":
         return LogFencedError("a higher epoch has been seen")
     if answer.status == 409 and reason == "seq":
-        return LogSequenceError("another sequence number is expected", **_extra(data))
+        return LogSequenceError(
+            "another sequence number is expected", **_sequence_fields(data)
+        )
     if answer.status == 412:
         return LogMovedError("the partition ends elsewhere", end=data.get("end"))
     if answer.status == 507:
@@ -339,11 +352,11 @@
     return LogOutcomeUnknownError(f"the store answered {answer.status}")
 
 
-def _extra(data: dict[str, Any]) -> dict[str, Any]:
+def _sequence_fields(data: dict[str, Any]) -> dict[str, Any]:
     return {"expected": data.get("sequence")}
 
 
-def _quoted(key: str) -> str:
+def _quote_key(key: str) -> str:
     # Keys are our own or operators'; a slash is the only other sign in ours.
     return "".join(
         c
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -22,34 +22,34 @@
 )
 from firhook.errors import WorkerFencedError, WorkerUnreachableError
 from firhook.logs import log
-from firhook.platform._client import Answer, NoAnswerError, NotSentError, call
+from firhook.platform._client import NoResponseError, NotSentError, Response, call
 from firhook.platform._config import decode_resources
 from firhook.platform._fields import (
     FieldError,
-    number,
+    get_int,
+    get_list,
+    get_number,
+    get_object,
+    get_str,
+    get_str_list,
     parse_json,
-    rows,
-    table,
-    text,
-    texts,
-    whole,
 )
 
 #: A look waits so much longer for its answer than it asks the worker to wait.
-_LOOK_SLACK_S = 1.0
+_POLL_SLACK_S = 1.0
 #: How long to wait for the answer to an order.  Workers answer within
 #: milliseconds; one that is silent for so long is cut off, or answers nothing.
 ORDER_TIMEOUT_S = 0.8
 
-_REASONS = {
+_OUTCOMES_BY_REASON = {
     "fence": OrderOutcome.FENCED,
     "old": OrderOutcome.OLD,
     "late": OrderOutcome.LATE,
     "room": OrderOutcome.NO_ROOM,
     "ticket": OrderOutcome.NO_TICKET,
 }
-_ENDS = {end.value: end for end in End}
-_STATES = {"ready": False, "draining": True}
+_ENDS_BY_VALUE = {end.value: end for end in End}
+_DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 def decode_worker(name: str, raw: bytes) -> WorkerEntry | None:
@@ -60,20 +60,20 @@
     try:
         data = parse_json(raw)
         # The labels are the worker's kind and then its rack.
-        labels = texts(data, "labels")
+        labels = get_str_list(data, "labels")
         return WorkerEntry(
             name=name,
             # The moment at which this life of the worker began.
-            life=whole(data, "born", 0),
-            pool=text(data, "service"),
-            address=_host_port(text(data, "address")),
-            zone=text(data, "zone"),
-            capacity=decode_resources(table(data, "capacity")),
+            life=get_int(data, "born", 0),
+            pool=get_str(data, "service"),
+            address=_host_port(get_str(data, "address")),
+            zone=get_str(data, "zone"),
+            capacity=decode_resources(get_object(data, "capacity")),
             labels=frozenset(labels),
             rack=labels[1] if len(labels) > 1 else "",
-            draining=_STATES[text(data, "state")],
-            leaves_in_s=number(data, "drain_remaining_ms", 0) / 1000,
-            version=text(data, "version", ""),
+            draining=_DRAINING_BY_STATE[get_str(data, "state")],
+            leaves_in_s=get_number(data, "drain_remaining_ms", 0) / 1000,
+            version=get_str(data, "version", ""),
         )
     except (FieldError, KeyError) as exc:
         log("worker.entry_unreadable", level="warning", worker=name, error=str(exc))
@@ -87,22 +87,24 @@
     return value
 
 
-def _look(data: dict[str, Any]) -> Look:
+def _decode_poll_reply(data: dict[str, Any]) -> Look:
     return Look(
-        life=whole(data, "born", 0),
-        clock_s=number(data, "timestamp_ms") / 1000,
-        running=tuple(_running(row) for row in rows(data, "running")),
-        ended=tuple(_ended(row) for row in rows(data, "finished")),
+        life=get_int(data, "born", 0),
+        clock_s=get_number(data, "timestamp_ms") / 1000,
+        running=tuple(_decode_running_row(row) for row in get_list(data, "running")),
+        ended=tuple(_decode_ended_row(row) for row in get_list(data, "finished")),
     )
 
 
-def _running(row: list[Any]) -> RunningRow:
+def _decode_running_row(row: list[Any]) -> RunningRow:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
     return RunningRow(str(row[0]), int(row[1]), str(row[2]), float(row[3]), load)
 
 
-def _ended(row: list[Any]) -> EndedRow:
-    return EndedRow(int(row[0]), str(row[1]), int(row[2]), _ENDS[row[3]], str(row[4]))
+def _decode_ended_row(row: list[Any]) -> EndedRow:
+    return EndedRow(
+        int(row[0]), str(row[1]), int(row[2]), _ENDS_BY_VALUE[row[3]], str(row[4])
+    )
 
 
 class Workers(ABC):
@@ -113,7 +115,7 @@
     """
 
     @abstractmethod
-    async def look(
+    async def poll(
         self,
         worker: WorkerEntry,
         fence: int,
@@ -141,7 +143,7 @@
         """Order a run to be stopped; one that is not there yet never starts."""
 
     @abstractmethod
-    async def pace(
+    async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
         """Let a run work at a share of its full speed."""
@@ -150,16 +152,16 @@
 class HttpWorkers(Workers):
     """Calls to workers over HTTP; the only client of them.
 
-    :param sending: whether the sender may still give orders.
+    :param may_send: whether the sender may still give orders.
     """
 
     def __init__(
-        self, session: aiohttp.ClientSession, sending: Callable[[], bool]
+        self, session: aiohttp.ClientSession, may_send: Callable[[], bool]
     ) -> None:
         self._session = session
-        self._sending = sending
+        self._may_send = may_send
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerEntry,
         fence: int,
@@ -167,22 +169,22 @@
         lease_until_s: float | None,
         wait_s: float,
     ) -> Look:
-        """See :meth:`Workers.look`."""
+        """See :meth:`Workers.poll`."""
         body: dict[str, Any] = {"fencing_token": fence, "ack_cursor": ack}
         if lease_until_s is not None:
             body["deadline_ms"] = int(lease_until_s * 1000)
         if wait_s > 0:
             body["wait_ms"] = int(wait_s * 1000)
         try:
-            answer = await self._post(worker, "hold", body, wait_s + _LOOK_SLACK_S)
-        except (NotSentError, NoAnswerError) as exc:
+            answer = await self._post(worker, "hold", body, wait_s + _POLL_SLACK_S)
+        except (NotSentError, NoResponseError) as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc}") from exc
         if answer.status == 409:
             raise WorkerFencedError(worker.name)
         try:
             if answer.status != 200:
                 raise FieldError(f"answered {answer.status}")
-            return _look(parse_json(answer.body))
+            return _decode_poll_reply(parse_json(answer.body))
         except (FieldError, IndexError, KeyError, TypeError, ValueError) as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc}") from exc
 
@@ -208,48 +210,48 @@
         body = {"task": task, "run": run, "fencing_token": fence}
         return await self._order(worker, "run-stop", body)
 
-    async def pace(
+    async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
-        """See :meth:`Workers.pace`."""
+        """See :meth:`Workers.throttle`."""
         body = {"task": task, "run": run, "percent": percent, "fencing_token": fence}
         return await self._order(worker, "pace", body)
 
     async def _order(
         self, worker: WorkerEntry, name: str, body: dict[str, Any]
     ) -> OrderAnswer:
-        if not self._sending():
+        if not self._may_send():
             return OrderAnswer(OrderOutcome.NOT_SENT)
         try:
             answer = await self._post(worker, name, body, ORDER_TIMEOUT_S)
         except NotSentError:
             return OrderAnswer(OrderOutcome.NOT_SENT)
-        except NoAnswerError:
+        except NoResponseError:
             return OrderAnswer(OrderOutcome.UNKNOWN)
-        return _order_answer(answer)
+        return _decode_order_answer(answer)
 
     async def _post(
         self, worker: WorkerEntry, name: str, body: dict[str, Any], timeout_s: float
-    ) -> Answer:
+    ) -> Response:
         url = f"http://{worker.address}/-/{name}"
         headers = {"Expected-Instance": worker.name, "Content-Type": "application/json"}
         raw = msgspec.json.encode(body)
         return await call(self._session, "POST", url, timeout_s, raw, headers)
 
 
-def _order_answer(answer: Answer) -> OrderAnswer:
+def _decode_order_answer(answer: Response) -> OrderAnswer:
     try:
         data = parse_json(answer.body) if answer.body else {}
-        life = whole(data, "born", 0)
+        life = get_int(data, "born", 0)
         clock_s = (
-            number(data, "timestamp_ms") / 1000 if "timestamp_ms" in data else None
+            get_number(data, "timestamp_ms") / 1000 if "timestamp_ms" in data else None
         )
     except FieldError:
         data, life, clock_s = {}, 0, None
     if answer.status == 200:
         outcome = OrderOutcome.TAKEN
     elif answer.status == 409:
-        outcome = _REASONS.get(str(data.get("reason")), OrderOutcome.UNKNOWN)
+        outcome = _OUTCOMES_BY_REASON.get(str(data.get("reason")), OrderOutcome.UNKNOWN)
     elif answer.status == 421:
         outcome = OrderOutcome.WRONG_LIFE
     elif answer.status in (429, 503):
@@ -293,8 +295,14 @@
             if answer.status != 200:
                 raise FieldError(f"answered {answer.status}")
             data = parse_json(answer.body)
-            tickets = {str(row[0]): str(row[1]) for row in rows(data, "good")}
-            return Advice(tickets, number(data, "validity_ms", 0) / 1000)
-        except (FieldError, IndexError, TypeError, NotSentError, NoAnswerError) as exc:
+            tickets = {str(row[0]): str(row[1]) for row in get_list(data, "good")}
+            return Advice(tickets, get_number(data, "validity_ms", 0) / 1000)
+        except (
+            FieldError,
+            IndexError,
+            TypeError,
+            NotSentError,
+            NoResponseError,
+        ) as exc:
             log("advice.failed", level="warning", step=step, error=str(exc))
             return None
--- a/src/firhook/platform/clients.py
+++ b/src/firhook/platform/clients.py
@@ -4,7 +4,7 @@
 from firhook.platform._base import (
     Endpoint,
     EndpointClient,
-    Exchange,
+    EndpointResponse,
     InstanceList,
     LogEntry,
     LogPage,
@@ -12,13 +12,13 @@
     Platform,
     WorkerClient,
 )
-from firhook.platform._counted import CountedLog
+from firhook.platform._counting_log import CountingLog
 
 __all__ = [
-    "CountedLog",
+    "CountingLog",
     "Endpoint",
     "EndpointClient",
-    "Exchange",
+    "EndpointResponse",
     "InstanceList",
     "LogEntry",
     "LogPage",
--- a/src/firhook/queries.py
+++ b/src/firhook/queries.py
@@ -4,7 +4,7 @@
 
 from firhook._bus import Query
 from firhook.model import Row
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 
 
 @attrs.frozen(slots=True)
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen(slots=True)
-class OnceBegin(Query["Exchange | None"]):
+class OnceBegin(Query["EndpointResponse | None"]):
     """Claims the single run of a keyed non-idempotent request.
 
     The answer is ``None`` if the claim was seen to be first, so that the
@@ -124,7 +124,7 @@
     """Stores the outcome of a claimed request, without waiting for the log."""
 
     key: str
-    answer: Exchange
+    answer: EndpointResponse
 
 
 @attrs.frozen(slots=True)
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -32,7 +32,7 @@
 from firhook.kernel import Role, register_role
 from firhook.logs import log
 from firhook.model import Endpoint, Gossip
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
@@ -140,7 +140,7 @@
         finally:
             self._callers -= 1
 
-    async def _answer(self, call: Call) -> Exchange:
+    async def _answer(self, call: Call) -> EndpointResponse:
         if not call.once_key:
             return await self._run(call)
         key, body = call.once_digests()
@@ -159,7 +159,7 @@
         await self.bus.ask(OnceFinish(key, answer))
         return answer
 
-    async def _run(self, call: Call, once_key: str = "") -> Exchange:
+    async def _run(self, call: Call, once_key: str = "") -> EndpointResponse:
         """Queue, send and, where that is safe, try again."""
         service = self._service(call.service)
         allowed_s = 0.0
@@ -211,7 +211,7 @@
 
     async def _send(
         self, service: Dispatcher, call: Call, placed: Placed, once_key: str
-    ) -> Exchange:
+    ) -> EndpointResponse:
         """Send a request, and wait for its answer until the deadline.
 
         A runner goes on with a request whose caller has given up.  The
@@ -234,7 +234,9 @@
             retry_after_s=1.0,
         )
 
-    def _keep_late(self, exchange: "asyncio.Task[Exchange]", once_key: str) -> None:
+    def _keep_late(
+        self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
+    ) -> None:
         self._late_keys.add(once_key)
         late = asyncio.create_task(self._finish_late(exchange, once_key))
         self._late.add(late)
@@ -242,7 +244,7 @@
         late.add_done_callback(log_failure("exchange.not_settled"))
 
     async def _finish_late(
-        self, exchange: "asyncio.Task[Exchange]", once_key: str
+        self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
         """Wait for the end of an exchange whose caller was told "unknown".
 
@@ -263,7 +265,7 @@
 
     async def _exchange(
         self, service: Dispatcher, call: Call, placed: Placed, once_key: str
-    ) -> Exchange:
+    ) -> EndpointResponse:
         if once_key:
             self.bus.publish(OnceSending(once_key))
         view = placed.view
@@ -287,7 +289,7 @@
             self._pump()
 
     def _learn(
-        self, service: Dispatcher, call: Call, placed: Placed, answer: Exchange
+        self, service: Dispatcher, call: Call, placed: Placed, answer: EndpointResponse
     ) -> None:
         now = self.kernel.clock()
         took_s = now - placed.started
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -26,7 +26,7 @@
     OnceReleased,
     Verdict,
 )
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
@@ -61,7 +61,7 @@
     def wire(self) -> None:
         """Offer claims."""
         self._book = ClaimBook()
-        self._unstored: dict[str, Exchange] = {}
+        self._unstored: dict[str, EndpointResponse] = {}
         self._unstored_bytes = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, set[asyncio.Future[None]]] = {}
@@ -89,7 +89,7 @@
 
     # -- claiming --------------------------------------------------------
 
-    async def _begin(self, query: OnceBegin) -> Exchange | None:
+    async def _begin(self, query: OnceBegin) -> EndpointResponse | None:
         known = self.states.once.entries.get(query.key)
         if known is None and self._book.find(query.key) is None:
             if await self._claim(query):
@@ -154,7 +154,7 @@
 
     # -- repeats ---------------------------------------------------------
 
-    async def _repeat(self, key: str, known: OnceEntry, body: str) -> Exchange:
+    async def _repeat(self, key: str, known: OnceEntry, body: str) -> EndpointResponse:
         if known.body != body:
             raise OnceMismatchError("the request differs from the one with this key")
         if known.done:
@@ -251,7 +251,7 @@
         self._unstored_bytes += size
         self._keep(self._store(query.key, claim.nonce, query.answer))
 
-    async def _store(self, key: str, nonce: int, answer: Exchange) -> None:
+    async def _store(self, key: str, nonce: int, answer: EndpointResponse) -> None:
         whole = len(answer.body) <= MAX_STORED_BODY
         data = base64.b64encode(answer.body).decode() if whole else ""
         kind = dict(answer.headers).get("Content-Type", "")
@@ -296,13 +296,13 @@
         task.add_done_callback(log_failure("once.task_failed"))
 
 
-def _repeated(answer: Exchange) -> Exchange:
-    return Exchange(
+def _repeated(answer: EndpointResponse) -> EndpointResponse:
+    return EndpointResponse(
         answer.status, (*answer.headers, ("X-Repeated", "yes")), answer.body
     )
 
 
-def stored_answer(known: OnceEntry) -> Exchange:
+def stored_answer(known: OnceEntry) -> EndpointResponse:
     """Return a stored outcome as the answer to a repeat.
 
     A body that was too long to be kept is not made up: the caller gets the
@@ -310,7 +310,7 @@
     """
     if known.whole:
         headers = (("Content-Type", known.content_type), ("X-Repeated", "yes"))
-        return Exchange(known.status, headers, base64.b64decode(known.data))
+        return EndpointResponse(known.status, headers, base64.b64decode(known.data))
     body = {
         "code": "once.body_not_kept",
         "title": "The request was run; the body of its answer is not kept",
@@ -321,4 +321,4 @@
         ("Content-Type", "application/json"),
         ("X-Repeated", "status-only"),
     )
-    return Exchange(known.status, headers, msgspec.json.encode(body))
+    return EndpointResponse(known.status, headers, msgspec.json.encode(body))
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -319,14 +319,14 @@
         workers = self.kernel.platform.workers
         try:
             if view.report is None:
-                report = await workers.look(view.endpoint)
+                report = await workers.poll(view.endpoint)
                 self._eager.add(name)
             else:
                 lead = await self.kernel.bus.ask(LeadView())
                 order = self._order(term, name, lead)
                 if order is None:
                     return
-                report = await workers.sync(view.endpoint, order)
+                report = await workers.send_order(view.endpoint, order)
         except (WorkerUnreachableError, WorkerFencedError) as exc:
             log("worker.silent", level="warning", worker=name, code=exc.code)
             term.note_silence(name)
--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -12,10 +12,10 @@
 from firhook.logs import log
 from firhook.platform.store import (
     CELL_TOPIC,
-    Appended,
+    AppendResult,
     KeyedRecord,
     Store,
-    encode_keyed,
+    encode_keyed_record,
 )
 from firhook.services._batches import split_records
 from firhook.services._events import RecordsAppended
@@ -197,14 +197,14 @@
 
     async def _send(
         self, partition: int, batch: list[PendingAppend], left_s: float
-    ) -> Appended:
+    ) -> AppendResult:
         self._route.own_sent(boot_time())
         answered = True
         try:
             return await self._store.append(
                 CELL_TOPIC,
                 partition,
-                [encode_keyed(row.record) for row in batch],
+                [encode_keyed_record(row.record) for row in batch],
                 timeout_s=min(max(left_s, 0.05), APPEND_S),
             )
         except LogOutcomeUnknownError:
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -120,7 +120,7 @@
 
         Callers that keep their connections are served until they let go of them.
         """
-        deadline = boot_time() + self.settings.bounds.stop_s * _SERVE_PART
+        deadline = boot_time() + self.settings.bounds.stop_grace_s * _SERVE_PART
         await asyncio.sleep(_LEAVE_ROTATION_S)
         while self._open and boot_time() < deadline:
             await asyncio.sleep(0.02)
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -483,7 +483,7 @@
         # Digests that come meanwhile may say more than the pages.
         had_digests, reader.has_digests = reader.has_digests, False
         try:
-            newest = await self.store.newest(CELL_TOPIC, reader.number)
+            newest = await self.store.read_newest(CELL_TOPIC, reader.number)
         except BaseException:
             reader.has_digests |= had_digests
             raise
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -29,7 +29,7 @@
 from firhook.errors import FirhookError, LogMovedError, PeerUnreachableError
 from firhook.instance import InstanceService, StopBegun, register_service
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._events import (
     LEAD_PARTITIONS,
     AskInstance,
@@ -291,7 +291,7 @@
             await self.store.append(
                 CELL_TOPIC,
                 partition,
-                [encode_keyed(record)],
+                [encode_keyed_record(record)],
                 expected_end=end,
                 timeout_s=_CLAIM_S,
             )
@@ -367,7 +367,7 @@
             return False
         if reason == "stopping" and store_s > _SLOW_STORE_S:
             stops_for_s = boot_time() - self._stop_began_at
-            if stops_for_s < self.settings.bounds.stop_s * _WAIT_PART:
+            if stops_for_s < self.settings.bounds.stop_grace_s * _WAIT_PART:
                 # A takeover is six calls in turn.  While the store is 36 times
                 # slower than usual nothing would start for a second.
                 return False
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -15,7 +15,7 @@
 from firhook.errors import FirhookError, RecordMalformedError
 from firhook.instance import InstanceService
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed_record
 from firhook.services._events import CALLERS_PARTITIONS, Record, ReplicaAge
 
 #: How long one try to register may take.
@@ -45,7 +45,9 @@
 
 
 async def _read_range(store: Store, replica: Replica, partition: int) -> int:
-    newest = await store.newest(CELL_TOPIC, partition, MEMBERS_AFTER, MEMBERS_UNTIL)
+    newest = await store.read_newest(
+        CELL_TOPIC, partition, MEMBERS_AFTER, MEMBERS_UNTIL
+    )
     for row in newest.records:
         try:
             replica.apply(row.offset, row.key, row.value, partition)
@@ -108,7 +110,7 @@
         try:
             await self._service.bus.ask(Record(record, boot_time() + _REGISTER_S))
             for number in self._service.replica.partitions_of(key):
-                content = [encode_keyed(record)]
+                content = [encode_keyed_record(record)]
                 await self._service.store.append(CELL_TOPIC, number, content)
         except FirhookError as exc:
             log("mesh.unregister_failed", level="warning", error=repr(exc))
--- a/src/firhook/services/_mesh.py
+++ b/src/firhook/services/_mesh.py
@@ -14,7 +14,7 @@
 from firhook.errors import FirhookError, FrameMalformedError, PeerUnreachableError
 from firhook.instance import InstanceService, StopBegun, register_service
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._events import (
     CALLERS_PARTITIONS,
     AskInstance,
@@ -125,7 +125,7 @@
                 await self.store.append(
                     CELL_TOPIC,
                     CALLERS_PARTITIONS[0],
-                    [encode_keyed(record)],
+                    [encode_keyed_record(record)],
                     expected_end=end,
                 )
             except FirhookError as exc:
--- a/src/firhook/services/_orders.py
+++ b/src/firhook/services/_orders.py
@@ -142,7 +142,11 @@
 
     async def _start_until_settled(self, run: Run, began: float) -> None:
         step = run.task.step
-        limit_s = self._bounds.gang_s * _GANG_PART if step.spec.gang else _START_TRIES_S
+        limit_s = (
+            self._bounds.gang_timeout_s * _GANG_PART
+            if step.spec.gang
+            else _START_TRIES_S
+        )
         while run in run.task.runs and not run.stopping and not self._term.lost:
             if boot_time() - began > limit_s:
                 self._give_up_start(run, "start_unanswered")
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -38,7 +38,7 @@
 )
 from firhook.instance import Instance
 from firhook.logs import log
-from firhook.platform.store import KeyedRecord, encode_keyed
+from firhook.platform.store import KeyedRecord, encode_keyed_record
 from firhook.services._advising import Advising
 from firhook.services._batches import split_records
 from firhook.services._events import (
@@ -443,7 +443,7 @@
             if self._lead.unproven_for() < _PROVE_EVERY_S or self._paused:
                 continue
             try:
-                record = encode_keyed(self._sign_of_life())
+                record = encode_keyed_record(self._sign_of_life())
                 # Told of first, the record does not pass for a sign of life of
                 # the moment when it happens to be read.
                 self._lead.speak()
@@ -566,7 +566,7 @@
         most = self._instance.settings.store_limits.append_bytes
         for chunk in split_records(list(records), most):
             partition, offset = await self._writer.append(
-                [encode_keyed(r) for r in chunk]
+                [encode_keyed_record(r) for r in chunk]
             )
             event = RecordsAppended(partition, offset, tuple(chunk))
             self._instance.bus.publish(event)
@@ -579,7 +579,7 @@
         most = self._instance.settings.store_limits.append_bytes
         for chunk in split_records([KeyedRecord(key, None) for key in keys], most):
             offset = await self._writer.append_to(
-                partition, [encode_keyed(r) for r in chunk]
+                partition, [encode_keyed_record(r) for r in chunk]
             )
             if offset is None:
                 return False
--- a/src/firhook/services/_topic.py
+++ b/src/firhook/services/_topic.py
@@ -32,6 +32,6 @@
             else:
                 self._next_offset = part.next_offset
                 return part.records, False
-        newest = await self._store.newest(self._topic)
+        newest = await self._store.read_newest(self._topic)
         self._next_offset = newest.end
         return newest.records, True
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -189,7 +189,7 @@
         # numbers of others; acknowledging none is always right.
         ack = 0 if self._failed else self.ack
         call = self.answers.sent(sent_at + wait_s)
-        looking = self._owner.workers.look(
+        looking = self._owner.workers.poll(
             self.entry, self._owner.fence, ack, until, wait_s
         )
         try:
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -13,7 +13,7 @@
 from firhook.model import Endpoint
 from firhook.platform.clients import (
     EndpointClient,
-    Exchange,
+    EndpointResponse,
     InstanceList,
     LogEntry,
     LogPage,
@@ -83,14 +83,14 @@
         """Attempts running at all workers."""
         return sum(len(t) for t in self.tasks.values())
 
-    async def look(self, worker: Endpoint) -> Report:
+    async def poll(self, worker: Endpoint) -> Report:
         """Return the inventory; see :class:`WorkerClient`."""
         tasks = tuple(
             TaskReport(*ref, state) for ref, state in self.tasks[worker.name].items()
         )
         return Report(worker.name, time.monotonic(), 1, "boot", tasks)
 
-    async def sync(self, worker: Endpoint, order: Order) -> Report:
+    async def send_order(self, worker: Endpoint, order: Order) -> Report:
         """Give an order; see :class:`WorkerClient`."""
         self.syncs += 1
         tasks = self.tasks[worker.name]
@@ -98,7 +98,7 @@
             tasks[start.job_id, start.index, start.attempt] = "running"
         for ref in order.forget:
             tasks.pop(ref, None)
-        return await self.look(worker)
+        return await self.poll(worker)
 
 
 class FakeEndpoints(EndpointClient):
@@ -112,9 +112,9 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> Exchange:
+    ) -> EndpointResponse:
         """Send a request; see :class:`EndpointClient`."""
-        return Exchange(200, (("Content-Type", "text/plain"),), b"ok")
+        return EndpointResponse(200, (("Content-Type", "text/plain"),), b"ok")
 
     async def close(self) -> None:
         """Close nothing."""
--- a/standins/model/__init__.py
+++ b/standins/model/__init__.py
@@ -7,8 +7,8 @@
 
 from standins.model._adviser import ModelAdviser
 from standins.model._cell import ModelCell, ModelInstance, ModelRequest, run_virtual
-from standins.model._checks import Broken, Checks
-from standins.model._faults import FIRST_KINDS, Outcome, Trouble
+from standins.model._checks import Checks, Violation
+from standins.model._faults import INITIAL_FAULT_KINDS, FaultScenario, Outcome
 from standins.model._http import HttpModel
 from standins.model._ports import ReservedPorts
 from standins.model._processes import KEY, Process, Processes, until
@@ -17,10 +17,10 @@
 from standins.model._workers import ModelWorker, TaskPlan
 
 __all__ = [
-    "FIRST_KINDS",
+    "INITIAL_FAULT_KINDS",
     "KEY",
-    "Broken",
     "Checks",
+    "FaultScenario",
     "HttpModel",
     "ModelAdviser",
     "ModelCell",
@@ -33,7 +33,7 @@
     "Processes",
     "ReservedPorts",
     "TaskPlan",
-    "Trouble",
+    "Violation",
     "VirtualLoop",
     "now",
     "pause",
--- a/standins/model/_adviser.py
+++ b/standins/model/_adviser.py
@@ -16,17 +16,17 @@
     :ivar calls: how often it was asked.
     :ivar late_s: how much later than the adviser gives them answers arrive, by the
         instance that asked.
-    :ivar asked_through: the same by instance.
+    :ivar calls_by_instance: the same by instance.
     """
 
     def __init__(
-        self, base_s: float, per_worker_s: float, valid_s: float, good: float
+        self, base_s: float, per_worker_s: float, valid_s: float, permitted_share: float
     ) -> None:
         self.base_s, self.per_worker_s = base_s, per_worker_s
-        self.valid_s, self.good = valid_s, good
+        self.valid_s, self.permitted_share = valid_s, permitted_share
         self.calls = 0
-        self.asked_through: Counter[str] = Counter()
-        self.late_s: dict[str, float] = {}
+        self.calls_by_instance: Counter[str] = Counter()
+        self.answer_delay_s: dict[str, float] = {}
         self.down = False
         self._free_at: dict[str, float] = {}
 
@@ -35,9 +35,9 @@
         # Spread evenly, so that some of any five workers may.
         first = hashlib.sha256(step.encode()).digest()[0]
         number = int("".join(c for c in worker if c.isdigit()) or 0)
-        return (first + number) % 5 < 5 * self.good
+        return (first + number) % 5 < 5 * self.permitted_share
 
-    def takes_s(self, step: str, workers: int) -> float:
+    def answer_duration_s(self, step: str, workers: int) -> float:
         """Return how long an answer about so many workers takes."""
         return self.base_s + self.per_worker_s * workers
 
@@ -50,14 +50,14 @@
     ) -> Advice:
         """Answer in turn."""
         self.calls += 1
-        self.asked_through[instance] += 1
+        self.calls_by_instance[instance] += 1
         begins = max(now(), self._free_at.get(instance, 0.0))
-        ends = begins + self.takes_s(step, len(workers))
+        ends = begins + self.answer_duration_s(step, len(workers))
         self._free_at[instance] = ends
         await pause(ends - now())
         until = now() + self.valid_s
         good = {w: f"{until:.6f}" for w in workers if self.may_run(step, w)}
-        await pause(self.late_s.get(instance, 0.0))
+        await pause(self.answer_delay_s.get(instance, 0.0))
         return Advice(good, self.valid_s)
 
 
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -42,13 +42,13 @@
 
 HOST = "jobs.example"
 KEY = "key-of-a"
-NET_S = 0.001
+NETWORK_DELAY_S = 0.001
 #: What the transport adds to a message, in bytes.
 MESSAGE_OVERHEAD = 120
 #: How long callers take to leave an instance that is told to stop.
-LEAVE_S = 2.6
+CALLER_LEAVE_S = 2.6
 #: The messages that tell instances of new records.
-PUSHES = (RecordsPush, DigestPush)
+PUSH_MESSAGES = (RecordsPush, DigestPush)
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
@@ -75,11 +75,11 @@
         self.open = asyncio.Event()
         self.open.set()
 
-    async def passed(self) -> None:
+    async def wait_open(self) -> None:
         await self.open.wait()
 
 
-class _Gated:
+class _GatedClient:
     """A client whose calls wait at the instance's gate."""
 
     def __init__(self, client: Any, gate: _Gate) -> None:
@@ -91,9 +91,9 @@
             return attr
 
         async def call(*args: Any, **kwargs: Any) -> Any:
-            await self._gate.passed()
+            await self._gate.wait_open()
             result = await attr(*args, **kwargs)
-            await self._gate.passed()
+            await self._gate.wait_open()
             return result
 
         return call
@@ -104,20 +104,22 @@
 
     def __init__(self, cell: "ModelCell", name: str, gate: _Gate) -> None:
         self._cell, self._name, self._gate = cell, name, gate
-        self.store = _Gated(cell.store.client(name), gate)
-        self.adviser = _Gated(cell.adviser.client(name), gate) if cell.adviser else None
+        self.store = _GatedClient(cell.store.client(name), gate)
+        self.adviser = (
+            _GatedClient(cell.adviser.client(name), gate) if cell.adviser else None
+        )
 
-    def workers(self, sending: Callable[[], bool]) -> Workers:
+    def workers(self, may_send: Callable[[], bool]) -> Workers:
         """See :meth:`Connections.workers`."""
         cell = self._cell
         client = ModelWorkers(
             cell.workers,
             self._name,
-            sending,
+            may_send,
             cell.rng,
-            lambda: cell.link_wait_of_s(self._name, cell.order_bytes),
+            lambda: cell.send_bytes_over_link(self._name, cell.order_bytes),
         )
-        return _Gated(client, self._gate)
+        return _GatedClient(client, self._gate)
 
 
 class ModelMesh(InstanceService):
@@ -130,27 +132,29 @@
         self.handlers: dict[type, Callable[[Any], Any]] = {}
         self.bus.answer(AskInstance, self._ask)
         self.bus.subscribe(ServeInstance, self._on_serve)
-        self.bus.subscribe(TellInstances, self._on_tell)
-        self.bus.subscribe(TellInstance, self._on_tell_one)
+        self.bus.subscribe(TellInstances, self._on_broadcast)
+        self.bus.subscribe(TellInstance, self._on_send)
 
-    def _on_tell(self, event: TellInstances) -> None:
+    def _on_broadcast(self, event: TellInstances) -> None:
         names = self.cell.instances if event.names is None else event.names
         for name in list(names):
-            self._on_tell_one(TellInstance(name, event.body))
+            self._on_send(TellInstance(name, event.body))
 
-    def _on_tell_one(self, event: TellInstance) -> None:
+    def _on_send(self, event: TellInstance) -> None:
         name, peer = event.peer, self.cell.instances.get(event.peer)
-        cut = {self.settings.name, name} in self.cell.cuts
+        cut = {self.settings.name, name} in self.cell.cut_links
         if name == self.settings.name or peer is None or not peer.alive or cut:
             return
-        if not peer.gate.open.is_set() or self.cell.rng.random() < self.cell.drops:
+        if not peer.gate.open.is_set() or self.cell.rng.random() < self.cell.drop_share:
             return
         handler = peer.instance.services["mesh"].handlers.get(type(event.body))
         if handler is not None:
-            self.cell.told += isinstance(event.body, PUSHES)
+            self.cell.received_pushes += isinstance(event.body, PUSH_MESSAGES)
             late_s = self.cell.jitter_s * self.cell.rng.random()
-            late_s += self.cell.link_wait_s(self.settings.name, name, event.body)
-            self.add_future(self._deliver(handler, event.body, NET_S + late_s))
+            late_s += self.cell.send_over_link(self.settings.name, name, event.body)
+            self.add_future(
+                self._deliver(handler, event.body, NETWORK_DELAY_S + late_s)
+            )
 
     @staticmethod
     async def _deliver(
@@ -185,11 +189,16 @@
 
     async def _ask_over_link(self, query: AskInstance) -> Any:
         await pause(
-            NET_S + self.cell.link_wait_s(self.settings.name, query.peer, query.body)
+            NETWORK_DELAY_S
+            + self.cell.send_over_link(self.settings.name, query.peer, query.body)
         )
         peer = self.cell.instances.get(query.peer)
         pair = {self.settings.name, query.peer}
-        if peer is None or not peer.alive or any(pair == c for c in self.cell.cuts):
+        if (
+            peer is None
+            or not peer.alive
+            or any(pair == c for c in self.cell.cut_links)
+        ):
             await pause(query.timeout_s)
             raise PeerUnreachableError(query.peer)
         handler = peer.instance.services["mesh"].handlers[type(query.body)]
@@ -199,7 +208,7 @@
                 answer = await answer
         except FirhookError as exc:
             raise PeerUnreachableError(query.peer) from exc
-        await pause(self.cell.link_wait_s(query.peer, self.settings.name, answer))
+        await pause(self.cell.send_over_link(query.peer, self.settings.name, answer))
         return answer
 
 
@@ -211,7 +220,7 @@
 
     async def drain(self) -> None:
         """Wait as long as callers take to leave."""
-        await pause(LEAVE_S)
+        await pause(CALLER_LEAVE_S)
 
 
 class _Content:
@@ -340,10 +349,10 @@
         self.advised = advised
         self.bounds = bounds or Bounds()
         self.plans: dict[str, TaskPlan] = {}
-        self.cuts: list[set[str]] = []
-        self.drops = 0.02
+        self.cut_links: list[set[str]] = []
+        self.drop_share = 0.02
         self.jitter_s = 0.0
-        self.told = 0
+        self.received_pushes = 0
         self.link_bytes_s: dict[str, float] = {}
         self.order_bytes = 0
         self.sent_bytes: Counter[tuple[str, str, str]] = Counter()
@@ -446,13 +455,13 @@
         await instance.start()
         return made
 
-    def link_wait_s(self, name: str, peer: str, body: Any) -> float:
+    def send_over_link(self, name: str, peer: str, body: Any) -> float:
         """Send a message over an instance's link; return how long that takes."""
         size = len(pack_frame(body)) + MESSAGE_OVERHEAD
         self.sent_bytes[name, peer, type(body).__name__] += size
-        return self.link_wait_of_s(name, size)
+        return self.send_bytes_over_link(name, size)
 
-    def link_wait_of_s(self, name: str, size: int) -> float:
+    def send_bytes_over_link(self, name: str, size: int) -> float:
         """Send so many bytes over an instance's link; return how long that takes."""
         rate = self.link_bytes_s.get(name)
         if rate is None:
@@ -470,9 +479,9 @@
         found = self.instances[name]
         found.alive = False
         found.gate.open.clear()
-        asyncio.get_running_loop().create_task(self._bury(found))
+        asyncio.get_running_loop().create_task(self._shut_down(found))
 
-    async def _bury(self, found: ModelInstance) -> None:
+    async def _shut_down(self, found: ModelInstance) -> None:
         term = found.lead.term
         if term is not None:
             await term.end()
@@ -494,13 +503,13 @@
         """Hold an instance up in the middle of whatever it does."""
         self.instances[name].gate.open.clear()
 
-    def deafen(self, name: str) -> None:
+    def disable_pushes(self, name: str) -> None:
         """Have an instance learn of records only by reading the store."""
         handlers = self.instances[name].instance.services["mesh"].handlers
-        for kind in PUSHES:
+        for kind in PUSH_MESSAGES:
             handlers.pop(kind)
 
-    def thaw(self, name: str) -> None:
+    def unfreeze(self, name: str) -> None:
         """Let it go on."""
         self.instances[name].gate.open.set()
 
--- a/standins/model/_checks.py
+++ b/standins/model/_checks.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class Broken:
+class Violation:
     """Something that must never happen, and did."""
 
     at: float
@@ -23,8 +23,8 @@
     :ivar done: tasks whose end ``done`` was acknowledged.
     """
 
-    broken: list[Broken] = attrs.field(factory=list)
-    alone: list[str] = attrs.field(factory=list)
+    violations: list[Violation] = attrs.field(factory=list)
+    incomplete_gangs: list[str] = attrs.field(factory=list)
     running: dict[str, dict[tuple[str, int], int]] = attrs.field(factory=dict)
     done: set[str] = attrs.field(factory=set)
     last_start: dict[str, float] = attrs.field(factory=dict)
@@ -33,27 +33,31 @@
     cancelled: dict[str, float] = attrs.field(factory=dict)
     refused: set[str] = attrs.field(factory=set)
 
-    def note(self, at: float, what: str, detail: str) -> None:
+    def record_violation(self, at: float, what: str, detail: str) -> None:
         """Take note of something that must never happen."""
-        self.broken.append(Broken(at, what, detail))
+        self.violations.append(Violation(at, what, detail))
 
-    def started(self, at: float, task: str, worker: str, life: int, run: int) -> None:
+    def started(
+        self, at: float, task: str, worker: str, incarnation: int, run: int
+    ) -> None:
         """Take note of a start."""
         others = self.running.setdefault(task, {})
         step = task.rpartition(".")[0]
         if others and step not in self.duplicates:
-            self.note(at, "twice", f"{task} run {run} on {worker}, also {others}")
+            self.record_violation(
+                at, "twice", f"{task} run {run} on {worker}, also {others}"
+            )
         if task in self.done and step not in self.duplicates:
-            self.note(at, "after_done", f"{task} run {run} on {worker}")
+            self.record_violation(at, "after_done", f"{task} run {run} on {worker}")
         job = task.partition(".")[0]
         if job in self.refused:
-            self.note(at, "refused_runs", task)
-        others[worker, life] = run
+            self.record_violation(at, "refused_runs", task)
+        others[worker, incarnation] = run
         self.last_start[task] = at
 
-    def ended(self, task: str, worker: str, life: int) -> None:
+    def ended(self, task: str, worker: str, incarnation: int) -> None:
         """Take note that a run is no longer going on."""
-        self.running.get(task, {}).pop((worker, life), None)
+        self.running.get(task, {}).pop((worker, incarnation), None)
 
     def acknowledged(self, at: float, task: str, ended_at: float) -> None:
         """Take note that an end ``done`` was acknowledged.
@@ -64,4 +68,4 @@
         self.done.add(task)
         later = self.last_start.get(task, 0.0) > ended_at
         if later and task.rpartition(".")[0] not in self.duplicates:
-            self.note(at, "after_done", f"{task} ended done at {ended_at}")
+            self.record_violation(at, "after_done", f"{task} ended done at {ended_at}")
--- a/standins/model/_faults.py
+++ b/standins/model/_faults.py
@@ -10,13 +10,13 @@
 from standins.model._time import now, pause
 
 #: How long jobs and faults come, and how long the cell then has to finish.
-TROUBLE_S = 25.0
-REST_S = 60.0
+FAULT_PERIOD_S = 25.0
+SETTLE_TIMEOUT_S = 60.0
 
 
 #: The faults that the model knew when the first seeds were kept as tests; with
 #: others among them these seeds would play other scenes.
-FIRST_KINDS = (
+INITIAL_FAULT_KINDS = (
     "cancel",
     "deal_anew",
     "freeze",
@@ -44,19 +44,19 @@
     :param wrong: jobs that ended otherwise than they should have.
     """
 
-    broken: tuple[Any, ...]
-    unended: tuple[str, ...]
-    wrong: tuple[str, ...]
+    violations: tuple[Any, ...]
+    unfinished: tuple[str, ...]
+    wrong_status: tuple[str, ...]
     accepted: int
     history: tuple[str, ...]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Whether every promise was kept."""
-        return not self.broken and not self.unended and not self.wrong
+        return not self.violations and not self.unfinished and not self.wrong_status
 
 
-class Trouble:
+class FaultScenario:
     """Plays one seed.
 
     :param kinds: names of the faults that may come; all if none.
@@ -82,47 +82,47 @@
         self._kinds = kinds or tuple(
             name.removeprefix("fault_") for name in dir(self) if "fault_" in name
         )
-        self._hopeless: set[str] = set()
+        self._failing_jobs: set[str] = set()
         self._cancelled: set[str] = set()
 
-    async def play(self) -> Outcome:
+    async def run(self) -> Outcome:
         """Play it, and say what came of it."""
         await self.cell.begin()
-        end = now() + TROUBLE_S
+        end = now() + FAULT_PERIOD_S
         while now() < end:
-            await self._something()
+            await self._act()
             await pause(self.rng.expovariate(4.0))
-        await self._heal()
+        await self._clear_faults()
         try:
-            await self.cell.all_done(REST_S)
+            await self.cell.all_done(SETTLE_TIMEOUT_S)
         except TimeoutError:
-            self.note("not all ended")
+            self.record("not all ended")
         return self._outcome()
 
-    def note(self, what: str) -> None:
+    def record(self, what: str) -> None:
         """Keep what was done, for who reads a failure."""
         self.history.append(f"{now():.2f} {what}")
 
-    async def _something(self) -> None:
+    async def _act(self) -> None:
         if self.rng.random() < 0.75:
             await self._submit()
             return
         kind = self.rng.choice(self._kinds)
-        self.note(kind)
+        self.record(kind)
         await getattr(self, f"fault_{kind}")()
 
     async def _submit(self) -> None:
         rng = self.rng
-        if not self._someone_alive():
+        if not self._any_instance_alive():
             return
         steps = [self._step(i) for i in range(rng.choice((1, 1, 2, 3)))]
-        hopeless = rng.random() < 0.05
+        failing = rng.random() < 0.05
         prefix = rng.choice(("/plan/", "/quote/"))
         job, status = await self.cell.submit(
-            steps, rng.choice((0.3, 1.0, 4.0)), prefix, fails=hopeless
+            steps, rng.choice((0.3, 1.0, 4.0)), prefix, fails=failing
         )
-        if status == 200 and hopeless:
-            self._hopeless.add(job)
+        if status == 200 and failing:
+            self._failing_jobs.add(job)
         elif status in (429, 503):
             self.cell.checks.refused.add(job)
 
@@ -147,7 +147,7 @@
             step.pop("allow_duplicates", None)
         return step
 
-    def _someone_alive(self) -> bool:
+    def _any_instance_alive(self) -> bool:
         return any(
             i.alive and i.gate.open.is_set() for i in self.cell.instances.values()
         )
@@ -165,23 +165,23 @@
     def _pick_worker(self) -> Any:
         return self.cell.workers[self.rng.choice(sorted(self.cell.workers))]
 
-    def later(self, delay_s: float, func: Any, *args: Any) -> None:
+    def schedule(self, delay_s: float, func: Any, *args: Any) -> None:
         """Undo a fault after a while."""
         asyncio.get_running_loop().call_later(delay_s, func, *args)
 
-    async def _heal(self) -> None:
-        self.note("heal")
+    async def _clear_faults(self) -> None:
+        self.record("heal")
         self.cell.store.mode.clear()
         self.cell.store.slow, self.cell.store.lost_share = 1.0, 0.0
         self.cell.store.late_share = 0.0
-        self.cell.store.partly_down.clear()
-        self.cell.cuts.clear()
+        self.cell.store.down_partitions.clear()
+        self.cell.cut_links.clear()
         for name, found in list(self.cell.instances.items()):
-            self.cell.thaw(name) if found.alive else None
+            self.cell.unfreeze(name) if found.alive else None
         for worker in self.cell.workers.values():
             worker.mode, worker.late_share, worker.slow = "up", 0.0, 1.0
             worker.lost_share = 0.0
-            worker.cut_from.clear()
+            worker.unreachable_from.clear()
         if not any(i.alive for i in self.cell.instances.values()):
             await self.cell.restart(sorted(self.cell.instances)[0])
 
@@ -201,44 +201,46 @@
         name = self._pick_instance()
         if name is not None:
             self.cell.freeze(name)
-            self.later(0.5 + 4 * self.rng.random(), self._thaw, name)
+            self.schedule(0.5 + 4 * self.rng.random(), self._unfreeze, name)
 
-    def _thaw(self, name: str) -> None:
+    def _unfreeze(self, name: str) -> None:
         if self.cell.instances[name].alive:
-            self.cell.thaw(name)
+            self.cell.unfreeze(name)
 
     async def fault_store_down(self) -> None:
         """Take the store away, from all or from one."""
         name = self.rng.choice(("*", self._pick_instance() or "*"))
         self.cell.store.mode[name] = self.rng.choice(("busy", "silent"))
-        self.later(1 + 4 * self.rng.random(), self.cell.store.mode.pop, name, None)
+        self.schedule(1 + 4 * self.rng.random(), self.cell.store.mode.pop, name, None)
 
     async def fault_store_partly_down(self) -> None:
         """Take some of the cell's partitions away."""
         for number in self.rng.sample(range(4), self.rng.choice((1, 2))):
-            self.cell.store.partly_down.add(number)
-            self.later(
-                1 + 4 * self.rng.random(), self.cell.store.partly_down.discard, number
+            self.cell.store.down_partitions.add(number)
+            self.schedule(
+                1 + 4 * self.rng.random(),
+                self.cell.store.down_partitions.discard,
+                number,
             )
 
     async def fault_store_loses(self) -> None:
         """Lose answers of the store."""
         self.cell.store.lost_share = 0.3
-        self.later(3, setattr, self.cell.store, "lost_share", 0.0)
+        self.schedule(3, setattr, self.cell.store, "lost_share", 0.0)
 
     async def fault_store_late(self) -> None:
         """Carry writes out late."""
         self.cell.store.late_share = 0.2
-        self.later(3, setattr, self.cell.store, "late_share", 0.0)
+        self.schedule(3, setattr, self.cell.store, "late_share", 0.0)
 
     async def fault_store_slow(self) -> None:
         """Slow the store down."""
-        self.cell.store.slow, self.cell.store.in_turn = 60.0, True
-        self.later(3, setattr, self.cell.store, "slow", 1.0)
+        self.cell.store.slow, self.cell.store.serial_appends = 60.0, True
+        self.schedule(3, setattr, self.cell.store, "slow", 1.0)
 
     async def fault_store_forgets(self) -> None:
         """Expire the store's history."""
-        self.cell.store.forget_history()
+        self.cell.store.expire_history()
 
     async def fault_deal_anew(self) -> None:
         """Do nothing: no instance holds partitions of a group.
@@ -250,7 +252,7 @@
         """Crash a worker, which comes back in a new life."""
         worker = self._pick_worker()
         worker.crash()
-        self.later(self.rng.random() * 6, worker.restart)
+        self.schedule(self.rng.random() * 6, worker.restart)
 
     async def fault_worker_reborn(self) -> None:
         """Restart a worker at once."""
@@ -260,37 +262,39 @@
         """Cut a worker off, or let it answer nothing."""
         worker = self._pick_worker()
         worker.mode = self.rng.choice(("cut", "mute"))
-        self.later(1 + 12 * self.rng.random(), setattr, worker, "mode", "up")
+        self.schedule(1 + 12 * self.rng.random(), setattr, worker, "mode", "up")
 
     async def fault_worker_cut_from_some(self) -> None:
         """Cut a worker off from some instances."""
         worker = self._pick_worker()
         name = self._pick_instance()
         if name is not None:
-            worker.cut_from.add(name)
-            self.later(1 + 8 * self.rng.random(), worker.cut_from.discard, name)
+            worker.unreachable_from.add(name)
+            self.schedule(
+                1 + 8 * self.rng.random(), worker.unreachable_from.discard, name
+            )
 
     async def fault_orders_late(self) -> None:
         """Let a worker carry out some orders seconds later."""
         for worker in self.cell.workers.values():
             worker.late_share = 0.1
-            self.later(4, setattr, worker, "late_share", 0.0)
+            self.schedule(4, setattr, worker, "late_share", 0.0)
 
     async def fault_answers_lost(self) -> None:
         """Let workers do what they are told at once, and lose some of the answers."""
         for worker in self.cell.workers.values():
             worker.lost_share = 0.2
-            self.later(5, setattr, worker, "lost_share", 0.0)
+            self.schedule(5, setattr, worker, "lost_share", 0.0)
 
     async def fault_worker_slow(self) -> None:
         """Slow a worker down."""
         worker = self._pick_worker()
         worker.slow = 4.0
-        self.later(5, setattr, worker, "slow", 1.0)
+        self.schedule(5, setattr, worker, "slow", 1.0)
 
     async def fault_cancel(self) -> None:
         """Cancel some jobs."""
-        if not self._someone_alive():
+        if not self._any_instance_alive():
             return
         jobs = [j for j in self.cell.accepted if not self.cell.ended(j)]
         for job in self.rng.sample(jobs, min(len(jobs), 3)):
@@ -299,18 +303,18 @@
             await self.cell.cancel(job)
 
     def _outcome(self) -> Outcome:
-        unended = [j for j in self.cell.accepted if not self.cell.ended(j)]
-        wrong = []
+        unfinished = [j for j in self.cell.accepted if not self.cell.ended(j)]
+        wrong_status = []
         for job in self.cell.accepted:
-            if job in unended or job in self._cancelled:
+            if job in unfinished or job in self._cancelled:
                 continue
             status = self.cell.final(job).name
-            if status != ("FAILED" if job in self._hopeless else "COMPLETED"):
-                wrong.append(f"{job} {status}")
+            if status != ("FAILED" if job in self._failing_jobs else "COMPLETED"):
+                wrong_status.append(f"{job} {status}")
         return Outcome(
-            tuple(self.cell.checks.broken),
-            tuple(unended),
-            tuple(wrong),
+            tuple(self.cell.checks.violations),
+            tuple(unfinished),
+            tuple(wrong_status),
             len(self.cell.accepted),
             tuple(self.history),
         )
--- a/standins/model/_http.py
+++ b/standins/model/_http.py
@@ -34,7 +34,7 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-_REASONS = {
+_REASONS_BY_OUTCOME = {
     OrderOutcome.FENCED: "fence",
     OrderOutcome.OLD: "old",
     OrderOutcome.LATE: "late",
@@ -154,7 +154,9 @@
         return path
 
     async def _listen(self, routes: list[web.RouteDef]) -> str:
-        app = web.Application(client_max_size=1 << 24, middlewares=[self._kept])
+        app = web.Application(
+            client_max_size=1 << 24, middlewares=[self._track_handler]
+        )
         app.add_routes(routes)
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=_CLOSE_S)
         await runner.setup()
@@ -165,7 +167,9 @@
         return f"{host}:{port}"
 
     @web.middleware
-    async def _kept(self, req: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _track_handler(
+        self, req: web.Request, handler: Handler
+    ) -> web.StreamResponse:
         """Keep the task that answers a request, to be cancelled at the stop."""
         task = asyncio.current_task()
         assert task is not None
@@ -177,19 +181,19 @@
 
     def _store_routes(self) -> list[web.RouteDef]:
         return [
-            web.post("/-/log-append", self._answered(self._append)),
-            web.get("/-/log-read", self._answered(self._read)),
-            web.get("/-/log-newest", self._answered(self._newest)),
+            web.post("/-/log-append", self._with_error_responses(self._append)),
+            web.get("/-/log-read", self._with_error_responses(self._read)),
+            web.get("/-/log-newest", self._with_error_responses(self._newest)),
         ]
 
-    def _answered(self, handler: Handler) -> Handler:
+    def _with_error_responses(self, handler: Handler) -> Handler:
         async def answer(req: web.Request) -> web.StreamResponse:
             try:
                 return await handler(req)
             except LogUnavailableError:
                 return web.Response(status=503)
             except LogOutcomeUnknownError:
-                return _broken_off(req)
+                return _abort_connection(req)
             except LogFencedError:
                 return _json({"reason": "fenced"}, 409)
             except LogSequenceError as exc:
@@ -207,7 +211,7 @@
         if "producer" in q:
             producer = Producer(q["producer"], int(q["epoch"]), int(q["sequence"]))
         at = int(q["at"]) if "at" in q else None
-        records = list(_records(await req.read()))
+        records = list(_split_records(await req.read()))
         client = self.store.client("any")
         done = await client.append(q["topic"], int(q["part"]), records, producer, at)
         return _json({"offset": done.offset, "end": done.end})
@@ -227,7 +231,9 @@
     async def _newest(self, req: web.Request) -> web.Response:
         q = req.query
         client = self.store.client("any")
-        newest = await client.newest(q["topic"], int(q["part"]), q.get("after", ""))
+        newest = await client.read_newest(
+            q["topic"], int(q["part"]), q.get("after", "")
+        )
         later = newest.records
         items = [
             {
@@ -255,7 +261,7 @@
 
     # The workers.
 
-    def _plan(self, task: str) -> TaskPlan:
+    def _task_plan(self, task: str) -> TaskPlan:
         known = self.plans.get(task.rpartition(".")[0])
         return known or TaskPlan(self.work_s, Resources(1000, 100))
 
@@ -265,7 +271,7 @@
             Resources(8000, 65536),
             "r1-1",
             "z0",
-            self._plan,
+            self._task_plan,
             self.checks,
             self._gangs,
             self._rng,
@@ -273,14 +279,14 @@
         )
         self.workers[name] = worker
 
-        def reached(handler: Handler) -> Handler:
+        def if_reachable(handler: Handler) -> Handler:
             async def answer(req: web.Request) -> web.StreamResponse:
-                return await handler(req) if worker.up else _broken_off(req)
+                return await handler(req) if worker.up else _abort_connection(req)
 
             return answer
 
-        async def look(req: web.Request) -> web.StreamResponse:
-            return await self._look(worker, req)
+        async def poll(req: web.Request) -> web.StreamResponse:
+            return await self._poll(worker, req)
 
         async def start(req: web.Request) -> web.StreamResponse:
             data = msgspec.json.decode(await req.read())
@@ -301,9 +307,9 @@
             return _order_response(answer)
 
         routes = [
-            web.post("/-/hold", reached(look)),
-            web.post("/-/run-start", reached(start)),
-            web.post("/-/run-stop", reached(stop)),
+            web.post("/-/hold", if_reachable(poll)),
+            web.post("/-/run-start", if_reachable(start)),
+            web.post("/-/run-stop", if_reachable(stop)),
         ]
         address = await self._listen(routes)
         self.addresses[name] = address
@@ -314,36 +320,36 @@
         entry = {**self.workers[name].entry(), "address": self.addresses[name]}
         self.store.put(WORKER_TOPIC, name, msgspec.json.encode(entry))
 
-    async def _look(self, worker: ModelWorker, req: web.Request) -> web.Response:
+    async def _poll(self, worker: ModelWorker, req: web.Request) -> web.Response:
         data = msgspec.json.decode(await req.read())
         until = data.get("deadline_ms")
         try:
-            worker.look(
+            worker.poll(
                 data["fencing_token"],
                 data["ack_cursor"],
                 until / 1000 if until is not None else None,
             )
             await worker.wait_for_end(data.get("wait_ms", 0) / 1000)
-            look = worker.look(data["fencing_token"], 0, None)
+            reply = worker.poll(data["fencing_token"], 0, None)
         except WorkerFencedError:
             return _json({"reason": "fence"}, 409)
         return _json(
             {
-                "born": look.life,
-                "timestamp_ms": int(look.clock_s * 1000),
+                "born": reply.life,
+                "timestamp_ms": int(reply.clock_s * 1000),
                 "running": [
                     [r.task, r.run, r.checkpoint, r.percent, r.load]
-                    for r in look.running
+                    for r in reply.running
                 ],
                 "finished": [
                     [r.number, r.task, r.run, r.end.value, r.checkpoint]
-                    for r in look.ended
+                    for r in reply.ended
                 ],
             }
         )
 
 
-def _broken_off(req: web.Request) -> web.Response:
+def _abort_connection(req: web.Request) -> web.Response:
     """Break the connection; the answer that is returned reaches nobody."""
     if req.transport is not None:
         req.transport.abort()
@@ -355,10 +361,10 @@
     data = {"timestamp_ms": clock_ms, "born": answer.life}
     if answer.outcome is OrderOutcome.TAKEN:
         return _json(data)
-    return _json({**data, "reason": _REASONS[answer.outcome]}, 409)
+    return _json({**data, "reason": _REASONS_BY_OUTCOME[answer.outcome]}, 409)
 
 
-def _records(body: bytes) -> Any:
+def _split_records(body: bytes) -> Any:
     at = 0
     while at < len(body):
         (length,) = struct.unpack_from(">I", body, at)
--- a/standins/model/_processes.py
+++ b/standins/model/_processes.py
@@ -63,7 +63,7 @@
         """Leave what it logs in the pipe."""
         self._reading.cancel()
 
-    def read_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read what it logs again."""
         self._reading = asyncio.create_task(self._read())
 
@@ -104,7 +104,7 @@
             process = Process(path, ports)
             await process.start()
             self.all.append(process)
-        await until(self.serving)
+        await until(self.is_serving)
         return self
 
     async def __aexit__(self, *exc: object) -> None:
@@ -115,12 +115,12 @@
         self._ports.close()
         await self.model.stop()
 
-    async def serving(self) -> bool:
+    async def is_serving(self) -> bool:
         """Return whether all are ready and one leads."""
-        answers = [await self.ready(p) for p in self.all]
+        answers = [await self.is_ready(p) for p in self.all]
         return all(answers) and any(p.leads() for p in self.all)
 
-    async def ready(self, process: Process) -> bool:
+    async def is_ready(self, process: Process) -> bool:
         """Return whether an instance says that it is ready."""
         try:
             url = f"http://127.0.0.1:{process.ports[1]}/-/readiness"
--- a/standins/model/_store.py
+++ b/standins/model/_store.py
@@ -17,8 +17,8 @@
 )
 from firhook.platform.store import (
     CELL_TOPIC,
-    Appended,
-    Newest,
+    AppendResult,
+    NewestRecords,
     Producer,
     Slice,
     Store,
@@ -27,12 +27,12 @@
 from standins.model._time import now, pause
 
 #: An answer of the calm store, and how long an append takes there.
-ANSWER_S = 0.004
+ROUND_TRIP_S = 0.004
 APPEND_S = 0.001
 #: An append is turned away if it would wait for so long behind others.
 APPEND_QUEUE_S = 2.0
 #: How long callers wait for an answer that does not come.
-SILENCE_S = 1.5
+NO_ANSWER_S = 1.5
 
 
 def split_keyed(content: bytes) -> tuple[str, bytes | None]:
@@ -53,15 +53,15 @@
     newest: dict[str, tuple[int, bytes]] = attrs.field(factory=dict)
     epoch: int = -1
     sequence: int = -1
-    answers: dict[int, Appended] = attrs.field(factory=dict)
+    answers: dict[int, AppendResult] = attrs.field(factory=dict)
     busy_until: float = 0.0
-    grew: asyncio.Event = attrs.field(factory=asyncio.Event)
+    appended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @property
     def end(self) -> int:
         return self.first + len(self.records)
 
-    def add(self, contents: Sequence[bytes]) -> Appended:
+    def add(self, contents: Sequence[bytes]) -> AppendResult:
         offset = self.end
         for content in contents:
             key, value = split_keyed(content)
@@ -71,9 +71,9 @@
                 self.newest[key] = (self.end, value)
             self.records.append(content)
         if contents:
-            self.grew.set()
-            self.grew = asyncio.Event()
-        return Appended(offset, self.end)
+            self.appended.set()
+            self.appended = asyncio.Event()
+        return AppendResult(offset, self.end)
 
 
 class ModelStore:
@@ -81,30 +81,30 @@
 
     :ivar mode: how it answers an instance: ``up``, ``busy`` (503), ``silent``
         (nothing is done and no answer comes), by instance; ``*`` for all.
-    :ivar partly_down: partitions of every topic that answer nothing useful.
+    :ivar down_partitions: partitions of every topic that answer nothing useful.
     :ivar slow: a factor on its times.
-    :ivar in_turn: whether a partition does its appends one after the other, and
+    :ivar serial_appends: whether a partition does its appends one after the other, and
         turns away those that would wait for long.
     :ivar lost_share: the share of writes that are done and not answered.
-    :ivar transfer_s: how long an instance's link takes for an answer to a reading
+    :ivar partition_read_s: how long an instance's link takes for an answer to a reading
         of a partition, by both.
     :ivar link_bytes_s: what an instance's link carries of the cell's records in a
         second, by its name; endless where nothing is said.
-    :ivar wholly_read: how often each instance read all of a partition.
+    :ivar full_reads: how often each instance read all of a partition.
     """
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
         self.partitions: dict[tuple[str, int], _Partition] = {}
         self.mode: dict[str, str] = {}
-        self.partly_down: set[int] = set()
+        self.down_partitions: set[int] = set()
         self.slow = 1.0
-        self.in_turn = False
+        self.serial_appends = False
         self.lost_share = 0.0
         self.late_share = 0.0
-        self.transfer_s: dict[tuple[str, int], float] = {}
+        self.partition_read_s: dict[tuple[str, int], float] = {}
         self.link_bytes_s: dict[str, float] = {}
-        self.wholly_read: Counter[str] = Counter()
+        self.full_reads: Counter[str] = Counter()
         self.writes = 0
         self.reads = 0
 
@@ -117,7 +117,7 @@
         content = bytes((len(key.encode()),)) + key.encode() + (value or b"")
         return self.partition(topic).add([content]).offset
 
-    def forget_history(self) -> None:
+    def expire_history(self) -> None:
         """Expire all records but the newest of each key."""
         for part in self.partitions.values():
             part.first, part.records = part.end, []
@@ -140,20 +140,22 @@
         modes = self._store.mode
         return modes.get(self._instance, modes.get("*", "up"))
 
-    async def _enter(self, partition: int = -1, silence_s: float = SILENCE_S) -> None:
-        await pause(ANSWER_S / 2 * self._store.slow)
-        mode = "busy" if partition in self._store.partly_down else self._mode()
+    async def _begin_call(
+        self, partition: int = -1, silence_s: float = NO_ANSWER_S
+    ) -> None:
+        await pause(ROUND_TRIP_S / 2 * self._store.slow)
+        mode = "busy" if partition in self._store.down_partitions else self._mode()
         if mode == "busy":
             raise LogUnavailableError("busy", retry_after_s=0.5)
         if mode == "silent":
             await pause(silence_s)
             raise LogOutcomeUnknownError("silent")
 
-    async def _leave(self, wrote: bool = False) -> None:
-        await pause(ANSWER_S / 2 * self._store.slow)
+    async def _end_call(self, wrote: bool = False) -> None:
+        await pause(ROUND_TRIP_S / 2 * self._store.slow)
         lost = wrote and self._store.rng.random() < self._store.lost_share
         if lost or self._mode() == "silent":
-            await pause(SILENCE_S)
+            await pause(NO_ANSWER_S)
             raise LogOutcomeUnknownError("the answer was lost")
 
     async def _transfer(
@@ -161,7 +163,7 @@
     ) -> None:
         if topic != CELL_TOPIC:
             return
-        wait_s = self._store.transfer_s.get((self._instance, partition), 0.0)
+        wait_s = self._store.partition_read_s.get((self._instance, partition), 0.0)
         rate = self._store.link_bytes_s.get(self._instance)
         if rate is not None:
             wait_s += sum(len(r.key) + len(r.value or b"") for r in records) / rate
@@ -175,38 +177,44 @@
         producer: Producer | None = None,
         expected_end: int | None = None,
         timeout_s: float | None = None,
-    ) -> Appended:
+    ) -> AppendResult:
         """See :meth:`Store.append`."""
         self._store.writes += 1
-        await self._enter(partition, min(timeout_s or SILENCE_S, SILENCE_S))
+        await self._begin_call(partition, min(timeout_s or NO_ANSWER_S, NO_ANSWER_S))
         if self._store.rng.random() < self._store.late_share:
             late_s = 1 + 5 * self._store.rng.random()
             asyncio.get_running_loop().call_later(
-                late_s, self._late, topic, partition, records, producer, expected_end
+                late_s,
+                self._append_late,
+                topic,
+                partition,
+                records,
+                producer,
+                expected_end,
             )
-            await pause(SILENCE_S)
+            await pause(NO_ANSWER_S)
             raise LogOutcomeUnknownError("late")
-        await self._take_turn(self._store.partition(topic, partition))
+        await self._wait_turn(self._store.partition(topic, partition))
         done = self._add(topic, partition, records, producer, expected_end)
-        await self._leave(wrote=True)
+        await self._end_call(wrote=True)
         return done
 
-    async def _take_turn(self, part: _Partition) -> None:
-        if not self._store.in_turn:
+    async def _wait_turn(self, part: _Partition) -> None:
+        if not self._store.serial_appends:
             part.busy_until = now()
         if part.busy_until - now() > APPEND_QUEUE_S:
             raise LogUnavailableError("busy", retry_after_s=0.5)
         part.busy_until = max(part.busy_until, now()) + APPEND_S * self._store.slow
         await pause(part.busy_until - now())
 
-    def _late(self, topic, partition, records, producer, expected_end) -> None:
+    def _append_late(self, topic, partition, records, producer, expected_end) -> None:
         try:
             self._add(topic, partition, records, producer, expected_end)
         except (LogFencedError, LogSequenceError, LogMovedError):
             # Its condition holds no more; the store does nothing.
             return
 
-    def _add(self, topic, partition, records, producer, expected_end) -> Appended:
+    def _add(self, topic, partition, records, producer, expected_end) -> AppendResult:
         part = self._store.partition(topic, partition)
         if expected_end is not None and part.end != expected_end:
             raise LogMovedError("moved", end=part.end)
@@ -217,7 +225,7 @@
         if producer.epoch > part.epoch:
             part.epoch, part.sequence, part.answers = producer.epoch, -1, {}
         if not records:
-            return Appended(part.end, part.end)
+            return AppendResult(part.end, part.end)
         if producer.sequence in part.answers:
             return part.answers[producer.sequence]
         if part.sequence >= 0 and producer.sequence != part.sequence + 1:
@@ -232,12 +240,12 @@
     ) -> Slice:
         """See :meth:`Store.read`."""
         self._store.reads += 1
-        await self._enter(partition if topic == CELL_TOPIC else -1)
+        await self._begin_call(partition if topic == CELL_TOPIC else -1)
         part = self._store.partition(topic, partition)
         until = now() + wait_s
         while part.end <= offset and now() < until:
             try:
-                await asyncio.wait_for(part.grew.wait(), until - now())
+                await asyncio.wait_for(part.appended.wait(), until - now())
             except TimeoutError:
                 break
         if offset < part.first:
@@ -248,30 +256,30 @@
         )
         done = Slice(records, part.end, part.end)
         await self._transfer(topic, partition, records)
-        await self._leave()
+        await self._end_call()
         return done
 
-    async def newest(
+    async def read_newest(
         self, topic: str, partition: int = 0, after: str = "", until: str = ""
-    ) -> Newest:
-        """See :meth:`Store.newest`."""
+    ) -> NewestRecords:
+        """See :meth:`Store.read_newest`."""
         self._store.reads += 1
-        await self._enter(partition if topic == CELL_TOPIC else -1)
+        await self._begin_call(partition if topic == CELL_TOPIC else -1)
         part = self._store.partition(topic, partition)
         kept = tuple(
             record
-            for record in self._kept(part)
+            for record in self._newest_records(part)
             if record.key > after and (not until or record.key < until)
         )
-        done = Newest(kept, part.end)
+        done = NewestRecords(kept, part.end)
         if not until:
-            self._store.wholly_read[self._instance] += topic == CELL_TOPIC
+            self._store.full_reads[self._instance] += topic == CELL_TOPIC
             await self._transfer(topic, partition, kept)
-        await self._leave()
+        await self._end_call()
         return done
 
     @staticmethod
-    def _kept(part: _Partition) -> tuple[StoredRecord, ...]:
+    def _newest_records(part: _Partition) -> tuple[StoredRecord, ...]:
         return tuple(
             StoredRecord(offset, key, value)
             for key, (offset, value) in sorted(part.newest.items())
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -23,10 +23,10 @@
 from standins.model._checks import Checks
 from standins.model._time import now, pause
 
-NET_S = 0.001
-STOP_S = 0.4
-GANG_S = 3.0
-SAVE_S = 0.5
+NETWORK_DELAY_S = 0.001
+TASK_STOP_S = 0.4
+GANG_TIMEOUT_S = 3.0
+CHECKPOINT_INTERVAL_S = 0.5
 
 
 @attrs.frozen
@@ -75,13 +75,17 @@
                 member_worker.begin_work(member, longest)
         else:
             run.timers.append(
-                asyncio.get_running_loop().call_later(GANG_S, self._alone, key, run)
+                asyncio.get_running_loop().call_later(
+                    GANG_TIMEOUT_S, self._time_out, key, run
+                )
             )
 
-    def _alone(self, key: tuple[str, int], run: _Run) -> None:
+    def _time_out(self, key: tuple[str, int], run: _Run) -> None:
         if not run.works and run.task in self.members.get(key, {}):
             worker, _ = self.members[key][run.task]
-            worker.checks.alone.append(f"{now():.2f} {run.task} run {run.number}")
+            worker.checks.incomplete_gangs.append(
+                f"{now():.2f} {run.task} run {run.number}"
+            )
             worker.finish(run, End.ALONE)
 
     def ended(self, run: _Run, end: End) -> None:
@@ -104,8 +108,8 @@
         answers are lost.
     :ivar slow: a factor on the time that work takes.
     :ivar fails_all: whether all that it runs fails at once.
-    :ivar stands_still: whether what it starts makes no progress.
-    :ivar late_tickets: starts refused as their tickets had ended.
+    :ivar stalled: whether what it starts makes no progress.
+    :ivar expired_tickets: starts refused as their tickets had ended.
     """
 
     def __init__(
@@ -123,17 +127,17 @@
         self.name, self.capacity, self.rack, self.zone = name, capacity, rack, zone
         self.checks = checks
         self.mode = "up"
-        self.cut_from: set[str] = set()
+        self.unreachable_from: set[str] = set()
         self.late_share = 0.0
         self.lost_share = 0.0
         self.slow = 1.0
         self.fails_all = False
-        self.stands_still = False
+        self.stalled = False
         self.draining_s: float | None = None
-        self.life = 1_000_000 + rng.randrange(1000)
+        self.incarnation = 1_000_000 + rng.randrange(1000)
         self.up = True
-        self.looks = 0
-        self.late_tickets = 0
+        self.polls = 0
+        self.expired_tickets = 0
         self._plans, self._gangs, self._rng = plans, gangs, rng
         self._longest_lease_s = longest_lease_s
         self._reset()
@@ -146,7 +150,7 @@
         self._count = 0
         self._highest_ended: dict[str, int] = {}
         self._lease_until = 0.0
-        self._lapse: asyncio.TimerHandle | None = None
+        self._lease_timer: asyncio.TimerHandle | None = None
         self._changed = asyncio.Event()
         self._done_at: dict[int, float] = {}
 
@@ -171,7 +175,7 @@
     def restart(self) -> None:
         """Come back in a new life that knows nothing."""
         self.crash()
-        self.life += 1000
+        self.incarnation += 1000
         self._reset()
         self.up = True
 
@@ -192,7 +196,7 @@
             },
             "labels": ["a", self.rack],
             "sequence": 1,
-            "born": self.life,
+            "born": self.incarnation,
         }
         if self.draining_s is not None:
             data["drain_remaining_ms"] = int(self.draining_s * 1000)
@@ -215,7 +219,7 @@
         """Let a run work until it ends."""
         run.works = True
         run.started_at = now()
-        if self.stands_still:
+        if self.stalled:
             return
         if self.fails_all or run.plan.fails:
             left, end = min(0.2, work_s), End.FAILED
@@ -246,50 +250,52 @@
         if not run.plan.checkpoints or not run.works:
             return ""
         done_s = run.saved_s + (now() - run.started_at) / self.slow
-        return f"{int(done_s / SAVE_S)}"
+        return f"{int(done_s / CHECKPOINT_INTERVAL_S)}"
 
     def _drop(self, run: _Run) -> None:
         for timer in run.timers:
             timer.cancel()
         self.runs.pop((run.task, run.number), None)
-        self.checks.ended(run.task, self.name, self.life)
+        self.checks.ended(run.task, self.name, self.incarnation)
 
-    def _extend(self, until_s: float) -> None:
+    def _extend_lease(self, until_s: float) -> None:
         until_s = min(until_s, self.clock() + self._longest_lease_s)
         self._lease_until = max(self._lease_until, until_s)
-        if self._lapse is not None:
-            self._lapse.cancel()
+        if self._lease_timer is not None:
+            self._lease_timer.cancel()
         left = max(self._lease_until - self.clock(), 0.0)
         # Its clock is 1% slow, which is within what is allowed.
-        self._lapse = asyncio.get_running_loop().call_later(left * 1.01, self._lapsed)
+        self._lease_timer = asyncio.get_running_loop().call_later(
+            left * 1.01, self._expire_lease
+        )
 
-    def _lapsed(self) -> None:
+    def _expire_lease(self) -> None:
         self._done_at.clear()
         for run in list(self.runs.values()):
             self.finish(run, End.LAPSED)
 
     # Its interface.
 
-    def look(self, fence: int, ack: int, until_s: float | None) -> Look:
-        """See :meth:`Workers.look`."""
+    def poll(self, fence: int, ack: int, until_s: float | None) -> Look:
+        """See :meth:`Workers.poll`."""
         if fence < self.fence:
             raise WorkerFencedError(self.name)
         self.fence = fence
-        self.looks += 1
+        self.polls += 1
         for row in self.ends:
             if row.number <= ack and row.number in self._done_at:
                 self.checks.acknowledged(now(), row.task, self._done_at[row.number])
         self.ends = [row for row in self.ends if row.number > ack]
         if until_s is not None:
-            self._extend(until_s)
+            self._extend_lease(until_s)
         rows = tuple(self._running_row(run) for run in self.runs.values())
-        return Look(self.life, self.clock(), rows, tuple(self.ends))
+        return Look(self.incarnation, self.clock(), rows, tuple(self.ends))
 
     def _running_row(self, run: _Run) -> RunningRow:
         if not run.works:
             return RunningRow(run.task, run.number, "", 0)
         done_s = run.saved_s + (now() - run.started_at) / self.slow
-        percent = 0 if self.stands_still else min(99, 100 * done_s / run.plan.work_s)
+        percent = 0 if self.stalled else min(99, 100 * done_s / run.plan.work_s)
         return RunningRow(run.task, run.number, self._checkpoint(run), int(percent))
 
     def start(self, order: StartOrder) -> OrderAnswer:
@@ -298,24 +304,24 @@
             return self._answer(OrderOutcome.FENCED)
         self.fence = order.fence
         if (order.task, order.run) in self.runs:
-            self._extend(order.lease_until_s)
+            self._extend_lease(order.lease_until_s)
             return self._answer(OrderOutcome.TAKEN)
         if order.run <= self._highest_ended.get(order.task, 0):
             return self._answer(OrderOutcome.OLD)
         if order.lease_until_s < self.clock():
             return self._answer(OrderOutcome.LATE)
         if order.ticket and float(order.ticket) < now():
-            self.late_tickets += 1
+            self.expired_tickets += 1
             return self._answer(OrderOutcome.NO_TICKET)
         plan = self._plans(order.task)
-        saved_s = float(order.checkpoint or 0) * SAVE_S
+        saved_s = float(order.checkpoint or 0) * CHECKPOINT_INTERVAL_S
         run = _Run(order.task, order.run, plan, now(), saved_s)
         self.runs[order.task, order.run] = run
-        self.checks.started(now(), order.task, self.name, self.life, order.run)
+        self.checks.started(now(), order.task, self.name, self.incarnation, order.run)
         if not self.capacity.covers(self.used()):
             detail = f"{self.name}: {self.used()} of {self.capacity}"
-            self.checks.note(now(), "capacity", detail)
-        self._extend(order.lease_until_s)
+            self.checks.record_violation(now(), "capacity", detail)
+        self._extend_lease(order.lease_until_s)
         if plan.gang:
             self._gangs.add(self, run)
         else:
@@ -334,11 +340,11 @@
         elif not run.stopping:
             run.stopping = True
             loop = asyncio.get_running_loop()
-            loop.call_later(STOP_S, self.finish, run, End.STOPPED)
+            loop.call_later(TASK_STOP_S, self.finish, run, End.STOPPED)
         return self._answer(OrderOutcome.TAKEN)
 
     def _answer(self, outcome: OrderOutcome) -> OrderAnswer:
-        return OrderAnswer(outcome, self.life, self.clock())
+        return OrderAnswer(outcome, self.incarnation, self.clock())
 
     async def wait_for_end(self, wait_s: float) -> None:
         """Wait until a run ends, if none is listed yet."""
@@ -370,23 +376,23 @@
         self,
         workers: dict[str, ModelWorker],
         instance: str,
-        sending: Callable[[], bool],
+        may_send: Callable[[], bool],
         rng: random.Random,
-        link_wait_s: Callable[[], float],
+        send_over_link: Callable[[], float],
     ) -> None:
-        self._link_wait_s = link_wait_s
+        self._send_over_link = send_over_link
         self._workers = workers
         self._instance = instance
-        self._sending = sending
+        self._may_send = may_send
         self._rng = rng
 
-    def _reached(self, name: str) -> ModelWorker | None:
+    def _find_reachable(self, name: str) -> ModelWorker | None:
         worker = self._workers.get(name)
         if worker is None or not worker.up or worker.mode == "cut":
             return None
-        return None if self._instance in worker.cut_from else worker
+        return None if self._instance in worker.unreachable_from else worker
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerEntry,
         fence: int,
@@ -394,21 +400,21 @@
         lease_until_s: float | None,
         wait_s: float,
     ) -> Look:
-        """See :meth:`Workers.look`."""
-        await pause(NET_S)
-        target = self._reached(worker.name)
+        """See :meth:`Workers.poll`."""
+        await pause(NETWORK_DELAY_S)
+        target = self._find_reachable(worker.name)
         if target is None:
             await pause(wait_s + 1.0)
             raise WorkerUnreachableError(worker.name)
-        target.look(fence, ack, lease_until_s)
+        target.poll(fence, ack, lease_until_s)
         await target.wait_for_end(wait_s)
         lost = target.mode == "mute" or target.loses_answer(self._rng)
-        if self._reached(worker.name) is not target or lost:
+        if self._find_reachable(worker.name) is not target or lost:
             await pause(1.0)
             raise WorkerUnreachableError(worker.name)
-        look = target.look(fence, 0, None)
-        await pause(NET_S)
-        return look
+        reply = target.poll(fence, 0, None)
+        await pause(NETWORK_DELAY_S)
+        return reply
 
     async def start(self, worker: WorkerEntry, order: StartOrder) -> OrderAnswer:
         """See :meth:`Workers.start`."""
@@ -420,19 +426,19 @@
         """See :meth:`Workers.stop`."""
         return await self._order(worker.name, lambda w: w.stop(task, run, fence))
 
-    async def pace(
+    async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
-        """See :meth:`Workers.pace`."""
+        """See :meth:`Workers.throttle`."""
         return await self._order(worker.name, lambda w: w._answer(OrderOutcome.TAKEN))
 
     async def _order(
         self, name: str, act: Callable[[ModelWorker], OrderAnswer]
     ) -> OrderAnswer:
-        if not self._sending():
+        if not self._may_send():
             return OrderAnswer(OrderOutcome.NOT_SENT)
-        await pause(NET_S + self._link_wait_s())
-        target = self._reached(name)
+        await pause(NETWORK_DELAY_S + self._send_over_link())
+        target = self._find_reachable(name)
         if target is None:
             await pause(ORDER_TIMEOUT_S)
             return OrderAnswer(OrderOutcome.UNKNOWN)
@@ -441,14 +447,15 @@
             loop = asyncio.get_running_loop()
             # It waits inside the worker, and is lost with it: no order can be
             # kept from a fresh life that has seen no fencing token.
-            life = target.life
+            incarnation = target.incarnation
             loop.call_later(
-                late_s, lambda: target.up and target.life == life and act(target)
+                late_s,
+                lambda: target.up and target.incarnation == incarnation and act(target),
             )
             await pause(ORDER_TIMEOUT_S)
             return OrderAnswer(OrderOutcome.UNKNOWN)
         answer = act(target)
-        await pause(NET_S)
+        await pause(NETWORK_DELAY_S)
         if target.mode == "mute" or target.loses_answer(self._rng):
             await pause(ORDER_TIMEOUT_S)
             return OrderAnswer(OrderOutcome.UNKNOWN)
--- a/standins/soak/_faults.py
+++ b/standins/soak/_faults.py
@@ -179,7 +179,7 @@
 
     async def _store_slow(self, member: Member, lasts_s: float) -> None:
         self._disturb(self.fleet.members, lasts_s)
-        self.fleet.model.store.slow, self.fleet.model.store.in_turn = 30.0, True
+        self.fleet.model.store.slow, self.fleet.model.store.serial_appends = 30.0, True
         await asyncio.sleep(lasts_s)
         self.fleet.model.store.slow = 1.0
 
@@ -197,7 +197,7 @@
         """
 
     async def _forget(self, member: Member, lasts_s: float) -> None:
-        self.fleet.model.store.forget_history()
+        self.fleet.model.store.expire_history()
 
 
 def first_teams() -> list[dict]:
--- a/standins/soak/_play.py
+++ b/standins/soak/_play.py
@@ -60,7 +60,9 @@
         callers.stopping = True
         await load
         unended = await callers.unended(_REST_S)
-        broken = [f"{b.what}: {b.detail} at {b.at:.1f}" for b in model.checks.broken]
+        broken = [
+            f"{b.what}: {b.detail} at {b.at:.1f}" for b in model.checks.violations
+        ]
         broken += callers.broken + callers.late_starts() + faults.broken
         broken += [f"job {job} did not end" for job in unended]
         broken += [f"{m.name} has ended" for m in fleet.members if not m.runs]
--- a/tests/failures/test_instances.py
+++ b/tests/failures/test_instances.py
@@ -30,7 +30,7 @@
                 await fleet.submit(job)
 
             await until(lambda: fleet.completed(jobs))
-            assert fleet.model.checks.broken == []
+            assert fleet.model.checks.violations == []
 
     asyncio.run(play())
 
@@ -54,7 +54,7 @@
             await stop_for_a_while(fleet, lead, jobs[8:])
             await until(lambda: fleet.completed(jobs))
             assert any(line["event"] == "lead.ended" for line in lead.lines)
-            assert fleet.model.checks.broken == []
+            assert fleet.model.checks.violations == []
 
     async def stop_for_a_while(fleet, lead, jobs):
         fleet.all.remove(lead)
@@ -89,7 +89,7 @@
             process.signal(signal.SIGTERM)
 
             async def not_ready():
-                return not await fleet.ready(process)
+                return not await fleet.is_ready(process)
 
             await until(not_ready, 3.0)
             status, _ = await fleet.call(process, "GET", "/plan/00000000000000aa")
@@ -191,7 +191,7 @@
             await fleet.submit("00000000000000aa")
             await until(lambda: fleet.completed(["00000000000000aa"]))
 
-            process.read_on()
+            process.resume_reading()
 
             async def told():
                 lines = [x for x in process.lines if x["event"] == "log.left_out"]
--- a/tests/golden/sessions.py
+++ b/tests/golden/sessions.py
@@ -39,7 +39,7 @@
 from firhook.model import Endpoint, decode_envelope, encode_message, to_builtins
 from firhook.platform.clients import (
     EndpointClient,
-    Exchange,
+    EndpointResponse,
     InstanceList,
     LogEntry,
     LogPage,
@@ -292,11 +292,11 @@
         self._session = session
         self._zone = zone
 
-    async def look(self, worker: Endpoint) -> Any:
+    async def poll(self, worker: Endpoint) -> Any:
         """Return the inventory; see :class:`WorkerClient`."""
         return await self._call(worker, None)
 
-    async def sync(self, worker: Endpoint, order: Any) -> Any:
+    async def send_order(self, worker: Endpoint, order: Any) -> Any:
         """Give an order; see :class:`WorkerClient`."""
         for start in order.start:
             ref = f"{start.job_id}[{start.index}]"
@@ -340,7 +340,7 @@
         headers: Any,
         body: bytes,
         timeout_s: float,
-    ) -> Exchange:
+    ) -> EndpointResponse:
         """Send a request; see :class:`EndpointClient`."""
         if not self._session.joined(self._zone, endpoint.zone):
             await asyncio.sleep(min(1.0, timeout_s))
@@ -353,7 +353,7 @@
             runs[body.decode()] = runs.get(body.decode(), 0) + 1
         await asyncio.sleep(0.1)
         answer = json.dumps({"path": path, "echo": body.decode()}).encode()
-        return Exchange(200, (("Content-Type", "application/json"),), answer)
+        return EndpointResponse(200, (("Content-Type", "application/json"),), answer)
 
     async def close(self) -> None:
         """Close nothing."""
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -17,7 +17,7 @@
     decode_worker,
 )
 from firhook.platform.instance import load_instance_settings
-from firhook.platform.store import KeyedRecord, encode_keyed
+from firhook.platform.store import KeyedRecord, encode_keyed_record
 
 ENTRY = {
     "service": "p",
@@ -149,9 +149,9 @@
 
 def test_records_of_a_read_are_numbered_from_the_offset_asked_for():
     contents = [
-        encode_keyed(KeyedRecord("a", b"1")),
+        encode_keyed_record(KeyedRecord("a", b"1")),
         b"",
-        encode_keyed(KeyedRecord("b", None)),
+        encode_keyed_record(KeyedRecord("b", None)),
     ]
     body = struct.pack(">QQ", 12, 0)
     for content in contents:
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -207,7 +207,7 @@
 def test_answer_over_the_limit_is_an_error():
     async def scenario():
         async with RawRunner(ok(b"x" * 2000)) as runner:
-            runner.client._max = 1000
+            runner.client._max_answer_bytes = 1000
             with pytest.raises(EndpointFailedError) as caught:
                 await runner.send()
             assert caught.value.ran == "yes"
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -33,7 +33,7 @@
         port = server.sockets[0].getsockname()[1]
         async with server, new_session() as session:
             store = HttpStore(session, Address("127.0.0.1", port), TIMEOUT_S)
-            return await store.newest("keyed.firhook")
+            return await store.read_newest("keyed.firhook")
 
     return asyncio.run(scenario())
 
@@ -83,7 +83,7 @@
         port = server.sockets[0].getsockname()[1]
         async with server, new_session() as session:
             store = HttpStore(session, Address("127.0.0.1", port), TIMEOUT_S)
-            return await store.newest("keyed.firhook", 1, "lead", "state/")
+            return await store.read_newest("keyed.firhook", 1, "lead", "state/")
 
     newest = asyncio.run(scenario())
     assert [r.key for r in newest.records] == ["mesh", "peer/a", "peer/b"]
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -19,7 +19,7 @@
 )
 from firhook.events import InstancesListed, RoomChanged, RoomWanted
 from firhook.model import Endpoint, parse_list
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 from firhook.queries import (
     Authenticate,
     CheckFresh,
@@ -38,7 +38,7 @@
 RUNNERS = tuple(
     Endpoint(f"r{i}", "runner", "z", f"10.0.0.{i}:80", service="svc") for i in (1, 2)
 )
-FINE = Exchange(200, (("Content-Type", "text/plain"),), b"fine")
+FINE = EndpointResponse(200, (("Content-Type", "text/plain"),), b"fine")
 
 
 class FakeRunners:
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -13,7 +13,7 @@
 )
 from firhook.events import Append
 from firhook.model import OnceClaimed, OnceDone, OnceReleased, decode_envelope
-from firhook.platform.clients import Exchange
+from firhook.platform.clients import EndpointResponse
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
@@ -28,7 +28,7 @@
 from tests.state.test_config import feed
 
 CHARGE = OnceBegin("renewal-1", "lisboa", "body")
-PAID = Exchange(200, (("Content-Type", "text/plain"),), b"paid")
+PAID = EndpointResponse(200, (("Content-Type", "text/plain"),), b"paid")
 
 
 def bodies(log: FakeLog) -> list[object]:
@@ -223,7 +223,7 @@
     """An answer of 100 kB would be in the memory of every instance."""
 
     async def scenario(log, a, b):
-        long = Exchange(201, (("Content-Type", "text/plain"),), b"x" * 100_000)
+        long = EndpointResponse(201, (("Content-Type", "text/plain"),), b"x" * 100_000)
         assert await a.bus.ask(CHARGE) is None
         await a.bus.ask(OnceFinish(CHARGE.key, long))
         await until(lambda: b.states.once.entries[CHARGE.key].done)
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -40,13 +40,13 @@
         self.cut = set(cut)
         self.orders = []
 
-    async def look(self, endpoint):
+    async def poll(self, endpoint):
         if endpoint.name in self.cut:
             await asyncio.sleep(30.0)
             raise WorkerUnreachableError(endpoint.name)
         return Report(endpoint.name, 1.0, 1, "boot", ())
 
-    async def sync(self, endpoint, order):
+    async def send_order(self, endpoint, order):
         self.orders.append((endpoint.name, order))
         return Report(endpoint.name, 1.0, order.epoch, "boot", ())
 
--- a/tests/services/scenes.py
+++ b/tests/services/scenes.py
@@ -15,6 +15,6 @@
         cell = ModelCell(**options)
         await cell.begin()
         await scene(cell)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(on_cell())
--- a/tests/services/test_advising.py
+++ b/tests/services/test_advising.py
@@ -12,7 +12,7 @@
     """
 
     async def scene(cell):
-        cell.adviser.late_s = dict.fromkeys(cell.instances, 0.4)
+        cell.adviser.answer_delay_s = dict.fromkeys(cell.instances, 0.4)
         for _ in range(6):
             await cell.submit([step(2)], work_s=0.3)
         calls = cell.adviser.calls
@@ -28,14 +28,14 @@
 
     async def scene(cell):
         slow = next(n for n in cell.instances if n != cell.lead_name())
-        cell.adviser.late_s[slow] = 1.5
-        before = cell.adviser.asked_through[slow]
+        cell.adviser.answer_delay_s[slow] = 1.5
+        before = cell.adviser.calls_by_instance[slow]
         for _ in range(20):
             await cell.submit([step(1, cpu_m=100)], work_s=0.3)
             await pause(0.05)
         await cell.all_done(10.0)
         # What was under way to it when the first answer was found to be late.
-        assert cell.adviser.asked_through[slow] - before <= 8
+        assert cell.adviser.calls_by_instance[slow] - before <= 8
 
     play(scene, instances=3, workers=6, advised=True)
 
@@ -47,12 +47,12 @@
     """
 
     async def scene(cell):
-        cell.adviser.late_s = dict.fromkeys(cell.instances, 0.2)
+        cell.adviser.answer_delay_s = dict.fromkeys(cell.instances, 0.2)
         # The workers are full until the first tickets of the others are about to end.
         for _ in range(12):
             await cell.submit([step(6, cpu_m=4000)], work_s=0.93)
         await cell.all_done(30.0)
-        late = {name: w.late_tickets for name, w in cell.workers.items()}
+        late = {name: w.expired_tickets for name, w in cell.workers.items()}
         assert sum(late.values()) == 0
 
     play(scene, instances=4, workers=6, advised=True)
--- a/tests/services/test_appends.py
+++ b/tests/services/test_appends.py
@@ -36,7 +36,7 @@
         other, _ = other_than_lead(cell)
         cell.store.slow = 110.0
         await pause(after_s)
-        cell.store.partly_down.add(1)
+        cell.store.down_partitions.add(1)
         req = ModelRequest("POST", f"/plan/{JOB_ID}", JOB, deadline_ms=590)
         status, body = await other.call(req)
         await pause(2.0)
@@ -51,7 +51,7 @@
 
     async def scene(cell):
         other, name = other_than_lead(cell)
-        cell.cuts += [{name, peer} for peer in cell.instances if peer != name]
+        cell.cut_links += [{name, peer} for peer in cell.instances if peer != name]
         cell.store.slow = 60.0
         await pause(2.0)
         cell.store.mode[name] = "silent"
--- a/tests/services/test_copying.py
+++ b/tests/services/test_copying.py
@@ -14,7 +14,7 @@
 
 async def _cell():
     cell = ModelCell(instances=6, workers=6, strengths=STRENGTHS, zones=ZONES)
-    cell.drops = 0.0
+    cell.drop_share = 0.0
     await cell.begin()
     return cell
 
@@ -60,14 +60,14 @@
             _over_a_thin_link(cell, name)
         for name in STRENGTHS:
             await cell.restart(name)
-        read_before = cell.store.wholly_read["i4"]
+        read_before = cell.store.full_reads["i4"]
         await cell.until(lambda: cell.lead() is not None, 3.0)
         assert STRENGTHS[cell.lead_name()] == 2.0
         await pause(1.0)
         assert await cell.instances["i4"].instance.services["callers"].ready()
-        assert cell.store.wholly_read["i4"] == read_before
+        assert cell.store.full_reads["i4"] == read_before
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -79,7 +79,7 @@
         await pause(1.0)
         cell.kill("i4")
         for name in ("i0", "i1", "i2", "i3"):
-            cell.cuts.append({name, "i4"})
+            cell.cut_links.append({name, "i4"})
         await cell.restart("i4")
         await pause(4.0)
         found = cell.instances["i4"]
@@ -109,6 +109,6 @@
         await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 20.0)
         assert set(cell.lead().lead.term.book.jobs) >= set(jobs)
         await cell.all_done(60.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
--- a/tests/services/test_faults.py
+++ b/tests/services/test_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.model import FIRST_KINDS, Trouble, run_virtual
+from standins.model import INITIAL_FAULT_KINDS, FaultScenario, run_virtual
 
 #: Seeds that once failed, each with what was wrong then.
 FAILED_ONCE = {
@@ -24,13 +24,13 @@
 
 
 def check(seed, kinds=(), instances=0):
-    outcome = run_virtual(Trouble(seed, kinds, instances).play())
-    assert outcome.good, f"seed {seed}: {outcome}"
+    outcome = run_virtual(FaultScenario(seed, kinds, instances).run())
+    assert outcome.passed, f"seed {seed}: {outcome}"
 
 
 @pytest.mark.parametrize("seed", sorted(FAILED_ONCE))
 def test_a_seed_that_failed_once_keeps_every_promise(seed):
-    check(seed, FIRST_KINDS)
+    check(seed, INITIAL_FAULT_KINDS)
 
 
 @pytest.mark.parametrize("seed", range(1000, 1010))
--- a/tests/services/test_fenced_writer.py
+++ b/tests/services/test_fenced_writer.py
@@ -5,13 +5,13 @@
 import pytest
 
 from firhook.errors import LogFencedError
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._fenced_writer import FencedWriter
 from standins.model import ModelStore, pause, run_virtual
 
 
 def record(name):
-    return encode_keyed(KeyedRecord(name, b"x"))
+    return encode_keyed_record(KeyedRecord(name, b"x"))
 
 
 def stored(store):
@@ -78,7 +78,7 @@
         await old.set_epoch()
         await new.set_epoch()
         for away in (set(), {0}, {0, 2}, {0, 2, 1}):
-            store.partly_down = away
+            store.down_partitions = away
             with pytest.raises(LogFencedError):
                 await old.append([record("late")])
         assert stored(store) == []
--- a/tests/services/test_forgetting.py
+++ b/tests/services/test_forgetting.py
@@ -41,7 +41,7 @@
     assert await cell.status(job, found) == "410"
     status, body = await found.call(ModelRequest("GET", "/plan/"))
     assert (status, body["pending"]) == (200, 0)
-    assert cell.checks.broken == []
+    assert cell.checks.violations == []
 
 
 @pytest.mark.parametrize("leads", [False, True])
@@ -54,12 +54,14 @@
         job, _ = await cell.submit([STEP], work_s=1.0)
         await cell.until(lambda: found.instance.replica.find(job), 1.0)
         cell.store.mode[behind] = "silent"
-        cell.cuts += [{behind, other} for other in cell.instances if other != behind]
+        cell.cut_links += [
+            {behind, other} for other in cell.instances if other != behind
+        ]
         await cell.until(lambda: not kept(cell, job), 30.0)
         await pause(1.0)
-        cell.store.forget_history()
+        cell.store.expire_history()
         cell.store.mode.pop(behind)
-        cell.cuts.clear()
+        cell.cut_links.clear()
         await pause(4.0)
         await check_forgotten(cell, job, found, leads)
 
@@ -76,15 +78,15 @@
         behind = next(n for n in cell.instances if n != cell.lead_name())
         cell.kill(behind)
         await pause(0.5)
-        cell.store.transfer_s[behind, 1] = 12.0
-        cell.store.transfer_s[behind, 0] = 8.0
+        cell.store.partition_read_s[behind, 1] = 12.0
+        cell.store.partition_read_s[behind, 0] = 8.0
         await cell.restart(behind)
         found = cell.instances[behind]
         await cell.until(lambda: not kept(cell, job), 20.0)
         readers = found.instance.services["follower"]._readers
         assert not readers[1].whole
         await cell.until(lambda: readers[1].whole, 30.0)
-        cell.store.transfer_s.clear()
+        cell.store.partition_read_s.clear()
         await pause(5.0)
         await check_forgotten(cell, job, found, leads)
 
@@ -115,11 +117,11 @@
     async def play():
         cell = ModelCell(bounds=Bounds(status_s=1.0))
         await cell.begin()
-        cell.store.partly_down = {1}
+        cell.store.down_partitions = {1}
         job, status = await cell.submit([STEP], work_s=0.2)
         assert status == 200
         await cell.all_done(5.0)
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         await pause(12.0)
         assert kept(cell, job) == []
         names = list(cell.instances)
@@ -143,15 +145,15 @@
         job, _ = await cell.submit([STEP], work_s=5.0)
         await cell.until(lambda: kept(cell, job), 1.0)
         await pause(1.0)
-        cell.store.partly_down = {0, 1}
+        cell.store.down_partitions = {0, 1}
         assert await cell.cancel(job) == 200
         await pause(2.0)
         assert {number for number, _ in kept(cell, job)} == {0, 1, 2, 3}
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         await cell.until(lambda: not kept(cell, job), 20.0)
         await pause(1.0)
         assert all(job not in i.instance.replica.jobs for i in cell.instances.values())
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -160,15 +162,15 @@
     async def play():
         cell = ModelCell(bounds=Bounds(status_s=1.0))
         await cell.begin()
-        cell.store.partly_down = {1}
+        cell.store.down_partitions = {1}
         job, _ = await cell.submit([STEP], work_s=0.2)
         await cell.all_done(5.0)
-        cell.store.partly_down = {3}
+        cell.store.down_partitions = {3}
         await pause(15.0)
         assert {key.partition("/")[0] for _, key in kept(cell, job)} >= {"job", "state"}
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         await cell.until(lambda: not kept(cell, job), 10.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_handing_on.py
@@ -36,7 +36,7 @@
 
     async def play():
         cell = await _zoned_cell(6, workers=24)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         # Ends are spread, as workers are not equally fast.
         for number, worker in enumerate(cell.workers.values()):
@@ -50,7 +50,7 @@
         assert cell.longest_wait_s[lead] < 0.1
         assert cell.lead_name() == lead
         assert cell.instances[lead].lead.term.fence == 1
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -58,7 +58,7 @@
 def test_records_reach_zones_through_one_instance_each():
     async def play():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         cell.sent_bytes.clear()
         job, _ = await cell.submit([step(4)], work_s=0.5)
@@ -79,7 +79,7 @@
 
     async def play():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         job, _ = await cell.submit([step(2)], work_s=0.2)
         await cell.all_done(10.0)
@@ -107,7 +107,7 @@
 
     async def play():
         cell = await _zoned_cell(3, workers=12)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         plan = [step(12), step(4, after=[0])]
         jobs = [(await cell.submit(plan, work_s=2.0))[0] for _ in range(3)]
         await pause(1.0)
@@ -125,7 +125,7 @@
         assert all(book.jobs[job].accepted.spec.steps for job in jobs)
         assert sum(len(runs) for runs in book.worker_runs.values()) > 0
         await cell.all_done(40.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
         kept = {k for p in cell.store.partitions.values() for k in p.newest}
         assert {JOB_PREFIX + job for job in jobs} <= kept
 
@@ -135,7 +135,7 @@
 def test_standby_is_told_all_and_reads_nothing_when_it_leads():
     async def play():
         cell = await _zoned_cell(3, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         job, _ = await cell.submit([step(6)], work_s=3.0)
         await pause(1.0)
         lead = cell.lead_name()
@@ -151,7 +151,7 @@
         await cell.until(lambda: cell.lead() is not None, 5.0)
         assert cell.lead_name() in whole
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -161,7 +161,7 @@
 
     async def play():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         fence = cell.instances[lead].lead.term.fence
         relays = {n for n, _, kind in cell.sent_bytes if kind == BEAT} - {lead}
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -28,7 +28,7 @@
         await pause(0.03)
         states = {await cell.status(job, i) for i in cell.instances.values()}
         assert states == {"completed"}
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -72,7 +72,7 @@
         # The others learn from the lead, which gathers for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -109,7 +109,7 @@
         again, status = await cell.submit([step(1)], work_s=0.2, job_id=job)
         assert (again, status) == (job, 200)
         await pause(2.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
         assert await cell.status(job) == "completed"
 
     run_virtual(play())
@@ -149,7 +149,7 @@
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
         cell.store.mode["i0"] = "silent"
-        cell.cuts += [{"i0", "i1"}, {"i0", "i2"}]
+        cell.cut_links += [{"i0", "i1"}, {"i0", "i2"}]
         await pause(1.0)
         cell.configure(2, tenants=[{"name": "a", "api_keys": ["another"]}])
         await pause(cell.bounds.revocation_s)
@@ -206,7 +206,7 @@
         away = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[away]
         cell.store.mode[away] = "silent"
-        cell.cuts += [{away, other} for other in cell.instances if other != away]
+        cell.cut_links += [{away, other} for other in cell.instances if other != away]
         await pause(0.9)
         assert not await found.instance.services["callers"].ready()
         body = b'{"specification":"x","steps":[{"count":1,"millicpus":1}]}'
@@ -244,10 +244,10 @@
     async def play():
         cell = ModelCell()
         await cell.begin()
-        cell.store.partly_down = {0}
+        cell.store.down_partitions = {0}
         jobs = [(await cell.submit([step(2)], work_s=0.3))[0] for _ in range(5)]
         await cell.all_done(3.0)
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         await pause(3.0)
         jobs += [(await cell.submit([step(2)], work_s=0.3))[0] for _ in range(5)]
         await cell.all_done(3.0)
@@ -255,7 +255,7 @@
         await cell.until(lambda: cell.lead() is not None, 3.0)
         await pause(1.0)
         assert {await cell.status(job) for job in jobs} == {"completed"}
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -264,12 +264,12 @@
     async def play():
         cell = ModelCell()
         await cell.begin()
-        cell.store.partly_down = {1}
+        cell.store.down_partitions = {1}
         for _ in range(5):
             _, status = await cell.submit([step(1)], work_s=0.3)
             assert status == 200
         await cell.all_done(3.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -286,13 +286,13 @@
         cell = ModelCell(instances=5)
         await cell.begin()
         first = cell.lead()
-        cell.drops = 1.0
+        cell.drop_share = 1.0
         for _ in range(40):
             await pause(0.1)
             assert cell.lead() is first
         await cell.submit([step(2)], work_s=0.3)
         await cell.all_done(3.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -365,7 +365,7 @@
             await cell.restart(name)
             await pause(1.0)
         assert await watching <= 0.1
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -444,7 +444,7 @@
         # The others learn from the lead, which gathers for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -484,7 +484,7 @@
 
     async def play():
         cell = ModelCell(instances=8)
-        cell.drops, cell.jitter_s = 0.0, 0.02
+        cell.drop_share, cell.jitter_s = 0.0, 0.02
         await cell.begin()
         began, reads = now(), cell.store.reads
         while now() - began < 5.0:
@@ -510,9 +510,9 @@
 
     async def play():
         cell = ModelCell(instances=10)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
-        told = cell.told
+        told = cell.received_pushes
         jobs = []
         for _ in range(6):
             answers = await asyncio.gather(
@@ -532,7 +532,7 @@
         # None of them had to read the store for that.
         assert cell.store.reads - reads < 20
         await cell.all_done(10.0)
-        assert cell.told - told < 300
+        assert cell.received_pushes - told < 300
 
     run_virtual(play())
 
@@ -547,7 +547,7 @@
 
     async def play():
         cell = ModelCell(instances=7, workers=0)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         lead, told = cell.lead(), []
         lead.instance.bus.subscribe(TellInstances, told.append)
@@ -579,7 +579,7 @@
 
     async def play():
         cell = ModelCell(instances=2)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         for found in cell.instances.values():
             replica, mine = found.instance.replica, found.instance.incarnation
@@ -587,9 +587,9 @@
         _, status = await cell.submit([step(1)], work_s=0.1)
         assert status == 200
         await pause(3.0)
-        told = cell.told
+        told = cell.received_pushes
         await pause(3.0)
-        assert cell.told - told < 10
+        assert cell.received_pushes - told < 10
 
     run_virtual(play())
 
@@ -606,12 +606,14 @@
         cell = ModelCell(instances=3)
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
-        cell.cuts += [{behind, other} for other in cell.instances if other != behind]
+        cell.cut_links += [
+            {behind, other} for other in cell.instances if other != behind
+        ]
         # It is asked at all moments between two readings of its own.
         for wait_s in (0.0, 0.1, 0.2, 0.3, 0.4):
             job, status = await cell.submit([step(1)], work_s=0.3)
             assert status == 200
-            cell.store.forget_history()
+            cell.store.expire_history()
             await pause(wait_s)
             asked = ModelRequest("GET", f"/plan/{job}")
             status, _ = await cell.instances[behind].call(asked)
@@ -633,13 +635,15 @@
         behind = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[behind]
         cell.store.mode[behind] = "silent"
-        cell.deafen(behind)
+        cell.disable_pushes(behind)
         jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(10)]
         assert {status for _, status in jobs} == {200}
         await pause(4.0)
         status, body = await found.call(ModelRequest("GET", "/plan/"))
         assert (status, body["pending"]) == (200, 9)
-        cell.cuts += [{behind, other} for other in cell.instances if other != behind]
+        cell.cut_links += [
+            {behind, other} for other in cell.instances if other != behind
+        ]
         await pause(0.5)
         status, _ = await found.call(ModelRequest("GET", "/plan/"))
         assert status == 503
@@ -659,7 +663,7 @@
         cell = ModelCell(instances=5, seed=seed)
         await cell.begin()
         others = [i.lead for n, i in cell.instances.items() if n != cell.lead_name()]
-        cell.drops = 1.0
+        cell.drop_share = 1.0
         await asyncio.gather(*(lead._stand(offered=True) for lead in others))
         leads = [i.lead for i in cell.instances.values()]
         epochs = [lead.term.fence for lead in leads if lead.term is not None]
--- a/tests/services/test_lookups.py
+++ b/tests/services/test_lookups.py
@@ -18,9 +18,9 @@
     cell.jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(4)]
     behind = next(n for n in cell.instances if n != cell.lead_name())
     cell.kill(behind)
-    cell.store.transfer_s[behind, 1] = 12.0
+    cell.store.partition_read_s[behind, 1] = 12.0
     await cell.restart(behind)
-    cell.deafen(behind)
+    cell.disable_pushes(behind)
     await pause(1.0)
     return cell, cell.instances[behind]
 
@@ -45,7 +45,7 @@
     async def play():
         cell, found = await cell_with_a_slow_reader()
         name = found.instance.settings.name
-        cell.cuts += [{name, other} for other in cell.instances if other != name]
+        cell.cut_links += [{name, other} for other in cell.instances if other != name]
         began = now()
         status, body = await found.call(ModelRequest("GET", "/plan/"))
         assert (status, body["ran"]) == (503, "no")
@@ -78,7 +78,7 @@
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=30.0)
         cell.kill("i0")
-        cell.store.transfer_s["i0", 1] = 0.2
+        cell.store.partition_read_s["i0", 1] = 0.2
         await cell.restart("i0")
         await pause(0.1)
         asked = [
@@ -131,7 +131,7 @@
         job, _ = await cell.submit([step(1)], work_s=1.0)
         await cell.until(lambda: found.instance.replica.find(job), 1.0)
         cell.store.mode[behind] = "silent"
-        cell.deafen(behind)
+        cell.disable_pushes(behind)
         await cell.until(lambda: cell.ended(job), 5.0)
         await pause(2.0)
         assert await cell.status(job, found) == "completed"
@@ -147,8 +147,8 @@
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[behind]
-        cell.deafen(behind)
-        cell.store.transfer_s[behind, 0] = 1.0
+        cell.disable_pushes(behind)
+        cell.store.partition_read_s[behind, 0] = 1.0
         job, _ = await cell.submit([step(1)], work_s=0.5)
         await cell.until(lambda: found.instance.replica.find(job), 2.0)
         await cell.until(lambda: cell.ended(job), 3.0)
@@ -202,7 +202,7 @@
     async def play():
         cell = ModelCell(instances=5)
         await cell.begin()
-        cell.store.partly_down = {3}
+        cell.store.down_partitions = {3}
         await pause(4.0)
 
         async def question(found):
@@ -240,12 +240,12 @@
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[behind]
-        cell.deafen(behind)
+        cell.disable_pushes(behind)
         await pause(phase_s)
-        cell.store.transfer_s[behind, 3] = 2.0
-        cell.store.partly_down = {1}
+        cell.store.partition_read_s[behind, 3] = 2.0
+        cell.store.down_partitions = {1}
         jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(4)]
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         assert {status for _, status in jobs} == {200}
         began = now()
         while now() - began < 6.0:
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -26,7 +26,7 @@
             content = bytes((len(key),)) + key.encode() + encode_record(record)
             partition.add([content])
         known = cell.instances["i0"].instance
-        cell.store.transfer_s["i0", 1] = 12.0
+        cell.store.partition_read_s["i0", 1] = 12.0
         fresh = Instance(known.settings, known.platform, {"mesh": MeshService})
         began = now()
         assert await fresh.services["mesh"]._keys() == keys
@@ -42,21 +42,21 @@
 
     async def scene(cell):
         cell.kill("i2")
-        cell.store.transfer_s["i2", 1] = 4.0
+        cell.store.partition_read_s["i2", 1] = 4.0
         await pause(1.0)
         await cell.restart("i2")
         await pause(0.5)
-        asked = cell.adviser.asked_through["i2"]
+        asked = cell.adviser.calls_by_instance["i2"]
         began = now()
         while now() - began < 2.5:
             await cell.submit([step(2)], work_s=0.1)
             await pause(0.02)
-        assert cell.adviser.asked_through["i2"] == asked
-        cell.store.transfer_s.clear()
+        assert cell.adviser.calls_by_instance["i2"] == asked
+        cell.store.partition_read_s.clear()
         await pause(6.0)
         for _ in range(100):
             await cell.submit([step(2)], work_s=0.1)
-        assert cell.adviser.asked_through["i2"] > asked
+        assert cell.adviser.calls_by_instance["i2"] > asked
         await cell.all_done(20.0)
 
     play_scene(scene, instances=3, workers=6, advised=True)
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -81,7 +81,7 @@
         first = cell.lead_name()
         # The successor reaches no worker, so that it can only tell what is stored.
         for worker in cell.workers.values():
-            worker.cut_from |= set(cell.instances) - {first}
+            worker.unreachable_from |= set(cell.instances) - {first}
         orders = cell.instances[first].lead.term._orders
         orders.begin = lambda run: cell.kill(first)
         job, _ = await cell.submit([step(1)], work_s=5.0)
@@ -90,7 +90,7 @@
         assert assigned(cell, job)
         assert await told(cell, job) == {WAITING}
         for worker in cell.workers.values():
-            worker.cut_from.clear()
+            worker.unreachable_from.clear()
         await check_begins(cell, job)
 
     play(scene)
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -13,7 +13,7 @@
 from firhook.services._orders import Orders
 from firhook.services._term import Term
 from firhook.services._worker_link import WorkerLink
-from standins.model import Trouble, run_virtual
+from standins.model import FaultScenario, run_virtual
 
 SEEDS = range(40)
 
@@ -21,7 +21,7 @@
 def caught(kinds=()):
     """Return the first seed under which a promise is broken."""
     for seed in SEEDS:
-        if not run_virtual(Trouble(seed, kinds).play()).good:
+        if not run_virtual(FaultScenario(seed, kinds).run()).passed:
             return seed
     return None
 
@@ -99,4 +99,4 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_without_a_defect_nothing_is_caught(seed):
-    assert run_virtual(Trouble(seed).play()).good
+    assert run_virtual(FaultScenario(seed).run()).passed
--- a/tests/services/test_slow_store.py
+++ b/tests/services/test_slow_store.py
@@ -31,7 +31,7 @@
     """Each instance's appends waited in one queue behind those of all others."""
 
     async def scene(cell):
-        cell.store.slow, cell.store.in_turn = 60.0, True
+        cell.store.slow, cell.store.serial_appends = 60.0, True
         await pause(0.5)
         got = await submit_all(cell, 50, 5.0)
         late = [(status, s) for status, s in got if status != 200 or s > 1.5]
@@ -50,10 +50,10 @@
     async def scene(cell):
         lead = cell.lead_name()
         others = {name for name in cell.instances if name != lead}
-        cell.store.slow, cell.store.in_turn = 60.0, True
+        cell.store.slow, cell.store.serial_appends = 60.0, True
         await pause(0.5)
         if trouble == "cut_off":
-            cell.cuts += [{lead, name} for name in others]
+            cell.cut_links += [{lead, name} for name in others]
         else:
             cell.store.mode[lead] = "busy"
         got = await submit_all(cell, 5, 3.0)
--- a/tests/services/test_starts.py
+++ b/tests/services/test_starts.py
@@ -19,7 +19,7 @@
 
     async def play():
         cell = ModelCell(workers=30)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         lead = cell.lead_name()
         cell.link_bytes_s[lead] = LINK_BYTES_S
@@ -34,7 +34,7 @@
             waits.append(_began_after(cell, job, since))
         assert max(waits) < 0.2
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -36,7 +36,7 @@
         for worker in others:
             worker.mode = "up"
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
 
@@ -108,7 +108,7 @@
         await pause(1.5)
         cell.workers["w0"].mode = "up"
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
     [failed] = [r for r in caplog.records if r.message == "link.failed"]
--- a/tests/services/test_submissions.py
+++ b/tests/services/test_submissions.py
@@ -138,7 +138,7 @@
 
     async def play():
         cell = ModelCell(instances=4)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         for worker in cell.workers.values():
             note_texts(worker, texts)
@@ -166,6 +166,6 @@
             for method, expected in (("POST", 409), ("DELETE", 410)):
                 req = ModelRequest(method, path + job, BODY, key)
                 assert (await found.call(req))[0] == expected
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(play())
--- a/tests/services/test_work_survives.py
+++ b/tests/services/test_work_survives.py
@@ -29,20 +29,20 @@
 def cut_zone(cell):
     """Part half of the instances and workers from the store and all others."""
     for worker in workers_away(cell):
-        worker.cut_from |= set(HERE)
+        worker.unreachable_from |= set(HERE)
     for worker in workers_here(cell):
-        worker.cut_from |= set(AWAY)
+        worker.unreachable_from |= set(AWAY)
     for name in AWAY:
         cell.store.mode[name] = "silent"
-    cell.cuts += [{a, b} for a in HERE for b in AWAY]
+    cell.cut_links += [{a, b} for a in HERE for b in AWAY]
 
 
 def heal_zone(cell):
     """Undo :func:`cut_zone`."""
     for worker in cell.workers.values():
-        worker.cut_from.clear()
+        worker.unreachable_from.clear()
     cell.store.mode.clear()
-    cell.cuts.clear()
+    cell.cut_links.clear()
 
 
 def workers_here(cell):
@@ -103,7 +103,7 @@
         first = cell.lead_name()
         cell.freeze(first)
         await pause(6.0)
-        cell.thaw(first)
+        cell.unfreeze(first)
         await pause(0.5)
         assert not cell.instances[first].leads
         await cell.all_done(40.0)
