--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -120,7 +120,7 @@
 
         Callers that keep their connections are served until they let go of them.
         """
-        deadline = boot_time() + self.settings.bounds.stop_s * _DRAIN_FRACTION
+        deadline = boot_time() + self.settings.bounds.stop_grace_s * _DRAIN_FRACTION
         await asyncio.sleep(_ROTATION_DELAY_S)
         while self._open_requests and boot_time() < deadline:
             await asyncio.sleep(0.02)
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -29,7 +29,7 @@
 from firhook.errors import FirhookError, LogMovedError, PeerUnreachableError
 from firhook.instance import InstanceService, StopBegun, register_service
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._events import (
     LEAD_PARTITIONS,
     AnnounceLead,
@@ -304,7 +304,7 @@
             await self.store.append(
                 CELL_TOPIC,
                 partition,
-                [encode_keyed(record)],
+                [encode_keyed_record(record)],
                 expected_end=end,
                 timeout_s=_CLAIM_TIMEOUT_S,
             )
@@ -385,7 +385,7 @@
             return False
         if reason == "stopping" and store_s > _SLOW_STORE_S:
             stopping_for_s = boot_time() - self._stop_began_at
-            if stopping_for_s < self.settings.bounds.stop_s * _STOP_WAIT_FRACTION:
+            if stopping_for_s < self.settings.bounds.stop_grace_s * _STOP_WAIT_FRACTION:
                 # A takeover makes six calls one after the other.  With a store
                 # that is 36 times slower than usual, no task starts for a second.
                 return False
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -144,10 +144,11 @@
     async def _start_until_settled(self, run: Run, began: float) -> None:
         step = run.task.step
         limit_s = (
-            self._bounds.gang_s * _GANG_START_FRACTION
+            self._bounds.gang_timeout_s * _GANG_START_FRACTION
             if step.spec.gang
             else _START_RETRY_LIMIT_S
         )
+        )
         while run in run.task.runs and not run.stop_reason and not self._term.lost:
             if boot_time() - began > limit_s:
                 self._abandon_start(run, "start_unanswered")
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -38,7 +38,7 @@
 )
 from firhook.instance import Instance
 from firhook.logs import log
-from firhook.platform.store import KeyedRecord, encode_keyed
+from firhook.platform.store import KeyedRecord, encode_keyed_record
 from firhook.services._adviser_client import AdviserClient
 from firhook.services._batches import split_records
 from firhook.services._events import (
@@ -460,7 +460,7 @@
             ):
                 continue
             try:
-                record = encode_keyed(self._heartbeat_record())
+                record = encode_keyed_record(self._heartbeat_record())
                 # Announced before it is appended, the record does not count as a
                 # newer heartbeat whenever it happens to be read.
                 self._lead.announce()
@@ -583,7 +583,7 @@
         max_bytes = self._instance.settings.store_limits.append_bytes
         for chunk in split_records(list(records), max_bytes):
             partition, offset = await self._writer.append(
-                [encode_keyed(r) for r in chunk]
+                [encode_keyed_record(r) for r in chunk]
             )
             event = RecordsAppended(partition, offset, tuple(chunk))
             self._instance.bus.publish(event)
@@ -596,7 +596,7 @@
         max_bytes = self._instance.settings.store_limits.append_bytes
         for chunk in split_records([KeyedRecord(key, None) for key in keys], max_bytes):
             offset = await self._writer.append_to(
-                partition, [encode_keyed(r) for r in chunk]
+                partition, [encode_keyed_record(r) for r in chunk]
             )
             if offset is None:
                 return False
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -220,7 +220,7 @@
         # ends from 1 again.  Acknowledging none is always safe.
         ack = 0 if self._last_poll_failed else self.ack
         call = self.pending_calls.note_sent(sent_at + wait_s)
-        polling = self._owner.workers.look(
+        polling = self._owner.workers.poll(
             self.entry, self._owner.fence, ack, until, wait_s
         )
         try:
