--- a/src/firhook/decide/__init__.py
+++ b/src/firhook/decide/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions under load: pure functions and values, without I/O and clocks.
+"""Scheduling decisions as pure functions and values, without I/O or clocks.
 
-Every function takes the time as an argument, in seconds of whichever clock
-its caller uses, and randomness as a seeded generator.
+Every function takes the current time as an argument, in seconds on the caller's
+clock.  Functions that need randomness take a seeded generator.
 """
--- a/src/firhook/decide/_adviser_slots.py
+++ b/src/firhook/decide/_adviser_slots.py
@@ -1,7 +1,7 @@
-"""Through which instance the adviser is asked.
+"""Chooses the instance through which a request to the adviser is sent.
 
-The adviser answers each calling machine's questions one after the other, so that
-each instance is a seat at which questions wait in turn.
+The adviser answers the requests of each calling machine one after the other.  So
+each instance is a slot with a queue of its own.
 """
 
 import math
@@ -9,36 +9,34 @@
 
 import attrs
 
-#: An instance that did not answer is left alone for so long at first, and at
-#: the longest.
+#: How long an instance that did not answer is avoided, at first and at most.
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
-#: A question waits at a seat for as long as its own answer takes, or so long if
-#: that is more: it hides the way there and back, and what waits longer is better
-#: kept back, where a more urgent question may go before it.
+#: A request may queue at a slot for as long as its own answer takes, or for this
+#: long if that is more.  This hides the round trip.  A request that would queue
+#: longer is held back instead, so that a more urgent one can overtake it.
 MIN_QUEUE_TIME_S = 0.06
-#: Questions are alike if the answer to one takes less than so many times as long
-#: as that to the other.
+#: A request is much faster than another if its answer takes this many times less.
 CLASS_FACTOR = 3.0
-#: The demand of the last seconds counts, each with the weight of ``exp(-age/this)``.
+#: Past demand counts with the weight ``exp(-age / _DECAY_S)``.
 _DECAY_S = 2.0
-#: A question that takes so long is slow, whatever else is asked.
+#: A request whose answer takes longer is slow, whatever else is requested.
 _SLOW_ANSWER_S = 0.1
-#: What waits should be answered within this time.
+#: Waiting requests should be answered within this time.
 _BACKLOG_TARGET_S = 0.25
-#: Seats that are kept for a class of questions, for each second of answers that it
-#: asks for in a second: they come unevenly, and a seat that is always busy makes
-#: each of them wait.
+#: Slots reserved for each second of answers that are requested per second.  Requests
+#: arrive in bursts, and each of them would wait at a slot that is always busy.
 _SLOTS_PER_LOAD = 1.5
 
 
 @attrs.define(slots=True, eq=False)
 class AdviserSlot:
-    """An instance through which the adviser can be asked.
+    """An instance through which requests to the adviser are sent.
 
-    :ivar busy_until: when its last question will be answered.
-    :ivar backoff_until: an instance that did not answer is left alone till then.
-    :ivar overdue_count: how many of its questions should have been answered by now.
+    :ivar busy_until: when its last request will be answered.
+    :ivar backoff_until: until when it is avoided after a failure.
+    :ivar failures: how many requests in a row it left unanswered.
+    :ivar overdue_count: how many of its requests are overdue.
     """
 
     name: str
@@ -48,24 +46,24 @@
     overdue_count: int = 0
 
     def note_overdue(self) -> None:
-        """Take note that an answer is overdue.
+        """Record that an answer is overdue.
 
-        Load: something makes answers late, as a full link does.  Harm: a question
-        that is given up still stands at the adviser in this instance's turn.  Taken
-        for free, the instance gets the next one, which waits behind it and is given
-        up too: the adviser works, and nothing of it is of use.
+        When answers are late, for example because of a saturated link, a request
+        that was given up still occupies the adviser in this instance's queue.  If
+        the instance counted as free, the next request would wait behind it and be
+        given up too, so that the adviser's work would be wasted.
         """
         self.overdue_count += 1
 
     def clear_overdue(self) -> None:
-        """Take note that an answer came after all, or that none will."""
+        """Record that an overdue answer arrived after all, or never will."""
         self.overdue_count -= 1
 
     def note_failure(self, now: float) -> None:
-        """Take note that it did not answer: it may be gone.
+        """Record that the instance did not answer, and back off exponentially.
 
-        One that is gone looks as free as can be.  It would be asked again and
-        again, and each of its questions would wait for nothing.
+        An instance that has crashed looks idle.  Without the backoff it would be
+        chosen again and again, and each of its requests would wait in vain.
         """
         self.backoff_until = now + min(
             INITIAL_BACKOFF_S * 2**self.failures, MAX_BACKOFF_S
@@ -74,16 +72,18 @@
         self.busy_until = now
 
     def note_answer(self) -> None:
-        """Take note that it answered."""
+        """Record that the instance answered."""
         self.failures = 0
 
 
 @attrs.define(slots=True, eq=False)
 class _Demand:
-    """What is asked of one kind of question.
+    """The demand for one kind of request.
 
-    :ivar sum_s: seconds of answers that were asked for, the latest counting most.
-    :ivar waiting_s: seconds of answers that wait for a seat now.
+    :ivar cost_s: how long the newest request's answer takes.
+    :ivar sum_s: decayed sum of the seconds of answers that were requested.
+    :ivar at: when the sum was last updated.
+    :ivar waiting_s: seconds of answers that wait for a slot now.
     """
 
     cost_s: float
@@ -97,7 +97,7 @@
         self.at = now
 
     def slots(self, now: float) -> float:
-        """Return how many seats would answer what comes, and soon what waits."""
+        """Return how many slots the incoming and the waiting requests need."""
         rate = self._decayed_sum_s(now) / _DECAY_S
         return _SLOTS_PER_LOAD * rate + self.waiting_s / _BACKLOG_TARGET_S
 
@@ -106,29 +106,30 @@
 
 
 class SlotPlan:
-    """How many seats are kept for questions that are answered faster.
-
-    Load: questions of 9 ms, 80 ms and 480 ms, of which the fast ones come in bursts
-    of five times the usual, and a new lead that has to ask anew about all that
-    waits.  Harm: with the same few seats kept at all times, the fast ones wait at
-    them for seconds, behind each other and behind the middling ones, while slow
-    questions occupy all the others; after a takeover two thirds of the workers stood
-    idle for a second before 160 tickets.  So as many seats are kept for the fast
-    ones as they need; slow ones have the rest.
+    """Decides how many slots are reserved for requests with faster answers.
+
+    Answers take 9 ms, 80 ms or 480 ms.  Fast requests come in bursts of five times
+    their usual rate, and a new lead requests advice again for everything that waits.
+    With a small fixed number of reserved slots, fast requests waited there for
+    seconds behind each other and behind medium ones, while slow requests occupied
+    all other slots.  After a takeover two thirds of the workers were idle for a
+    second because 160 tickets were outstanding.  So as many slots are reserved for
+    fast requests as these need, and slow requests share the rest.
     """
 
     def __init__(self) -> None:
         self._demands: dict[str, _Demand] = {}
 
     def record_request(self, kind: str, cost_s: float, now: float) -> None:
-        """Take note of a question that is to be asked.
+        """Record a new request.
 
-        :param kind: questions of one kind are answered alike fast.
+        :param kind: requests of one kind take about equally long to answer.
+        :param cost_s: how long the answer takes, in seconds.
         """
         self._demands.setdefault(kind, _Demand(cost_s)).add(cost_s, now)
 
     def set_waiting(self, waiting: Iterable[tuple[str, float]]) -> None:
-        """Take note of all questions that wait for a seat, by kind and length."""
+        """Set the requests that wait for a slot, as pairs of kind and cost."""
         for demand in self._demands.values():
             demand.waiting_s = 0.0
         for kind, cost_s in waiting:
@@ -136,15 +137,18 @@
             demand.waiting_s += cost_s
 
     def reserved_slots(self, cost_s: float, slots: int, now: float) -> int:
-        """Return how many seats a question has to leave to faster ones.
+        """Return how many slots a request must leave to faster ones.
 
-        A quarter of the seats is left to it at least, or it would never be asked.
+        At least a quarter of the slots remains for it; else it might never be sent.
+
+        :param cost_s: how long the request's answer takes, in seconds.
+        :param slots: how many slots are usable.
         """
         faster = [
             d for d in self._demands.values() if _is_much_faster(d.cost_s, cost_s)
         ]
         if not faster:
-            # None were asked yet, and one that comes next should find a seat.
+            # Leaves a slot for the first fast request, as none was made yet.
             return min(1, slots // 4) if cost_s > _SLOW_ANSWER_S else 0
         needed = math.ceil(sum(d.slots(now) for d in faster))
         return min(max(needed, 1), slots * 3 // 4)
@@ -157,7 +161,7 @@
 def choose_slot(
     slots: Iterable[AdviserSlot], cost_s: float, plan: SlotPlan, now: float
 ) -> AdviserSlot | None:
-    """Return the instance that answers a question first; ``None`` if all are full."""
+    """Return the slot that answers a request first; ``None`` if all are full."""
     usable: Sequence[AdviserSlot] = sorted(
         (
             slot
--- a/src/firhook/decide/_append_route.py
+++ b/src/firhook/decide/_append_route.py
@@ -1,24 +1,26 @@
-"""Whether an instance appends callers' records itself or through the lead."""
+"""Chooses whether an instance appends records itself or through the lead."""
 
-#: An append that took longer waited behind those of other instances.
+#: A slower append has queued behind those of other instances.
 SLOW_APPEND_S = 0.1
-#: A lead that did not take a record is left alone for so long, in seconds.
+#: The lead is not used for this long after it failed to append a record.
 _LEAD_BACKOFF_S = 1.0
 
 
 class AppendRoute:
-    """Sends records through the lead while appends wait for each other.
-
-    Load: a store that is 60 times slower than usual does 16 appends a second on a
-    partition, and each of 39 instances makes its own.  Harm: each waits for two
-    seconds behind the others or is turned away, and nine in ten callers get no
-    answer in time.  The lead appends the records of all in one call.
-
-    An instance that sees an append take long goes through the lead until the
-    lead's own appends are quick again, which the lead tells with each answer.  How
-    long the way to the lead takes is left out, as on a thin link that says nothing
-    of the store.  A store that answers nothing at all is not crowded: a record that
-    was not sent yet can be refused truly, and sent by the lead it could not.
+    """Sends records through the lead while appends to the store contend.
+
+    A store that is 60 times slower than usual completes 16 appends a second on a
+    partition.  If each of 39 instances makes its own, every append waits two
+    seconds behind the others or is rejected, and nine in ten callers get no answer
+    in time.  The lead combines the records of all instances in one call.
+
+    An instance whose append was slow uses the lead until the lead's own appends are
+    fast again; the lead reports their duration with each reply.  The round trip to
+    the lead does not count: on a slow link it says nothing about the store.
+
+    A store that answers nothing at all does not count as slow.  An instance can
+    refuse a record that it has not sent, but once the record went to the lead its
+    outcome is unknown.
     """
 
     def __init__(self) -> None:
@@ -27,21 +29,25 @@
         self._backoff_until = float("-inf")
 
     def note_append_sent(self, now: float) -> None:
-        """Take note that this instance sent an append."""
+        """Record that this instance sent an append to the store."""
         self._sent_at = now
 
     def note_append_ended(self, now: float, answered: bool) -> None:
-        """Take note that its append was answered or refused, or else given up."""
+        """Record the end of this instance's append.
+
+        :param answered: whether the store accepted or refused it; ``False`` if it
+            was given up.
+        """
         if self._sent_at is not None and answered:
             self._is_slow = now - self._sent_at > SLOW_APPEND_S
         self._sent_at = None
 
     def note_lead_append(self, seconds: float) -> None:
-        """Take note of how long the lead needed to append."""
+        """Record how long the lead's append took."""
         self._is_slow = seconds > SLOW_APPEND_S
 
     def note_lead_failure(self, now: float) -> None:
-        """Take note that the lead did not append, or did not say so."""
+        """Record that the lead did not append, or did not confirm it."""
         self._backoff_until = now + _LEAD_BACKOFF_S
 
     def should_use_lead(self, now: float, store_answered_at: float) -> bool:
--- a/src/firhook/decide/_copy_sources.py
+++ b/src/firhook/decide/_copy_sources.py
@@ -1,4 +1,4 @@
-"""From whom a starting instance learns what it needs of the cell's records."""
+"""Chooses the peers from which a starting instance copies the cell's records."""
 
 from collections.abc import Sequence
 
@@ -8,13 +8,13 @@
 def choose_copy_sources(
     name: str, zone: str, strength: float, candidates: Sequence[Candidate]
 ) -> list[str]:
-    """Return the instances to copy from, the best first; empty to read the store.
+    """Return the instances to copy from, best first; empty to read the store.
 
-    Only weak instances copy: the strong ones may have to lead, for which they need
-    all of each record, and their links carry that.  A peer of the own zone costs no
-    bytes between zones.
+    Only weak instances copy.  Strong ones may have to lead, which requires every
+    record in full, and their links can carry that.  Peers of the same zone come
+    first because copying from them causes no traffic between zones.
 
-    :param strength: of the instance that starts, in cores.
+    :param strength: of the starting instance, in cores.
     """
     strong = [
         c
@@ -22,7 +22,7 @@
         if c.name != name and is_much_stronger(c.strength, strength)
     ]
     strong.sort(key=lambda c: (c.zone != zone, -c.strength, c.name))
-    # Those that start at once do not all ask the same one.
+    # Spreads instances that start at the same time over the sources.
     mine = [c.name for c in strong if c.zone == zone]
     others = [c.name for c in strong if c.zone != zone]
     return _rotated(mine, name) + _rotated(others, name)
--- a/src/firhook/decide/_election.py
+++ b/src/firhook/decide/_election.py
@@ -1,8 +1,8 @@
-"""Which instance stands for the lead of a cell, and when.
+"""Decides which instance campaigns to lead a cell, and when.
 
-The store settles who leads: whoever sets the highest epoch there fences all
-leads before it.  What is decided here is only who tries, so that one instance
-does, a fit one, and soon after the lead falls silent.
+The store decides who leads: the instance that sets the highest epoch there fences
+all earlier leads.  This module only picks the candidate, so that a single, suitable
+instance campaigns soon after the lead stops sending heartbeats.
 """
 
 import math
@@ -10,25 +10,25 @@
 
 import attrs
 
-#: A lead is silent if it was heard neither from itself nor through the store for
-#: so long.  It speaks every 0.1 s, so that three lost messages are borne.
+#: The lead has timed out if neither a heartbeat nor a new record of it arrived for
+#: this long.  It sends a heartbeat every 0.1 s, so three may be lost in a row.
 LEAD_TIMEOUT_S = 0.4
-#: After so long without a message of the lead it is not asked for anything.
+#: The lead receives no requests after this long without a heartbeat.
 HEARTBEAT_FRESH_S = 0.25
-#: Each in the line waits so much longer than the one before it, which is enough
-#: for that one to claim the lead (two calls to the store) and to be heard.
+#: Extra delay of each candidate after the one before it: enough for that one to
+#: claim the lead, which takes two calls to the store, and to send a heartbeat.
 RANK_DELAY_S = 0.15
-#: An instance waits so much longer for each class that it is weaker than the
-#: strongest: a strong one that only restarts is back in about this time.
+#: Extra delay for each strength class below the strongest: a strong instance that
+#: restarts is back in about this time.
 CLASS_DELAY_S = 1.0
-#: An instance with so many times the processor of another is the better lead.
-#: Machines of one kind differ by less than this.
+#: An instance with this many times the cores of another is the better lead.
+#: Machines of one kind differ by less.
 STRONGER_FACTOR = 1.5
-#: An instance listens for so long before it stands: a lead that lives has written
-#: to the store by then, as it does every 0.2 s at least.
+#: An instance listens for this long before it campaigns.  A live lead writes to the
+#: store at least every 0.2 s.
 LISTEN_DELAY_S = 0.3
-#: The first lead of a cell waits so long for the others to register, as all
-#: start within 0.3 s of each other.
+#: The first lead of a cell waits this long for the other instances to register.
+#: They all start within 0.3 s of each other.
 FIRST_ELECTION_DELAY_S = 0.4
 
 
@@ -36,7 +36,7 @@
 class Candidate:
     """An instance that may lead.
 
-    :param strength: its processors, in cores.
+    :param strength: its cores.
     """
 
     name: str
@@ -45,12 +45,12 @@
 
 
 def is_much_stronger(one: float, other: float) -> bool:
-    """Return whether the first of two strengths makes the better lead."""
+    """Return whether the first strength exceeds the second by a class or more."""
     return one >= other * STRONGER_FACTOR
 
 
 def _strength_class(candidate: Candidate, strongest: float) -> int:
-    """Return by how many classes a candidate is weaker than the strongest."""
+    """Return how many strength classes a candidate is below the strongest."""
     if candidate.strength <= 0 or strongest <= 0:
         return 0
     return int(math.log(strongest / candidate.strength) / math.log(STRONGER_FACTOR))
@@ -59,14 +59,17 @@
 def succession_order(
     candidates: Iterable[Candidate], last: str
 ) -> list[tuple[Candidate, int]]:
-    """Return who stands after whom, each with its class of strength.
+    """Return the candidates in the order in which they campaign.
 
-    Load: a zone is cut off with the lead and others in it.  Harm: with the next
-    in line in the same zone nobody leads until the one after it stands.  So the
-    zones take turns, and the zone of the last lead comes last.
+    A network partition may isolate the lead's whole zone.  If the next candidate
+    were in the same zone, the cell would have no lead until the one after it
+    campaigns.  So the order alternates between zones, with the zone of the last
+    lead at the end.
 
-    :param last: the name of the instance that led last, which comes last of its
-        class: it was silent when it was replaced.
+    :param last: the name of the last lead.  It comes last in its class because it
+        was unreachable when it was replaced.
+    :return: each candidate with the number of strength classes by which it is
+        below the strongest.
     """
     rows = list(candidates)
     strongest = max((c.strength for c in rows), default=0.0)
@@ -93,7 +96,7 @@
 def campaign_delay_s(
     name: str, candidates: Sequence[Candidate], last: str
 ) -> float | None:
-    """Return how long after the lead's silence an instance stands.
+    """Return how long after the lead's timeout an instance campaigns, in seconds.
 
     :return: ``None`` if the instance is not among the candidates.
     """
@@ -106,17 +109,17 @@
 
 
 class Election:
-    """When one instance stands for the lead.
+    """Decides when one instance campaigns to become the lead.
 
-    Load: instances that restart, are cut off and come back, and that differ
-    fourfold in processor, in a cell with 400 starts a second.  Harm: each change
-    of the lead costs a third of a second in which nothing starts, and a lead that
-    cannot keep up serves a tenth of the work.  So the present lead stays while it
-    is heard or while the store takes what it appends; else the first in line
-    stands at once, and the others after it in turn.
+    Instances restart, become unreachable and come back, and their cores differ
+    fourfold.  In a cell with 400 starts a second, each change of the lead costs a
+    third of a second in which nothing starts, and a lead that is too weak serves a
+    tenth of the work.  So the current lead stays as long as its heartbeats arrive
+    or the store accepts its appends.  Otherwise the first candidate campaigns at
+    once and the others follow in order.
 
     :param name: of this instance.
-    :ivar epoch: the highest epoch of a lead that was heard of.
+    :ivar epoch: the highest known epoch of a lead.
     :ivar lead: the name of the instance with that epoch.
     """
 
@@ -132,11 +135,11 @@
         self._backoff_until = -math.inf
 
     def record_heartbeat(self, epoch: int, name: str, newest: int, now: float) -> None:
-        """Take note of a message of a lead.
+        """Record a heartbeat of a lead.
 
-        One that was replaced may go on speaking; it does not count.
+        Heartbeats of a superseded lead are ignored.
 
-        :param newest: the version of the newest record that it has written.
+        :param newest: the version of the newest record that the lead has written.
         """
         if epoch < self.epoch:
             return
@@ -146,10 +149,10 @@
         self._alive_at = max(self._alive_at, now)
 
     def observe_record(self, epoch: int, version: int, now: float) -> None:
-        """Take note of a record of a lead that was read from the store.
+        """Record that a record of a lead was read from the store.
 
-        It may be read long after it was written.  So it tells that the lead lives
-        only if it is newer than what the lead told of, and than what was read.
+        It may be read long after it was written.  So it proves that the lead is
+        alive only if it is newer than the last heartbeat and all earlier records.
         """
         if epoch < self.epoch or version <= self._newest_version:
             return
@@ -157,17 +160,17 @@
         self._alive_at = max(self._alive_at, now)
 
     def learn_lead(self, epoch: int, name: str) -> None:
-        """Take note of a lead that is on record, which need not live."""
+        """Record a lead that is stored in the log; it need not be alive."""
         if epoch > self.epoch:
             self.epoch, self.lead = epoch, name
 
     def mark_log_read(self, now: float) -> None:
-        """Take note that all was read that leads had written until now."""
+        """Record that everything that leads have written so far was read."""
         if self._listening_since is None:
             self._listening_since = now
 
     def set_ready(self, ready: bool, now: float) -> None:
-        """Take note of whether this instance could lead."""
+        """Record whether this instance is able to lead."""
         if not ready:
             if self._ready_since is not None:
                 self._listening_since = None
@@ -177,28 +180,28 @@
             self.mark_log_read(now)
 
     def ready_duration_s(self, now: float) -> float:
-        """Return for how long this instance could have led, in seconds."""
+        """Return how long this instance has been able to lead, in seconds."""
         return 0.0 if self._ready_since is None else now - self._ready_since
 
     def back_off(self, until: float) -> None:
-        """Leave the lead to others until then, after a takeover that failed."""
+        """Do not campaign until a time, after a term or a takeover has failed."""
         self._backoff_until = max(self._backoff_until, until)
 
     def lead_timed_out(self, now: float) -> bool:
-        """Return whether the lead was not heard for too long."""
+        """Return whether heartbeats and new records of the lead are overdue."""
         return now - self._alive_at >= LEAD_TIMEOUT_S
 
     def lead_unresponsive(self, now: float) -> bool:
-        """Return whether no message of the lead came lately.
+        """Return whether no heartbeat of the lead arrived recently.
 
-        It is then not asked for anything: it may be gone, or behind a cut.
+        It then receives no requests, because it may have crashed or be unreachable.
         """
         return now - self._heartbeat_at >= HEARTBEAT_FRESH_S
 
     def should_campaign(self, candidates: Sequence[Candidate], now: float) -> bool:
-        """Return whether this instance stands now.
+        """Return whether this instance campaigns now.
 
-        :param candidates: the instances that are registered, this one included.
+        :param candidates: the registered instances, including this one.
         """
         if self._ready_since is None or self._listening_since is None:
             return False
--- a/src/firhook/decide/_fan_out.py
+++ b/src/firhook/decide/_fan_out.py
@@ -1,4 +1,4 @@
-"""Who tells whom of new records."""
+"""Plans how the lead distributes new records to the other instances."""
 
 from collections.abc import Mapping, Sequence
 
@@ -6,25 +6,28 @@
 
 from firhook.decide._election import Candidate, succession_order
 
-#: Instances next in line for the lead that hold everything, so that one of them
-#: leads at once although the other went with the lead.
+#: Candidates next in order that hold full replicas.  With two, one of them can take
+#: over at once even if the other fails together with the lead.
 STANDBYS = 2
-#: A zone with fewer instances to tell is told directly: a relay would add a hop
-#: and save the lead next to nothing.
+#: The lead sends directly to zones with fewer recipients: a relay would add a hop
+#: and save the lead almost nothing.
 MIN_RELAYED = 3
 
-#: Digests are gathered for so long at least; callers see a job's end so much later.
+#: Digests are batched for at least this long, which delays the notice of a job's end
+#: to callers.
 MIN_DIGEST_DELAY_S = 0.015
-#: Instances beyond so many make it longer, up to the most.
+#: The delay grows with the number of peers beyond this, up to the maximum.
 _DELAY_SCALE_PEERS = 40
 _MAX_DIGEST_DELAY_S = 0.05
 
 
 def digest_delay_s(peers: int) -> float:
-    """Return how long the lead gathers what it hands on to so many instances.
+    """Return how long the lead batches digests before it sends them, in seconds.
 
-    What it costs the cell is a message to each of them each time; what it takes from
-    callers is half of that time in the mean.
+    Each batch costs the cell one message per peer.  Batching delays callers by half
+    of this time on average.
+
+    :param peers: the number of instances that receive the digests.
     """
     wanted_s = MIN_DIGEST_DELAY_S * peers / _DELAY_SCALE_PEERS
     return min(max(wanted_s, MIN_DIGEST_DELAY_S), _MAX_DIGEST_DELAY_S)
@@ -32,12 +35,12 @@
 
 @attrs.frozen(slots=True)
 class FanOut:
-    """How the lead reaches the other instances.
+    """The routes by which the lead reaches the other instances.
 
-    :ivar standbys: those that are told every record whole.
-    :ivar relays: for each of some zones the instance that passes digests on, and
-        those to which it does.
-    :ivar direct: those that are told digests by the lead itself.
+    :ivar standbys: instances that receive every record in full.
+    :ivar relays: for some zones, the instance that forwards digests and the
+        instances it forwards them to.
+    :ivar direct: instances to which the lead sends digests itself.
     """
 
     standbys: tuple[str, ...]
@@ -48,15 +51,15 @@
 def plan_fan_out(
     candidates: Sequence[Candidate], lead: str, unfit: Mapping[str, float]
 ) -> FanOut:
-    """Return how the lead tells the others what it learns.
+    """Return the routes by which the lead distributes new records.
 
-    Load: 97 instances, and a lead that writes 400 states of jobs a second, each
-    some kilobytes long.  Harm: told to all of them by the lead they fill the most of
-    its link; advice, orders and the lead's own heartbeat wait behind them, and on a
-    thinner link the lead is replaced although nothing is wrong.
+    In a cell with 97 instances the lead may write 400 job states a second of some
+    kilobytes each.  If it sent all of them to every instance itself, they would fill
+    most of its link.  Advice, orders and the lead's own heartbeat would queue behind
+    them, and on a slower link the lead would be replaced although it is healthy.
 
-    :param unfit: instances that did not pass on what they were told, or that are
-        busy with their start, each with the time until which it is passed over.
+    :param unfit: instances that failed to forward messages or are still starting,
+        each with the time until which it is not chosen as a relay.
     """
     others = [c for c in candidates if c.name != lead]
     line = [c.name for c, _ in succession_order(candidates, lead)]
@@ -79,10 +82,10 @@
 def _choose_relay(
     members: Sequence[Candidate], standbys: Sequence[str], unfit: Mapping[str, float]
 ) -> str:
-    """Return the strongest fit instance of a zone, if possible no standby.
+    """Return the strongest fit instance of a zone, preferably not a standby.
 
-    If none is fit, the one that was passed over for longest: told directly, a zone
-    would add to the load that may have made them all late.
+    If none is fit, return the one whose exclusion ends first.  Sending to the zone
+    directly would add to the load that may have delayed them all.
     """
     best = min(
         members,
--- a/src/firhook/decide/_lookup_peers.py
+++ b/src/firhook/decide/_lookup_peers.py
@@ -1,25 +1,25 @@
-"""Whom an instance asks for what its own replica cannot tell."""
+"""Chooses the peers that answer what an instance's own replica cannot."""
 
 from collections.abc import Sequence
 
 from firhook.decide._election import Candidate, succession_order
 
-#: Instances that are asked one question at most.
+#: How many instances are asked the same question, at most.
 MAX_LOOKUP_PEERS = 3
 
 
 def choose_lookup_peers(
     name: str, lead: str, candidates: Sequence[Candidate]
 ) -> list[str]:
-    """Return the instances to ask, the first one first.
+    """Return the instances to ask, in order.
 
-    The lead is told of every record that is appended.  Strong instances come next,
-    as they are the first to have read the log; zones take turns, since they fail
-    together.
+    The lead comes first because it receives every record that is appended.  Strong
+    instances come next because they read the log first.  Zones alternate because
+    the instances of one zone fail together.
 
     :param name: of the instance that asks.
-    :param lead: the name of the lead, or empty if none is heard.
-    :param candidates: all instances that are registered.
+    :param lead: the name of the lead, or empty if no heartbeat arrives from it.
+    :param candidates: all registered instances.
     """
     order = [c.name for c, _ in succession_order(candidates, name)]
     names = ([lead] if lead else []) + [n for n in order if n != lead]
--- a/src/firhook/decide/_schedule.py
+++ b/src/firhook/decide/_schedule.py
@@ -1,7 +1,7 @@
-"""Which waiting tasks start now, and where.
+"""Decides which waiting tasks start now, and on which workers.
 
-A round goes through the steps that wait, the most urgent first, and gives each
-the workers it may use, as far as there is room.
+A scheduling round goes through the waiting steps, the most urgent first, and places
+the tasks of each on permitted workers, as far as there is capacity.
 """
 
 import heapq
@@ -19,23 +19,22 @@
     next_advice_request,
 )
 
-#: Gangs for which room is kept in a round.  Each keeps other work off some
-#: workers until its room is together; many at once would leave most of the
-#: cell waiting for itself.
+#: Gangs for which capacity is reserved in a round.  Each reservation keeps other work
+#: off some workers until the gang fits; too many would leave most of the cell idle.
 MAX_RESERVED_GANGS = 3
-#: Work that takes up to so many times its objective is late, but not in vain.
+#: Work that takes up to this many times its objective is late but still worth running.
 LATE_FACTOR = 3
-#: Work that need not start for so long has time to spare.
+#: Work whose latest start is further away than this has ample slack.
 _AMPLE_SLACK_S = 1.5
-#: The part of a worker's processors that is kept for urgent work at the most.
-#: A burst of three times the usual quotes needs a tenth of the cell.
+#: The largest fraction of a worker's cores that is kept free for urgent work.  A
+#: burst of three times the usual number of quotes needs a tenth of the cell.
 _URGENT_FRACTION = 0.1
-#: Work that has waited so long uses the room kept for urgent work as well.
+#: Work that has waited this long may also use the headroom for urgent work.
 _URGENT_HEADROOM_WAIT_S = 2.0
-#: Work that ends before a gang's room is together may use the room meanwhile;
-#: estimates are off, so that it must end well before.
+#: Work may backfill reserved capacity if it ends before the gang can start.  Estimates
+#: are inaccurate, so this factor of the estimate must fit.
 _BACKFILL_FACTOR = 1.25
-#: How often it is looked at whether a step that waits should ask about others.
+#: How often a waiting step is checked for whether to ask about more workers.
 _WIDEN_INTERVAL_S = 1.0
 
 
@@ -44,35 +43,37 @@
 
     #: No worker of its pool and label takes new work.
     NO_WORKER = "no_worker"
-    #: Its team may not have more running.
+    #: Its team is at its limit.
     TEAM_LIMIT = "team_limit"
-    #: A question to the adviser waits for an instance that is free.
+    #: A request to the adviser waits for a free adviser slot.
     ADVICE_DUE = "advice_due"
-    #: The adviser's answer is waited for.
+    #: A request to the adviser has not been answered yet.
     ADVICE_ASKED = "advice_asked"
     #: The adviser permits none of the workers that it was asked about.
     NOT_PERMITTED = "not_permitted"
-    #: Those that may run it have no room, or none that is not kept for others.
+    #: The permitted workers have no capacity, or only capacity reserved for others.
     NO_ROOM = "no_room"
-    #: All that is left of it is assigned, to workers that were not heard to run it.
+    #: All remaining tasks are assigned, but no worker has confirmed that it runs them.
     RUNS_BOUND = "runs_bound"
-    #: No round has looked at it.
+    #: No round has considered it yet.
     NOT_LOOKED_AT = "not_looked_at"
 
 
 @attrs.define(slots=True, eq=False)
 class WorkerView:
-    """A worker in a round.
+    """A worker as a round sees it.
 
+    :param incarnation: the worker's current incarnation.
     :param usable: whether new work may start on it.
-    :param slow: whether it works slower than others of its pool.
-    :ivar free: what is left on it.
-    :ivar reservation_ready_at: when the room that is kept for gangs is together.
-    :ivar unreserved: what is left then beside the room kept.
-    :ivar urgent_cpu_m: processors that are kept for work of the first priority.
-        Load: a burst of plans, each of which holds its room for six seconds.
-        Harm: quotes, which have half a second to start, find every worker that
-        may run them full; 27 of 814 were late and 12 in vain on a calm day.
+    :param slow: whether it is slower than other workers of its pool.
+    :ivar free: its free capacity.
+    :ivar reservation_ready_at: when the capacity reserved for gangs will be free.
+    :ivar unreserved: the capacity that is free then beside the reservations;
+        ``None`` if nothing is reserved.
+    :ivar urgent_cpu_m: millicores kept free for work of the first priority.  In a
+        burst of plans, each of which occupies its capacity for six seconds, quotes
+        have half a second to start and would find every permitted worker full:
+        under ordinary load 27 of 814 were late and 12 too late to be worth running.
     """
 
     name: str
@@ -88,11 +89,11 @@
     urgent_cpu_m: int = 0
 
     def keeps_urgent_headroom(self, need: Resources) -> bool:
-        """Return whether a task leaves the room that is kept for urgent work."""
+        """Return whether the headroom for urgent work stays free beside a task."""
         return self.free.cpu_m - need.cpu_m >= self.urgent_cpu_m
 
     def take(self, need: Resources) -> None:
-        """Use up some of what is left."""
+        """Subtract a task's resources from the free capacity."""
         self.free = self.free.minus(need)
         if self.unreserved is not None:
             self.unreserved = self.unreserved.minus(need)
@@ -100,7 +101,7 @@
 
 @attrs.frozen(slots=True)
 class Placement:
-    """Tasks of one step that start together, each with worker and life."""
+    """Tasks of one step that start together, each with its worker and incarnation."""
 
     step: Step
     tasks: tuple[tuple[Task, str, int], ...]
@@ -108,9 +109,10 @@
 
 @attrs.define(slots=True)
 class RoundResult:
-    """What a round decided.
+    """The decisions of a round.
 
-    :ivar wait_reasons: why steps that could not start wait, by the step's name.
+    :ivar advice_requests: what to ask the adviser.
+    :ivar wait_reasons: why steps could not start, by the step's name.
     """
 
     placements: list[Placement] = attrs.field(factory=list)
@@ -119,19 +121,20 @@
 
 
 def urgency(step: Step, now: float) -> tuple[int, int, float]:
-    """Return the place of a step in the order of a round.
-
-    Load: unlike work at over three quarters of the cell's room, with bursts
-    beyond it.  Harm: first come, first served lets a charge that has ten
-    seconds take the room of a quote that has half a second; strict priority
-    lets a burst of plans starve charges until they miss their own objective.
-
-    Work that can still meet its objective goes before work that cannot; of it
-    the queues that go first by configuration, whose work is short; then what
-    must start soonest.  Work that is late is still worth something up to three
-    times its objective, so it goes before what is later than that.  Late work of
-    a queue that goes first waits for seconds only before it is in vain: it goes
-    before other work that has time to spare, until that has none left.
+    """Return the sort key of a step in a round; lower keys go first.
+
+    Work of different kinds shares a cell whose load is over three quarters of its
+    capacity, with bursts beyond it.  First come, first served would let a charge that
+    has ten seconds take the capacity of a quote that has half a second.  Strict
+    priority would let a burst of plans starve charges until they miss their own
+    objective.
+
+    Work that can still meet its objective goes before work that cannot.  Within it,
+    queues of the first priority, whose work is short, go first, then the work with
+    the earliest latest start.  Late work is still worth running up to three times
+    its objective, so it goes before work that is later than that.  Late work of a
+    first-priority queue becomes worthless within seconds, so it also goes before
+    other work that has ample slack, but after other work that has little.
     """
     latest = step.latest_start()
     objective_at = step.job.objective_at(step.occurrence)
@@ -140,26 +143,27 @@
     if latest >= now - step.job.queue.target_s:
         if urgent:
             return (0, 0, latest)
-        spare = latest - now > _AMPLE_SLACK_S
-        return (2, 0, latest) if spare else (0, 1, latest)
+        has_ample_slack = latest - now > _AMPLE_SLACK_S
+        return (2, 0, latest) if has_ample_slack else (0, 1, latest)
     if latest + (LATE_FACTOR - 1) * allowed_s >= now:
         return (1, 0, latest) if urgent else (3, 0, latest)
     return (4, 0 if urgent else 1, latest)
 
 
 def urgent_headroom_m(capacity_m: int, urgent_need_m: int) -> int:
-    """Return the processors to keep free on a worker for urgent work.
+    """Return the millicores to keep free on a worker for urgent work.
 
-    :param urgent_need_m: what urgent tasks needed lately; 0 if there are none.
+    :param capacity_m: the worker's capacity, in millicores.
+    :param urgent_need_m: what recent urgent tasks needed, in millicores; 0 if there
+        were none.
     """
     return min(urgent_need_m, int(capacity_m * _URGENT_FRACTION))
 
 
 class Round:
-    """One round over the waiting steps.
+    """One scheduling round over the waiting steps.
 
-    :param workers: the workers by name, with what is left on them; the round
-        uses it up as it places.
+    :param workers: the workers by name; placing a task reduces their free capacity.
     """
 
     def __init__(
@@ -179,7 +183,7 @@
         self.result = RoundResult()
 
     def run(self) -> RoundResult:
-        """Place what can start now."""
+        """Place all tasks that can start now."""
         for step in sorted(self._book.open_steps.values(), key=self._rank):
             if step.spec.gang:
                 self._place_gang(step)
@@ -188,17 +192,17 @@
         return self.result
 
     def _rank(self, step: Step) -> tuple[float, ...]:
-        """Return the place of a step in the order of the round."""
+        """Return the sort key of a step in the round; lower keys go first."""
         return urgency(step, self._now)
 
-    # What a step may use.
+    # Workers that a step may use.
 
     def _suitable(self, step: Step) -> list[WorkerView]:
-        """Return the workers of the step's pool and label, by room.
+        """Return the usable workers of the step's pool and label, emptiest first.
 
-        They are ordered once a round, by what was free when the round began.
-        The order only tells which to ask the adviser about first; done for each
-        step it was most of a round of 25 steps and 176 workers.
+        They are sorted once a round, by the free capacity when the round began.
+        The order only decides which workers the adviser is asked about first.
+        Sorting again for each step took most of a round of 25 steps and 176 workers.
         """
         key = (step.job.queue.pool, step.spec.label)
         found = self._suitable_cache.get(key)
@@ -214,7 +218,7 @@
         return found
 
     def _permitted_count(self, step: Step) -> int:
-        """Return how many more tasks of the step the team may have running."""
+        """Return how many more tasks of the step the team's limit permits."""
         team = self._book.config.team_by_name.get(step.job.team)
         idle = len(step.idle)
         if team is None:
@@ -234,7 +238,7 @@
     def _workers_with_tickets(
         self, step: Step, suitable: list[WorkerView]
     ) -> list[WorkerView]:
-        """Return those that the step may start on now, and note what to ask."""
+        """Return the workers on which the step may start; request missing advice."""
         policy = step.job.queue.advice
         if policy is None:
             return suitable
@@ -242,13 +246,13 @@
         margin_s = self._tickets.margin_s(policy.valid_s)
         permitted = [w for w in suitable if w.name in advice.permitted]
         if not advice.in_flight:
-            has_room = any(w.free.covers(step.spec.held) for w in permitted)
+            has_capacity = any(w.free.covers(step.spec.held) for w in permitted)
             candidates = permitted or suitable
             if len(permitted) > MAX_WORKERS_PER_REQUEST:
                 candidates.sort(key=lambda w: not w.free.covers(step.spec.held))
             asked = [(w.name, w.incarnation) for w in candidates]
             request = next_advice_request(
-                step, advice, asked, has_room, self._now, margin_s
+                step, advice, asked, has_capacity, self._now, margin_s
             )
             if request is not None:
                 self.result.advice_requests.append(request)
@@ -258,11 +262,11 @@
         ]
 
     def _widen_advice(self, step: Step, suitable: list[WorkerView]) -> None:
-        """Ask about more workers for a step that those known cannot take now.
+        """Request advice about more workers for a step that cannot start now.
 
-        A first question that was about few is made up for at once.  After that
-        more are asked about only if those that may run the step could not hold it
-        even with nothing else on them: each answer takes the adviser's time.
+        If the first request covered few workers, more are requested at once.  After
+        that, only if the permitted workers could not hold the step even once their
+        finite tasks have ended, because each answer takes the adviser's time.
         """
         if step.job.queue.advice is None:
             return
@@ -286,22 +290,22 @@
             self.result.advice_requests.append(request)
 
     def _has_request_for(self, step: Step) -> bool:
-        """Return whether this round wishes to ask about the step at hand."""
+        """Return whether this round's last advice request is for the step."""
         requests = self.result.advice_requests
         return bool(requests) and requests[-1].step is step
 
     def _could_hold(self, step: Step, workers: list[WorkerView]) -> bool:
-        """Return whether workers hold a step once all that ends there has ended."""
+        """Return whether workers can hold a step once their finite tasks have ended."""
         spec = step.spec
         wanted = spec.count if spec.gang else 1
-        most = spec.per_worker or spec.count
+        max_per_worker = spec.per_worker or spec.count
         slots = 0
         for worker in workers:
-            room = worker.free
+            free = worker.free
             for run in self._book.worker_runs.get(worker.name, {}).values():
                 if not run.task.step.spec.lasting:
-                    room = room.plus(run.task.step.spec.held)
-            slots += room.copies(spec.held, most)
+                    free = free.plus(run.task.step.spec.held)
+            slots += free.copies(spec.held, max_per_worker)
             if slots >= wanted:
                 return True
         return False
@@ -310,7 +314,7 @@
         self.result.wait_reasons[step.name] = reason
 
     def _wait_reason(self, step: Step, suitable: list[WorkerView]) -> WaitReason:
-        """Return what a step lacks that found no worker."""
+        """Return why a step found no worker."""
         if not suitable:
             return WaitReason.NO_WORKER
         if step.job.queue.advice is not None:
@@ -326,7 +330,7 @@
     def _permitted_workers(
         self, step: Step, suitable: list[WorkerView]
     ) -> list[WorkerView]:
-        """Return those that the step may run on, with or without a ticket now."""
+        """Return the workers that may run the step, with or without a valid ticket."""
         if step.job.queue.advice is None:
             return suitable
         permitted = self._tickets.advice_for(step).permitted
@@ -365,10 +369,13 @@
         on_worker: dict[str, int],
         avoid: set[str],
     ) -> WorkerView | None:
-        """Return the worker that is left with the least room.
+        """Return the worker with the least free capacity that fits a task.
 
-        The fullest that fits is taken, which keeps others whole for gangs;
-        slow ones and those away from the data come last.
+        This keeps other workers empty for gangs.  Slow workers and those on another
+        rack than the data come last.
+
+        :param on_worker: how many tasks of the step each worker has.
+        :param avoid: workers that must not be used.
         """
         spec, urgent = step.spec, step.job.queue.priority == 0
         keeps_urgent = self._must_keep_urgent_headroom(step)
@@ -382,16 +389,16 @@
                 continue
             if not urgent and not self._respects_reservation(worker, spec):
                 continue
-            away = bool(spec.data_rack) and worker.rack != spec.data_rack
-            key = (away, worker.slow, worker.free.cpu_m)
+            off_rack = bool(spec.data_rack) and worker.rack != spec.data_rack
+            key = (off_rack, worker.slow, worker.free.cpu_m)
             if best is None or key < best_key:
                 best, best_key = worker, key
         return best
 
     def _must_keep_urgent_headroom(self, step: Step) -> bool:
-        """Return whether a step leaves the room that is kept for urgent work.
+        """Return whether a step must leave the headroom for urgent work free.
 
-        Work that needs whole workers would otherwise never start.
+        This ends after a time; else work that needs whole workers would never start.
         """
         waited_s = self._now - (step.ready_at or self._now)
         return step.job.queue.priority > 0 and waited_s < _URGENT_HEADROOM_WAIT_S
@@ -431,7 +438,7 @@
     def _gang_workers(
         self, step: Step, usable: list[WorkerView]
     ) -> list[WorkerView] | None:
-        """Return a worker for each member and take its room, or ``None``."""
+        """Return a worker for each member, with its resources taken, or ``None``."""
         if step.spec.same_rack:
             by_rack: dict[str, list[WorkerView]] = {}
             for worker in usable:
@@ -446,21 +453,21 @@
         self, step: Step, workers: list[WorkerView]
     ) -> list[WorkerView] | None:
         spec = step.spec
-        most = spec.per_worker or spec.count
+        max_per_worker = spec.per_worker or spec.count
         fits: list[tuple[bool, bool, int, WorkerView, int]] = []
         for worker in workers:
-            room = worker.free
+            free = worker.free
             if worker.unreserved is not None and not self._ends_before_reservation(
                 worker, spec
             ):
-                room = _min_resources(room, worker.unreserved)
+                free = _min_resources(free, worker.unreserved)
             if self._must_keep_urgent_headroom(step):
-                room = room.minus(Resources(worker.urgent_cpu_m))
-            slots = room.copies(spec.held, most)
+                free = free.minus(Resources(worker.urgent_cpu_m))
+            slots = free.copies(spec.held, max_per_worker)
             if slots:
                 left = worker.free.cpu_m - slots * spec.held.cpu_m
-                away = bool(spec.data_rack) and worker.rack != spec.data_rack
-                fits.append((away, worker.slow, left, worker, slots))
+                off_rack = bool(spec.data_rack) and worker.rack != spec.data_rack
+                fits.append((off_rack, worker.slow, left, worker, slots))
         if sum(fit[4] for fit in fits) < spec.count:
             return None
         # A gang is as slow as its slowest member.
@@ -482,33 +489,36 @@
         )
 
     def _reserve(self, step: Step, workers: list[WorkerView]) -> None:
-        """Keep room for a gang that does not fit yet.
+        """Reserve capacity for a gang that does not fit yet.
 
-        Load: gangs of tens of cores in a cell that is four fifths full.  Harm:
-        whenever a task ends, a smaller one takes its place, so that the gang's
-        room never comes together and it starves until the load falls.
+        In a cell that is four fifths full, a smaller task takes the place of each
+        task that ends.  So the capacity for a gang of tens of cores would never be
+        free at once, and the gang would starve until the load falls.
 
-        The moment is worked out at which enough of what runs will have ended,
-        and other work may use that room only if it ends before, or beside it.
+        This estimates when enough running tasks will have ended.  Until then other
+        work may use the reserved workers only if it ends before that time or fits
+        beside the gang.
         """
         spec = step.spec
-        most = spec.per_worker or spec.count
-        keeps = self._must_keep_urgent_headroom(step)
-        kept = {w.name: Resources(w.urgent_cpu_m if keeps else 0) for w in workers}
-        room = {
+        max_per_worker = spec.per_worker or spec.count
+        keeps_headroom = self._must_keep_urgent_headroom(step)
+        headroom = {
+            w.name: Resources(w.urgent_cpu_m if keeps_headroom else 0) for w in workers
+        }
+        free = {
             w.name: (w.free if w.unreserved is None else w.unreserved).minus(
-                kept[w.name]
+                headroom[w.name]
             )
             for w in workers
         }
-        slots = {n: room[n].copies(spec.held, most) for n in room}
+        slots = {n: free[n].copies(spec.held, max_per_worker) for n in free}
         total = sum(slots.values())
         ends = self._expected_ends(workers)
         at = self._now
         while total < spec.count and ends:
             at, _, name, need = heapq.heappop(ends)
-            room[name] = room[name].plus(need)
-            more = room[name].copies(spec.held, most)
+            free[name] = free[name].plus(need)
+            more = free[name].copies(spec.held, max_per_worker)
             total += more - slots[name]
             slots[name] = more
         if total < spec.count:
@@ -520,8 +530,8 @@
             if not count:
                 break
             left -= count
-            left_then = room[worker.name].minus(spec.held, count)
-            worker.unreserved = left_then.plus(kept[worker.name])
+            free_then = free[worker.name].minus(spec.held, count)
+            worker.unreserved = free_then.plus(headroom[worker.name])
             worker.reservation_ready_at = max(worker.reservation_ready_at, at)
 
     def _expected_ends(
@@ -557,7 +567,7 @@
 def place_round(
     book: Book, workers: dict[str, WorkerView], tickets: TicketTable, now: float
 ) -> RoundResult:
-    """Decide which waiting tasks start now and where.
+    """Decide which waiting tasks start now, and on which workers.
 
     :param now: on the boot clock.
     """
--- a/src/firhook/decide/_speeds.py
+++ b/src/firhook/decide/_speeds.py
@@ -1,38 +1,37 @@
-"""How fast workers are, learned from tasks of one step on several of them."""
+"""Estimates the speed of workers from tasks of one step on several of them."""
 
 import math
 
 import attrs
 
-#: The weight of the newest comparison in a worker's mean: the last ten or so
-#: count.  Tasks of one step differ by a fifth; ten comparisons bring that down
-#: to a fifteenth, and workers differ by a third.
+#: The weight of the newest comparison in a worker's mean, so that about the last ten
+#: count.  Tasks of one step differ by a fifth; ten comparisons reduce that to a
+#: fifteenth, well below the third by which workers differ.
 _WEIGHT = 0.1
-#: A worker that takes so much longer than the mean is slow.  Where a third of
-#: the workers takes 1.3 times as long, these are 1.18 times the mean.
+#: A worker that takes this many times as long as the mean is slow.  If a third of
+#: the workers takes 1.3 times as long as the others, it takes 1.18 times the mean.
 SLOW_FACTOR = 1.1
-#: Comparisons before a worker is called slow.
+#: Comparisons before a worker may count as slow.
 _MIN_COMPARISONS = 5
-#: No single comparison counts for more, as when a worker stood still.
+#: Limit of a single comparison, for example when a worker stalled.
 _MAX_OFFSET = 1.5
 
 
 @attrs.define(slots=True, eq=False)
 class _Speed:
-    """The mean of the logarithms of a worker's factors."""
+    """The mean of the logarithms of a worker's slowdown factors."""
 
     mean: float = 0.0
     count: int = 0
 
 
 class SpeedEstimator:
-    """The speeds of workers.
+    """Estimates how slow each worker is, relative to the mean of the workers.
 
-    Load: short work with half a second of slack on workers of which some take
-    1.3 times as long.  Harm: on these it takes a sixth of its slack more, and
-    a gang is as slow as its slowest member.  Estimates are off by up to 90%, but
-    alike for all tasks of a step, so that tasks of one step are compared with
-    each other.
+    Short work has half a second of slack.  On workers that take 1.3 times as long
+    it loses a sixth of that slack, and a gang is as slow as its slowest member.
+    Callers' estimates are off by up to 90%, but by the same factor for all tasks of
+    a step.  So only tasks of the same step are compared with each other.
     """
 
     def __init__(self) -> None:
@@ -40,12 +39,12 @@
         self._steps: dict[str, list[tuple[str, float]]] = {}
 
     def record_run(self, step: str, worker: str, ran_s: float) -> None:
-        """Take note of how long a task of a step ran that was done."""
+        """Record how long a completed task of a step ran on a worker."""
         if ran_s > 0:
             self._steps.setdefault(step, []).append((worker, math.log(ran_s)))
 
     def close_step(self, step: str) -> None:
-        """Compare the tasks of a step, which has ended."""
+        """Compare the tasks of a step that has ended."""
         rows = self._steps.pop(step, [])
         if len({worker for worker, _ in rows}) < 2:
             return
@@ -53,7 +52,7 @@
         for worker, value in rows:
             speed = self._speeds.setdefault(worker, _Speed())
             off = min(max(value - mean, -_MAX_OFFSET), _MAX_OFFSET)
-            # What the others in the step are known for is not held against it.
+            # Corrects for the known speeds of the workers it is compared with.
             known = sum(self._mean(w) for w, _ in rows) / len(rows)
             speed.count += 1
             weight = max(_WEIGHT, 1 / speed.count)
@@ -64,7 +63,7 @@
         return speed.mean if speed is not None else 0.0
 
     def slowdown(self, worker: str) -> float:
-        """Return how much longer than the mean a worker takes."""
+        """Return how many times as long as the mean a worker takes."""
         return math.exp(self._mean(worker))
 
     def is_slow(self, worker: str) -> bool:
@@ -75,5 +74,5 @@
         return self.slowdown(worker) > SLOW_FACTOR
 
     def remove(self, worker: str) -> None:
-        """Forget a worker, whose next life may be of another kind."""
+        """Remove a worker, whose next incarnation may differ in speed."""
         self._speeds.pop(worker, None)
--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -1,44 +1,42 @@
-"""Runs that make no progress."""
+"""Detects runs that make no progress."""
 
 from collections.abc import Iterable
 
 from firhook.cell import Run
 
-#: A run whose percentage has not moved for so long stands still.  Workers are
-#: looked at once a second at least, and a percent of the longest tasks, of 16 s,
-#: takes 0.16 s; resuming from a checkpoint takes 0.6 s.
+#: A run whose progress has not changed for this long is stalled.  Workers are polled
+#: at least once a second, one percent of the longest tasks (16 s) takes 0.16 s, and
+#: resuming from a checkpoint takes 0.6 s.
 STALL_TIMEOUT_S = 2.2
-#: A run that has shown no progress at all since it began stands still after this,
-#: and after this part of its estimate more: estimates are off by up to 90% and
-#: workers up to seven times as slow as others, so that it shows 3% by then.
+#: A run without any progress since its start is stalled after this time plus a
+#: fraction of its estimate.  Estimates are off by up to 90% and workers up to seven
+#: times as slow as others, so it shows 3% by then.
 _FIRST_PROGRESS_S = 0.8
 _FIRST_PROGRESS_FRACTION = 0.15
-#: A run that resumes from a checkpoint begins so much later.
+#: How long a run takes to resume from a checkpoint.
 _RESTORE_S = 0.6
-#: A run whose percentage moved so lately moves on; workers are looked at once a
-#: second at least.
+#: A run whose progress changed this recently is progressing.  Workers are polled at
+#: least once a second.
 _RECENT_PROGRESS_S = 1.2
-#: The part of its estimate that a run may stand still for, for work that is far
-#: longer than what is usual.
+#: The extra stall timeout as a fraction of the estimate, for unusually long work.
 _STALL_FRACTION = 0.05
 
 
 def is_stalled(run: Run, now: float) -> bool:
-    """Return whether a run stands still.
+    """Return whether a run is stalled.
 
-    Load: workers on which what is started makes no progress, while they answer
-    as if all were well.  Harm: its tasks never end, and neither does the job;
-    with the others of their kind at work elsewhere nobody would notice before
-    the users do.
+    Tasks on a faulty worker may make no progress while it answers polls normally.
+    They and their job would never end, and since similar tasks progress elsewhere,
+    nobody would notice before the users do.
 
-    Runs of tasks that last have no end to make progress towards, and a member
-    of a gang works only from when all are there.
+    Lasting tasks have no end and thus no progress.  A gang member works only once
+    all members have started.
     """
     spec = run.task.step.spec
     if spec.lasting or not run.confirmed or run.stopping or run.first_percent < 0:
         return False
     if run.percent >= 99:
-        # It may be about to end; percentages are rounded.
+        # It may be about to end: percentages are rounded.
         return now - run.percent_at > 2 * stall_timeout_s(run)
     if run.percent <= 0:
         return now - run.begun_at > _first_progress_timeout_s(run)
@@ -46,16 +44,16 @@
 
 
 def stall_timeout_s(run: Run) -> float:
-    """Return for how long a run may show no progress."""
+    """Return how long a run may show no progress, in seconds."""
     return STALL_TIMEOUT_S + _STALL_FRACTION * run.task.step.spec.estimate_s
 
 
 def _first_progress_timeout_s(run: Run) -> float:
-    """Return after how long a run must have shown some progress.
+    """Return how long a run may take to show its first progress, in seconds.
 
-    Load: short work on a worker that stands still.  Harm: with as much patience as
-    for a run that moved before, tickets of 0.6 s were moved after 3.4 s, when they
-    had become worthless, and others were sent to that worker meanwhile.
+    With the timeout of runs that progressed before, ticket tasks of 0.6 s on a
+    stalled worker were moved only after 3.4 s.  By then they were worthless, and
+    further tasks had been sent to that worker.
     """
     step = run.task.step
     restore_s = _RESTORE_S if step.start_checkpoint(run.task) else 0.0
@@ -66,11 +64,10 @@
 
 
 def stalled_runs(runs: Iterable[Run], now: float) -> list[Run]:
-    """Return the runs of a worker that are to be stopped and run elsewhere.
+    """Return the runs of a worker that should be stopped and run elsewhere.
 
-    A worker that stands still does so with all that it started; where some of
-    its runs move on, a run that does not is slow rather than stuck, and a gang
-    may wait for a member elsewhere.
+    A stalled worker stalls all its runs.  If some of its runs progress, the others
+    are slow rather than stalled, or wait for gang members on other workers.
     """
     confirmed = [r for r in runs if r.confirmed and not r.task.step.spec.lasting]
     stalled = [run for run in confirmed if is_stalled(run, now)]
--- a/src/firhook/decide/_suspicion.py
+++ b/src/firhook/decide/_suspicion.py
@@ -1,21 +1,23 @@
-"""Which workers may be gone, before it is certain."""
+"""Suspects workers of having failed before a timeout proves it."""
 
 from collections.abc import Iterable
 
-#: Workers answer within some 10 ms; what is not answered after this is late.
+#: A reply is overdue after this.  Workers usually answer within about 10 ms.
 OVERDUE_S = 0.2
-#: So many workers of a zone that answer late make the others of it doubtful.
+#: Workers of a zone with overdue replies that make its other workers suspected.
 _MIN_OVERDUE = 2
 
 
 class ReplyTracker:
-    """The calls to one worker that are not answered yet.
+    """Tracks the calls to one worker that have not been answered yet.
 
-    Load: workers crash, or their zone is cut off, while a hundred tasks start each
-    second.  Harm: known only from a time-out, a worker that is gone looks as free as
-    can be for a second or two, and what is started there stays bound to it until its
-    lease has lapsed: tickets with a second to spare came nine seconds late.  A late
-    answer alone proves nothing; the worker only gets no new work until it answers.
+    Workers crash, or a network partition isolates their zone, while a hundred tasks
+    start each second.  Detected only by a timeout, a failed worker would look idle
+    for a second or two.  Tasks assigned to it stay bound to it until its lease
+    expires, so that ticket tasks with a second of slack ended nine seconds late.
+
+    An overdue reply alone proves nothing.  The worker only receives no new work
+    until it answers.
     """
 
     def __init__(self) -> None:
@@ -23,20 +25,20 @@
         self._count = 0
 
     def note_sent(self, due: float) -> int:
-        """Take note of a call; return its number.
+        """Record that a call was sent, and return its number.
 
-        :param due: when its answer is expected, on the boot clock.
+        :param due: when the reply is expected, on the boot clock.
         """
         self._count += 1
         self._due[self._count] = due
         return self._count
 
     def note_finished(self, call: int) -> None:
-        """Take note that a call was answered, or given up."""
+        """Record that a call was answered or given up."""
         self._due.pop(call, None)
 
     def overdue_since(self, now: float) -> float | None:
-        """Return when the oldest answer that is late was due; ``None`` if none is."""
+        """Return when the oldest overdue reply was due; ``None`` if none is overdue."""
         if not self._due:
             return None
         oldest = min(self._due.values())
@@ -44,12 +46,13 @@
 
 
 def suspected_zones(late: Iterable[tuple[str, float | None]]) -> dict[str, float]:
-    """Return the zones whose workers may all be gone, each with a moment.
+    """Return the zones whose workers are suspected, each with a time.
 
-    Workers of one zone are cut off together.  One of them that has not answered
-    since that moment is not to be used; one that has is heard in spite of it.
+    A network partition isolates all workers of a zone together.  A worker that has
+    not answered since that time should not be used; one that has answered since is
+    reachable and may be used.
 
-    :param late: for each worker its zone, and when an answer was due that is late.
+    :param late: for each worker its zone, and when its overdue reply was due.
     """
     moments: dict[str, list[float]] = {}
     for zone, due in late:
--- a/src/firhook/decide/_tickets.py
+++ b/src/firhook/decide/_tickets.py
@@ -1,4 +1,4 @@
-"""What the adviser said of each step, and when to ask it again."""
+"""Keeps the adviser's answers for each step and decides when to ask again."""
 
 import math
 from collections.abc import Container, Iterable
@@ -7,27 +7,27 @@
 
 from firhook.cell import Advice, Step
 
-#: A ticket is not used in the last part of its time: the assignment has to be
-#: stored and the start has to arrive before it ends, which takes 15 to 30 ms at
-#: a calm store; a start with a ticket that is out of date is refused and the
-#: work waits for another answer.
+#: A ticket is not used for this long before it expires: the assignment has to be
+#: stored and the start has to arrive before then, which takes 15 to 30 ms when the
+#: store is fast.  A start with an expired ticket is refused and the work has to wait
+#: for another answer.
 _MIN_MARGIN_S = 0.12
-#: The most that is left unused, as a part of the time for which tickets hold.
+#: The maximum margin, as a fraction of the validity of tickets.
 _MAX_MARGIN_FRACTION = 0.4
-#: The weight of the newest start in the mean of how long starts take, and in that
-#: of how far they are from it, as for the timeouts of TCP (RFC 6298).
+#: The weights of the newest start in the moving averages of the start latency and of
+#: its deviation, as for the retransmission timeout of TCP (RFC 6298).
 _MEAN_WEIGHT, _DEVIATION_WEIGHT = 0.125, 0.25
 _DEVIATIONS = 4
-#: The adviser takes so many workers in one call.
+#: The adviser's limit for one call.
 MAX_WORKERS_PER_REQUEST = 100
-#: An answer that costs so little is asked for only when there is room, since
-#: it then comes before anything else could take the room.
+#: An answer this fast is requested only once there is capacity, because it arrives
+#: before other work can take the capacity.
 FAST_ANSWER_S = 0.1
 
 
 @attrs.frozen(slots=True)
 class Ticket:
-    """Permission to run a step's tasks on one life of a worker."""
+    """Permission to run a step's tasks on one incarnation of a worker."""
 
     text: str
     incarnation: int
@@ -36,15 +36,15 @@
 
 @attrs.define(slots=True, eq=False)
 class StepAdvice:
-    """What is known of one step.
+    """The adviser's answers for one step.
 
-    The adviser's yes or no to a worker never changes; only tickets end.
+    Whether the adviser permits a worker never changes; only tickets expire.
 
-    :ivar permitted: the newest ticket of each worker that may run it.
-    :ivar denied: the workers that may not.
-    :ivar in_flight: whether an answer is on its way.
-    :ivar queued: whether the next question is waiting for an instance to ask it.
-    :ivar widen_at: when to look next whether to ask about more workers.
+    :ivar permitted: the newest ticket of each worker that may run the step.
+    :ivar denied: the workers that may not run it.
+    :ivar in_flight: whether a request awaits its answer.
+    :ivar queued: whether the next request waits for a free adviser slot.
+    :ivar widen_at: when to check next whether to ask about more workers.
     """
 
     permitted: dict[str, Ticket] = attrs.field(factory=dict)
@@ -56,14 +56,14 @@
     def usable_ticket(
         self, worker: str, incarnation: int, usable_until: float
     ) -> Ticket | None:
-        """Return a ticket that holds beyond a time."""
+        """Return a ticket that stays valid beyond a time, or ``None``."""
         ticket = self.permitted.get(worker)
         if ticket is None or ticket.incarnation != incarnation:
             return None
         return ticket if ticket.expires_at > usable_until else None
 
     def expire_ticket(self, worker: str) -> None:
-        """Forget a ticket that was refused; the yes stays known."""
+        """Expire a ticket that was refused; the worker stays permitted."""
         ticket = self.permitted.get(worker)
         if ticket is not None:
             self.permitted[worker] = attrs.evolve(ticket, expires_at=0.0)
@@ -82,11 +82,12 @@
         advice: Advice,
         answered_at: float,
     ) -> None:
-        """Take in an answer.
+        """Store an answer of the adviser.
 
-        Answers may overtake each other; of two tickets the one that lasts is kept.
+        Answers may overtake each other, so the ticket that expires last is kept.
 
-        :param asked: the workers that were asked about, with their lives.
+        :param asked: the workers that were asked about, with their incarnations.
+        :param answered_at: when the validity of the tickets begins.
         """
         for worker, incarnation in asked:
             text = advice.tickets.get(worker)
@@ -105,7 +106,7 @@
 
 
 class TicketTable:
-    """The advice on all steps that wait, and how soon a ticket has to be used."""
+    """The advice for all waiting steps, and the margin before tickets expire."""
 
     def __init__(self) -> None:
         self._steps: dict[str, StepAdvice] = {}
@@ -113,7 +114,7 @@
         self._deviation_s = 0.0
 
     def record_start(self, took_s: float) -> None:
-        """Take note of how long it took from an assignment to the worker's answer."""
+        """Record how long it took from an assignment to the worker's answer."""
         if self._mean_s is None:
             self._mean_s, self._deviation_s = took_s, took_s / 2
             return
@@ -122,34 +123,36 @@
         self._mean_s += _MEAN_WEIGHT * (took_s - self._mean_s)
 
     def margin_s(self, valid_s: float) -> float:
-        """Return how long before its end a ticket is not used any more.
+        """Return how long before its expiry a ticket is no longer used, in seconds.
 
-        Load: a full link, or a slow store, on which a start takes half a second.
-        Harm: with a margin for calm times one start in ten was refused for its
-        ticket, and whole gangs fell with it.
+        Over a saturated link or with a slow store a start may take half a second.
+        With a margin for fast starts, one start in ten was refused because its
+        ticket had expired, and whole gangs failed with it.
 
-        :param valid_s: for how long tickets hold.
+        :param valid_s: the validity of tickets, in seconds.
         """
         expected_s = (self._mean_s or 0.0) + _DEVIATIONS * self._deviation_s
         return min(max(expected_s, _MIN_MARGIN_S), valid_s * _MAX_MARGIN_FRACTION)
 
     def advice_for(self, step: Step) -> StepAdvice:
-        """Return what is known of a step."""
+        """Return the advice for a step; it is empty if there is none yet."""
         advice = self._steps.get(step.name)
         if advice is None:
             advice = self._steps[step.name] = StepAdvice()
         return advice
 
     def ticket_text(self, step: Step, worker: str) -> str:
-        """Return the newest ticket of a step for a worker, if there is one."""
+        """Return the newest ticket of a step for a worker, or an empty string."""
         ticket = self.advice_for(step).permitted.get(worker)
         return ticket.text if ticket is not None else ""
 
     def retain_jobs(self, jobs: Container[str]) -> None:
-        """Forget the steps of jobs that are over.
+        """Delete the advice for steps of jobs that have ended.
 
-        A step that has started may need its advice again, when a run ends
-        otherwise than done.
+        Advice for a started step is kept until then: it is needed again if a run
+        does not complete.
+
+        :param jobs: the ids of the jobs to keep.
         """
         for name in [n for n in self._steps if n.partition(".")[0] not in jobs]:
             if not self._steps[name].in_flight:
@@ -158,10 +161,11 @@
 
 @attrs.frozen(slots=True)
 class AdviceRequest:
-    """Workers to ask the adviser about for a step.
+    """A request to the adviser about workers for a step.
 
-    :param cost_s: how long the answer takes.
-    :param order_key: wishes with a lower value go first.
+    :param workers: the workers with their incarnations.
+    :param cost_s: how long the answer takes, in seconds.
+    :param order_key: requests with a lower value go first.
     """
 
     step: Step
@@ -174,26 +178,26 @@
     step: Step,
     advice: StepAdvice,
     workers: list[tuple[str, int]],
-    has_room: bool,
+    has_capacity: bool,
     now: float,
     margin_s: float,
 ) -> AdviceRequest | None:
-    """Return what to ask the adviser about a step now, if anything.
-
-    Load: every step needs an answer before it starts, and its tickets end
-    while it waits for room.  Harm: with the answer asked for only once there is
-    room, a step of a slow queue (about 1 s an answer) leaves that room empty
-    for a second or loses it to others; asked for all the time, the answers
-    would take the adviser's time from the steps that can start.
-
-    All workers are asked about at first, as each costs a hundredth of the call.
-    Later only those that may run it are, ahead of the end of their tickets if
-    the answer is slow, and once there is room if it is fast.
-
-    :param workers: those that could run it, with their lives; the ones with
-        most room first.
-    :param has_room: whether one of those that may run it has room.
-    :param margin_s: how long before its end a ticket is not used any more.
+    """Return the request to send to the adviser for a step now, if any.
+
+    Every step needs advice before it starts, and its tickets may expire while it
+    waits for capacity.  If advice were requested only once there is capacity, a step
+    of a queue with slow answers (about 1 s) would leave that capacity idle for a
+    second or lose it to others.  If it were requested all the time, the answers
+    would take the adviser's time from steps that can start.
+
+    The first request covers all workers, because each adds a hundredth of the call.
+    Later requests cover only permitted workers: before their tickets expire if the
+    answer is slow, and once there is capacity if it is fast.
+
+    :param workers: workers that suit the step, with their incarnations, those with
+        most free capacity first.
+    :param has_capacity: whether a permitted worker has capacity for the step.
+    :param margin_s: how long before its expiry a ticket is no longer used.
     """
     policy = step.job.queue.advice
     if policy is None or advice.in_flight:
@@ -209,19 +213,19 @@
     if cost_s > FAST_ANSWER_S:
         due = ends_at - margin_s - cost_s <= now
     else:
-        due = has_room and ends_at - margin_s <= now
+        due = has_capacity and ends_at - margin_s <= now
     return _request(step, usable, now) if due else None
 
 
 def more_workers_request(
     step: Step, advice: StepAdvice, workers: Iterable[tuple[str, int]], now: float
 ) -> AdviceRequest | None:
-    """Return the question about workers that were not asked about yet, if any are.
+    """Return a request about workers without an answer yet, if there are any.
 
-    Load: a new lead asks about a gang when it has heard a few of the workers, or a
-    gang is wider than what may run it of those that one question takes.  Harm: with
-    only those asked about again that may run it, it waits for room on them for ever,
-    while all others stand idle.
+    A new lead may request advice for a gang before most workers have answered its
+    polls, or a gang may need more workers than one request finds permitted.  If only
+    permitted workers were asked about again, the gang would wait for them forever
+    while all other workers are idle.
     """
     unknown = [w for w in workers if not advice.has_answer_for(w[0])][
         :MAX_WORKERS_PER_REQUEST
@@ -242,6 +246,6 @@
         return None
     cost_s = policy.takes_s(len(workers))
     latest = step.latest_start()
-    # What can still be in time goes before what cannot.
+    # Steps that can still be in time go before those that cannot.
     order_key = latest if latest > now else latest + 1e6
     return AdviceRequest(step, tuple(workers), cost_s, order_key)
--- a/src/firhook/decide/_waiting.py
+++ b/src/firhook/decide/_waiting.py
@@ -1,4 +1,4 @@
-"""Which steps have waited longest, and why."""
+"""Finds the steps that have waited longest, and why."""
 
 import heapq
 from collections.abc import Container, Iterator, Mapping
@@ -9,20 +9,21 @@
 from firhook.decide.schedule import WaitReason
 from firhook.decide.tickets import TicketTable
 
-#: A step that waits for less is nothing to tell of: permission may take a second,
-#: and work that is not urgent waits some for room.
+#: Shorter waits are not reported: advice may take a second, and work that is not
+#: urgent waits some time for capacity.
 _MIN_WAIT_S = 3.0
-#: Steps and workers that are told of at once.
+#: Limits of a report.
 _MAX_STEPS = 5
 _MAX_WORKERS = 3
 
 
 @attrs.frozen(slots=True)
 class WaitingStep:
-    """A step whose turn has come and of which nothing runs, as far as is known.
+    """A step that is ready and has no confirmed run.
 
-    :param ready_s: how long ago its turn came, or this lead began.
-    :param workers: some of those that its runs are bound to, if that is why.
+    :param ready_s: how long ago it became ready, or this lead's term began.
+    :param reason: why it does not run.
+    :param workers: some of the workers that its runs are bound to, if any.
     :param asked: for how many workers the adviser has answered.
     :param permitted: how many of these may run it.
     """
@@ -42,10 +43,10 @@
     answering: Container[str],
     now: float,
 ) -> list[WaitingStep]:
-    """Return the steps that wait and became ready first, some at the most.
+    """Return the waiting steps that became ready first, up to a limit.
 
-    :param wait_reasons: why steps could not start, as the last round found.
-    :param answering: the workers that answer.
+    :param wait_reasons: why steps could not start in the last round.
+    :param answering: the workers that answer polls.
     """
     first = heapq.nsmallest(
         _MAX_STEPS, _waiting_steps(book, answering, now), key=lambda row: row[:2]
--- a/src/firhook/decide/_worker_health.py
+++ b/src/firhook/decide/_worker_health.py
@@ -1,32 +1,33 @@
-"""Which workers are left alone because of what became of their runs."""
+"""Decides which workers get no new work because their runs failed."""
 
 import attrs
 
 from firhook.cell import End
 
-#: Failures in a row, of different jobs, after which a worker is left alone.  A
-#: job that can never be done fails wherever it runs, so that failures of one
-#: job count once; three jobs of that kind in a row on one worker are rare where
-#: one job in a hundred is hopeless.
+#: Consecutive failures of different jobs after which a worker gets no new work.  A
+#: job that cannot succeed fails on every worker, so the failures of one job count
+#: once.  Three such jobs in a row on one worker are rare when one job in a hundred
+#: cannot succeed.
 MAX_CONSECUTIVE_FAILURES = 3
-#: How long a worker is left alone at first, and at most.
+#: How long a worker gets no new work, at first and at most.
 INITIAL_BACKOFF_S = 2.0
 MAX_BACKOFF_S = 10.0
 
 
 @attrs.define(slots=True, eq=False)
 class WorkerHealth:
-    """What became of the runs of one worker.
+    """Tracks how the runs of one worker ended.
 
-    Load: a worker that fails all it starts ends its runs within milliseconds,
-    so that it always has room and draws most of what waits.  Harm: each task
-    has a few attempts only; within seconds many jobs would have failed for
-    good.  A worker whose runs fail for several jobs in a row is left alone for
-    a while, and then tried with one task until one is done.
+    A faulty worker may fail every run within milliseconds.  It then always has free
+    capacity and attracts most of the waiting work.  Tasks have few attempts, so
+    within seconds many jobs would fail for good.  A worker whose runs fail for
+    several jobs in a row gets no new work for a while, then one task at a time
+    until one completes.
 
-    :ivar failed_jobs: jobs whose runs failed since the last one that was done.
-    :ivar backoff_until: when it may be tried again.
-    :ivar probation: whether it may have one task at a time only.
+    :ivar failed_jobs: jobs whose runs failed since the last completed run.
+    :ivar backoff_until: when it may get new work again.
+    :ivar backoff_s: the duration of the next backoff.
+    :ivar probation: whether it may have only one task at a time.
     """
 
     failed_jobs: set[str] = attrs.field(factory=set)
@@ -35,7 +36,7 @@
     probation: bool = False
 
     def record_end(self, job: str, end: End, now: float) -> bool:
-        """Take note of how a run ended; return whether a rest begins."""
+        """Record how a run ended, and return whether a backoff begins."""
         if end is End.DONE:
             self.failed_jobs.clear()
             self.probation = False
@@ -50,7 +51,7 @@
         return True
 
     def record_stall(self, now: float) -> None:
-        """Take note that what it runs stands still."""
+        """Record that one of its runs is stalled."""
         if now >= self.backoff_until:
             self._back_off(now)
 
@@ -60,9 +61,9 @@
         self.probation = True
 
     def accepts(self, running: int, now: float) -> bool:
-        """Return whether new work may start on it.
+        """Return whether new work may start on the worker.
 
-        :param running: the runs that are on it now.
+        :param running: the number of its current runs.
         """
         if now < self.backoff_until:
             return False
--- a/src/firhook/decide/adviser_slots.py
+++ b/src/firhook/decide/adviser_slots.py
@@ -1,4 +1,4 @@
-"""Through which instance the adviser is asked."""
+"""Chooses the instance through which a request to the adviser is sent."""
 
 from firhook.decide._adviser_slots import AdviserSlot, SlotPlan, choose_slot
 
--- a/src/firhook/decide/append_route.py
+++ b/src/firhook/decide/append_route.py
@@ -1,4 +1,4 @@
-"""Whether an instance appends callers' records itself or through the lead."""
+"""Chooses whether an instance appends records itself or through the lead."""
 
 from firhook.decide._append_route import SLOW_APPEND_S, AppendRoute
 
--- a/src/firhook/decide/copy_sources.py
+++ b/src/firhook/decide/copy_sources.py
@@ -1,4 +1,4 @@
-"""From whom a starting instance learns what it needs of the cell's records."""
+"""Chooses the peers from which a starting instance copies the cell's records."""
 
 from firhook.decide._copy_sources import choose_copy_sources
 
--- a/src/firhook/decide/election.py
+++ b/src/firhook/decide/election.py
@@ -1,4 +1,4 @@
-"""Which instance stands for the lead of a cell, and when."""
+"""Decides which instance campaigns to lead a cell, and when."""
 
 from firhook.decide._election import (
     LEAD_TIMEOUT_S,
--- a/src/firhook/decide/fan_out.py
+++ b/src/firhook/decide/fan_out.py
@@ -1,4 +1,4 @@
-"""Who tells whom of new records."""
+"""Plans how the lead distributes new records to the other instances."""
 
 from firhook.decide._fan_out import FanOut, digest_delay_s, plan_fan_out
 
--- a/src/firhook/decide/lookup_peers.py
+++ b/src/firhook/decide/lookup_peers.py
@@ -1,4 +1,4 @@
-"""Whom an instance asks for what its own replica cannot tell."""
+"""Chooses the peers that answer what an instance's own replica cannot."""
 
 from firhook.decide._lookup_peers import MAX_LOOKUP_PEERS, choose_lookup_peers
 
--- a/src/firhook/decide/schedule.py
+++ b/src/firhook/decide/schedule.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks start now, and where."""
+"""Decides which waiting tasks start now, and on which workers."""
 
 from firhook.decide._schedule import (
     Placement,
--- a/src/firhook/decide/speeds.py
+++ b/src/firhook/decide/speeds.py
@@ -1,4 +1,4 @@
-"""How fast workers are, learned from tasks of one step on several of them."""
+"""Estimates the speed of workers from tasks of one step on several of them."""
 
 from firhook.decide._speeds import SpeedEstimator
 
--- a/src/firhook/decide/stalls.py
+++ b/src/firhook/decide/stalls.py
@@ -1,4 +1,4 @@
-"""Runs that make no progress."""
+"""Detects runs that make no progress."""
 
 from firhook.decide._stalls import STALL_TIMEOUT_S, is_stalled, stalled_runs
 
--- a/src/firhook/decide/store_reachability.py
+++ b/src/firhook/decide/store_reachability.py
@@ -1,4 +1,4 @@
-"""Whether the store can be reached from one instance."""
+"""Tracks whether an instance can reach the store."""
 
 from firhook.decide._store_reachability import MIN_ANSWER_TIMEOUT_S, StoreReachability
 
--- a/src/firhook/decide/suspicion.py
+++ b/src/firhook/decide/suspicion.py
@@ -1,4 +1,4 @@
-"""Which workers may be gone, before it is certain."""
+"""Suspects workers of having failed before a timeout proves it."""
 
 from firhook.decide._suspicion import OVERDUE_S, ReplyTracker, suspected_zones
 
--- a/src/firhook/decide/tickets.py
+++ b/src/firhook/decide/tickets.py
@@ -1,4 +1,4 @@
-"""What the adviser said of each step, and when to ask it again."""
+"""Keeps the adviser's answers for each step and decides when to ask again."""
 
 from firhook.decide._tickets import (
     MAX_WORKERS_PER_REQUEST,
--- a/src/firhook/decide/waiting.py
+++ b/src/firhook/decide/waiting.py
@@ -1,4 +1,4 @@
-"""Which steps have waited longest, and why."""
+"""Finds the steps that have waited longest, and why."""
 
 from firhook.decide._waiting import WaitingStep, longest_waiting
 
--- a/src/firhook/decide/worker_health.py
+++ b/src/firhook/decide/worker_health.py
@@ -1,4 +1,4 @@
-"""Which workers are left alone because of what became of their runs."""
+"""Decides which workers get no new work because their runs failed."""
 
 from firhook.decide._worker_health import (
     INITIAL_BACKOFF_S,
