--- a/tests/decide/test_adviser_slots.py
+++ b/tests/decide/test_adviser_slots.py
@@ -1,4 +1,4 @@
-"""Through which instance the adviser is asked: loads played without a network."""
+"""Through which instance the adviser is asked, simulated without a network."""
 
 import random
 
@@ -6,18 +6,19 @@
 
 from firhook.decide.adviser_slots import AdviserSlot, SlotPlan, choose_slot
 
-#: Seconds of an answer about a ticket at the counter, a reconciliation, a match.
+#: Seconds that an answer about a counter ticket, a reconciliation or a match takes.
 TICKET, BILL, MATCH = 0.009, 0.078, 0.48
 TICK_S = 0.002
 
 
-def play(rates, slots=7, seconds=8.0, seed=1, at_once=()):
-    """Ask the adviser at rates by length; return the waits for answers.
+def simulate(rates, slots=7, seconds=8.0, seed=1, at_once=()):
+    """Simulate requests to the adviser; return the waits for answers by cost.
 
-    :param at_once: lengths of questions that wait from the start.
+    :param rates: requests per second by the cost of their answers in seconds.
+    :param at_once: costs of requests that wait from the start.
     """
     rng = random.Random(seed)
-    places = [AdviserSlot(f"i{n}") for n in range(slots)]
+    instances = [AdviserSlot(f"i{n}") for n in range(slots)]
     plan, now, waiting = SlotPlan(), 0.0, [(0.0, cost_s) for cost_s in at_once]
     waits = {cost_s: [] for cost_s in rates}
     while now < seconds:
@@ -26,18 +27,18 @@
                 plan.record_request(str(cost_s), cost_s, now)
                 waiting.append((now, cost_s))
         plan.set_waiting((str(cost_s), cost_s) for _, cost_s in waiting)
-        # What must start soonest is asked first, and tickets have least time.
+        # The work with the earliest latest start is asked about first: tickets.
         for row in sorted(waiting, key=lambda r: (r[1] != TICKET, r[0])):
-            asked_at, cost_s = row
-            slot = choose_slot(places, cost_s, plan, now)
+            requested_at, cost_s = row
+            slot = choose_slot(instances, cost_s, plan, now)
             if slot is None:
                 continue
             waiting.remove(row)
             slot.busy_until = max(slot.busy_until, now) + cost_s
-            waits[cost_s].append(slot.busy_until - asked_at)
+            waits[cost_s].append(slot.busy_until - requested_at)
         now += TICK_S
-    for asked_at, cost_s in waiting:
-        waits[cost_s].append(now - asked_at)
+    for requested_at, cost_s in waiting:
+        waits[cost_s].append(now - requested_at)
     return waits
 
 
@@ -46,38 +47,39 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_burst_of_fast_questions_does_not_wait_behind_slow_ones(seed):
-    """Guests stand at the counter, five times as many as usual, while large jobs
-    come twice as often.  A ticket has 0.4 s in all before it is late.
+def test_burst_of_fast_requests_does_not_wait_behind_slow_ones(seed):
+    """Tickets arrive five times as often as usual and large jobs twice as often.
+
+    A ticket has 0.4 s in all before it is late.
     """
-    waits = play({TICKET: 130.0, BILL: 5.0, MATCH: 3.0}, seed=seed)
+    waits = simulate({TICKET: 130.0, BILL: 5.0, MATCH: 3.0}, seed=seed)
     assert percentile(waits[TICKET], 0.99) < 0.2
     assert percentile(waits[BILL], 0.9) < 1.0
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_new_lead_has_what_waits_answered_before_it_is_in_vain(seed):
-    """All instances lost power for two seconds; jobs wait, and no ticket is known.
+def test_new_lead_gets_answers_before_waiting_work_is_too_late(seed):
+    """After an outage of all instances many jobs wait and no advice is known.
 
-    Behind bills and matches the tickets at the counter would take seconds more,
-    while the workers stand idle.
+    All instances lost power for two seconds.  Behind bills and matches, the requests
+    for counter tickets would take seconds more while the workers are idle.
     """
     before = [MATCH] * 10 + [BILL] * 30 + [TICKET] * 160
     rates = {TICKET: 60.0, BILL: 4.0, MATCH: 1.0}
-    waits = play(rates, seconds=4.0, seed=seed, at_once=before)
+    waits = simulate(rates, seconds=4.0, seed=seed, at_once=before)
     assert percentile(waits[TICKET], 0.99) < 0.8
     assert percentile(waits[BILL], 0.9) < 2.5
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_slow_questions_have_all_seats_that_fast_ones_do_not_need(seed):
-    waits = play({TICKET: 25.0, MATCH: 5.0}, seed=seed)
+def test_slow_requests_use_all_slots_that_fast_ones_do_not_need(seed):
+    waits = simulate({TICKET: 25.0, MATCH: 5.0}, seed=seed)
     assert percentile(waits[MATCH], 0.9) < 1.5
     assert percentile(waits[TICKET], 0.99) < 0.1
 
 
-def test_slow_questions_keep_away_from_instances_for_fast_ones():
-    """Plans take the adviser a second, quotes 15 ms, one after the other."""
+def test_slow_requests_leave_a_slot_for_fast_ones():
+    """An answer for a plan takes a second, one for a quote 15 ms, in sequence."""
     slots = [AdviserSlot(f"i{i}") for i in range(8)]
     plan, now = SlotPlan(), 10.0
     for _ in range(20):
@@ -90,7 +92,7 @@
     assert fast.busy_until <= now
 
 
-def test_an_instance_that_is_gone_is_asked_less_and_less():
+def test_unreachable_instance_is_asked_with_exponential_backoff():
     slot = AdviserSlot("gone")
     now, asked = 0.0, 0
     while now < 30.0:
--- a/tests/decide/test_election.py
+++ b/tests/decide/test_election.py
@@ -1,4 +1,4 @@
-"""Which instance stands for the lead, and when."""
+"""Which instance campaigns to become the lead, and when."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,19 +11,19 @@
 )
 
 
-def seven():
-    """Return seven instances of one kind in three zones."""
+def seven_candidates():
+    """Return seven_candidates equally strong instances in three zones."""
     zones = "aaabbcc"
     return [Candidate(f"i{n}", zone, 1.0) for n, zone in enumerate(zones)]
 
 
-def first_to_stand(names, candidates, heard_at, lead, until=20.0):
-    """Return who stands first after the lead was heard last, and when."""
+def first_to_campaign(names, candidates, heartbeat_at, lead, until=20.0):
+    """Return who campaigns first after the last heartbeat of the lead, and when."""
     elections = [Election(name) for name in names]
     for election in elections:
         election.set_ready(True, 0.0)
-        election.record_heartbeat(5, lead, 0, heard_at)
-    now = heard_at
+        election.record_heartbeat(5, lead, 0, heartbeat_at)
+    now = heartbeat_at
     while now < until:
         now += 0.01
         for election, name in zip(elections, names, strict=True):
@@ -32,39 +32,44 @@
     return None, now
 
 
-def test_nobody_stands_while_the_lead_is_heard():
+def test_no_instance_campaigns_while_heartbeats_arrive():
     election = Election("i1")
     election.set_ready(True, 0.0)
     for tick in range(100):
         election.record_heartbeat(5, "i0", 0, tick * 0.1)
-        assert not election.should_campaign(seven(), tick * 0.1 + LEAD_TIMEOUT_S - 0.01)
+        assert not election.should_campaign(
+            seven_candidates(), tick * 0.1 + LEAD_TIMEOUT_S - 0.01
+        )
 
 
-def test_first_in_line_is_of_another_zone_than_the_lead_that_fell_silent():
-    """A zone is cut off with the lead and two others in it."""
-    rest = [c.name for c in seven() if c.zone != "a"]
-    name, at = first_to_stand(rest, seven(), 10.0, "i0")
+def test_first_candidate_is_in_another_zone_than_the_lost_lead():
+    """A network partition isolates the zone of the lead and two other instances."""
+    rest = [c.name for c in seven_candidates() if c.zone != "a"]
+    name, at = first_to_campaign(rest, seven_candidates(), 10.0, "i0")
     assert name == "i3"
     assert at - 10.0 < LEAD_TIMEOUT_S + 0.02
 
 
-def test_the_next_stands_when_those_before_it_are_gone():
-    name, at = first_to_stand(["i6"], seven(), 10.0, "i0")
+def test_last_candidate_campaigns_when_all_before_it_are_gone():
+    name, at = first_to_campaign(["i6"], seven_candidates(), 10.0, "i0")
     assert name == "i6"
     assert at - 10.0 < 2.0
 
 
-def test_weak_instance_stands_only_after_the_strong_ones_had_their_time():
-    """All strong ones restart; a weak lead falls behind at once."""
+def test_weak_instance_campaigns_only_after_all_strong_ones():
+    """Strong instances that only restart come back before a weak one campaigns.
+
+    A weak instance that leads cannot keep up.
+    """
     weak = Candidate("weak", "a", 0.5)
     strong = [Candidate(f"s{n}", "b", 2.0) for n in range(3)]
-    _, at = first_to_stand(["weak"], [weak, *strong], 10.0, "s0")
+    _, at = first_to_campaign(["weak"], [weak, *strong], 10.0, "s0")
     assert at - 10.0 > LEAD_TIMEOUT_S + 3 * 0.15
-    name, _ = first_to_stand(["weak", "s2"], [weak, *strong], 10.0, "s0")
+    name, _ = first_to_campaign(["weak", "s2"], [weak, *strong], 10.0, "s0")
     assert name == "s2"
 
 
-def test_one_that_was_replaced_does_not_count_as_the_lead():
+def test_heartbeats_of_a_superseded_lead_are_ignored():
     election = Election("i1")
     election.set_ready(True, 0.0)
     election.record_heartbeat(6, "i2", 0, 1.0)
@@ -73,8 +78,11 @@
     assert election.lead == "i2"
 
 
-def test_record_that_is_read_late_is_no_sign_of_life():
-    """What the lead wrote before it died is read half a second later."""
+def test_old_record_does_not_prove_that_the_lead_is_alive():
+    """What a lead wrote before it crashed may be read half a second later.
+
+    Such a record must not delay the election.
+    """
     election = Election("i1")
     election.set_ready(True, 0.0)
     election.record_heartbeat(5, "i0", 700, 10.0)
@@ -84,15 +92,15 @@
     assert not election.lead_timed_out(10.0 + LEAD_TIMEOUT_S)
 
 
-def test_one_whose_takeover_failed_leaves_the_lead_to_the_others():
+def test_instance_does_not_campaign_during_its_backoff():
     election = Election("i3")
     election.set_ready(True, 0.0)
     election.record_heartbeat(5, "i0", 0, 10.0)
     election.back_off(16.0)
-    # That it was replaced does not end the longer rest.
+    # A shorter backoff does not end a longer one.
     election.back_off(10.5)
-    assert not election.should_campaign(seven(), 15.9)
-    assert election.should_campaign(seven(), 16.0)
+    assert not election.should_campaign(seven_candidates(), 15.9)
+    assert election.should_campaign(seven_candidates(), 16.0)
 
 
 candidates = st.lists(
@@ -112,5 +120,5 @@
 def test_no_two_of_a_class_stand_at_once_and_none_is_left_out(rows, last):
     line = succession_order(rows, f"i{last}")
     assert sorted(c.name for c, _ in line) == sorted(c.name for c in rows)
-    classes = [weaker for _, weaker in line]
+    classes = [strength_class for _, strength_class in line]
     assert classes == sorted(classes)
--- a/tests/decide/test_fan_out.py
+++ b/tests/decide/test_fan_out.py
@@ -1,4 +1,4 @@
-"""Whom the lead tells of records, and who passes them on."""
+"""To which instances the lead sends records, and which of them forward digests."""
 
 from firhook.decide.election import Candidate
 from firhook.decide.fan_out import digest_delay_s, plan_fan_out
@@ -13,24 +13,24 @@
     ]
 
 
-def _told(plan):
-    """Return how often each instance is told a digest."""
-    told = list(plan.direct)
+def _recipients(plan):
+    """Return the instances that receive a digest, one entry for each delivery."""
+    recipients = list(plan.direct)
     for relay, members in plan.relays:
-        told += [relay, *members]
-    return told
+        recipients += [relay, *members]
+    return recipients
 
 
-def test_everyone_but_the_lead_is_told_once():
+def test_each_instance_but_the_lead_receives_digests_once():
     cell = _cell()
     plan = plan_fan_out(cell, "0-strong0", {})
-    told = _told(plan)
-    named = [name for name in told if name not in plan.standbys]
+    recipients = _recipients(plan)
+    named = [name for name in recipients if name not in plan.standbys]
     assert sorted([*named, *plan.standbys, "0-strong0"]) == sorted(c.name for c in cell)
 
 
-def test_lead_sends_to_one_instance_a_zone_and_to_the_next_in_line():
-    """Told to 95 instances by one, a record is 95 times its size on one link."""
+def test_lead_sends_to_one_relay_per_zone_and_to_the_standbys():
+    """Sent to 95 instances by one, a record takes 95 times its size on one link."""
     plan = plan_fan_out(_cell(), "0-strong0", {})
     assert len(plan.relays) == 6
     assert plan.direct == ()
@@ -38,13 +38,13 @@
     assert all("strong" in relay for relay, _ in plan.relays)
 
 
-def test_standbys_lie_in_zones_other_than_the_lead_and_each_other():
-    """A zone that is cut off would take the lead and all that could follow it."""
+def test_standbys_and_the_lead_are_in_different_zones():
+    """An isolated zone would contain the lead and all that could take over at once."""
     plan = plan_fan_out(_cell(), "0-strong0", {})
     assert len({name.partition("-")[0] for name in (*plan.standbys, "0-")}) == 3
 
 
-def test_zone_whose_relay_failed_gets_another_one():
+def test_zone_whose_relay_failed_gets_another_relay():
     first = dict(plan_fan_out(_cell(), "0-strong0", {}).relays)
     relay = next(iter(first))
     then = dict(plan_fan_out(_cell(), "0-strong0", {relay: 1.0}).relays)
@@ -52,13 +52,13 @@
     assert relay in {name for members in then.values() for name in members}
 
 
-def test_small_zones_are_told_directly():
+def test_small_zones_have_no_relay():
     plan = plan_fan_out(_cell(zones=4, strong=2, weak=0), "0-strong0", {})
     assert plan.relays == ()
 
 
-def test_zone_in_which_all_relays_failed_is_not_told_by_the_lead():
-    """Late answers are a sign of a full link, which more messages would fill more."""
+def test_zone_whose_relays_all_failed_still_uses_a_relay():
+    """Late answers indicate a saturated link; more messages would make it worse."""
     cell = _cell(zones=2)
     unfit = {c.name: 9.0 for c in cell} | {"1-weak3": 5.0}
     plan = plan_fan_out(cell, "0-strong0", unfit)
@@ -66,12 +66,12 @@
     assert "1-weak3" in dict(plan.relays)
 
 
-def test_lead_that_is_not_registered_tells_everyone():
+def test_unregistered_lead_sends_to_all_instances():
     cell = _cell(zones=1)
-    assert len(set(_told(plan_fan_out(cell, "unknown", {})))) >= len(cell) - 2
+    assert len(set(_recipients(plan_fan_out(cell, "unknown", {})))) >= len(cell) - 2
 
 
-def test_more_instances_are_told_less_often_and_none_late():
+def test_digest_delay_grows_with_the_instances_up_to_a_limit():
     assert digest_delay_s(9) == digest_delay_s(39) == 0.015
     assert (
         0.03 < digest_delay_s(97) < digest_delay_s(300) == digest_delay_s(1000) == 0.05
--- a/tests/decide/test_schedule.py
+++ b/tests/decide/test_schedule.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks start now, and where: loads played without a network."""
+"""Which waiting tasks start now and on which workers, without a network."""
 
 import attrs
 import pytest
@@ -28,7 +28,7 @@
 
 
 class World:
-    """A book, and workers that are as full as the book says."""
+    """A book and workers whose free capacity follows from it."""
 
     def __init__(self, workers=4, cpu_m=8000, teams=(UNLIMITED,), urgent_m=0):
         config = CellConfig(1, (QUOTE, PLAN, BILL), tuple(teams), (Pool("pool"),))
@@ -72,7 +72,7 @@
     def finish(self, run, end=End.DONE):
         self.book.end(run, end, "", self.now, self.now)
 
-    def overfull(self):
+    def overcommitted(self):
         return [
             name
             for name in self.names
@@ -88,10 +88,10 @@
     return [run.task.step.job.queue.name for run in runs]
 
 
-def test_a_quote_finds_room_in_the_middle_of_a_burst_of_bills():
-    """Bills fill the cell for seconds; quotes have half a second to start.
+def test_quotes_find_capacity_during_a_burst_of_bills():
+    """Bills fill the cell for seconds, but quotes have half a second to start.
 
-    Without room kept for them, a user waits on the page until a bill ends.
+    Without headroom for quotes, users would wait until a bill ends.
     """
     urgent_m = urgent_headroom_m(8000, 800)
     world = World(urgent_m=urgent_m)
@@ -103,7 +103,7 @@
     assert queues_of(world.round()) == ["quote", "quote"]
 
 
-def test_room_for_urgent_work_keeps_no_whole_worker_from_a_gang_for_ever():
+def test_headroom_for_urgent_work_does_not_block_a_gang_forever():
     world = World(workers=1, urgent_m=800)
     world.submit(PLAN, tasks(4, 2000, gang=True))
     assert world.round() == []
@@ -111,11 +111,11 @@
     assert len(world.round()) == 4
 
 
-def test_a_gang_is_not_starved_by_small_work_that_keeps_coming():
+def test_gang_is_not_starved_by_a_stream_of_small_tasks():
     """Small tasks end one after the other, and others take their place.
 
-    The gang's room never comes together; a user's plan would wait until the
-    load falls.
+    Without a reservation there is never enough free capacity at once, and the gang
+    would wait until the load falls.
     """
     world = World(workers=2)
     small = [world.submit(BILL, tasks(1, 2000, estimate_s=5.0)) for _ in range(8)]
@@ -131,10 +131,10 @@
         if any(gang.runs()):
             break
     assert len(list(gang.runs())) == 2
-    assert world.overfull() == []
+    assert world.overcommitted() == []
 
 
-def test_work_that_ends_in_time_uses_the_room_kept_for_a_gang():
+def test_work_that_ends_in_time_backfills_capacity_reserved_for_a_gang():
     world = World(workers=1)
     world.submit(BILL, tasks(1, 6000, estimate_s=10.0))
     world.round()
@@ -146,7 +146,7 @@
     assert any(short.runs())
 
 
-def test_a_gang_starts_whole_or_not_at_all():
+def test_gang_starts_completely_or_not_at_all():
     world = World(workers=2)
     world.submit(PLAN, tasks(5, 4000, gang=True))
     assert world.round() == []
@@ -156,7 +156,7 @@
     assert {run.number for run in started} == {1}
 
 
-def test_a_failed_member_takes_the_gang_with_it_and_counts_once():
+def test_failed_member_stops_the_gang_and_counts_once():
     world = World()
     queue = attrs.evolve(PLAN, max_attempts=2)
     world.book.config = attrs.evolve(world.book.config, queues=(queue,))
@@ -187,7 +187,7 @@
     assert job.status.name == "COMPLETED"
 
 
-def test_a_team_has_never_more_running_than_its_limit():
+def test_team_never_runs_more_than_its_limit():
     limited = Team("a", frozenset(), limit=Resources(3000))
     world = World(teams=(limited,))
     world.submit(BILL, tasks(10))
@@ -199,14 +199,14 @@
     assert len(world.round()) == 1
 
 
-def test_labels_and_the_most_per_worker_are_kept_to():
+def test_labels_and_the_limit_per_worker_are_respected():
     world = World()
     world.labels["w2"] = frozenset({"special"})
     world.submit(BILL, tasks(3, label="special", per_worker=2))
     assert [run.worker for run in world.round()] == ["w2", "w2"]
 
 
-def test_what_is_late_already_goes_behind_what_can_be_in_time():
+def test_late_work_goes_behind_work_that_can_be_in_time():
     world = World(workers=1)
     late = world.submit(PLAN, tasks(8, estimate_s=1.0))
     world.now += 60
@@ -215,11 +215,11 @@
     assert late.steps[0, 0].idle
 
 
-def test_late_quote_goes_before_a_bill_that_has_time_and_behind_one_that_has_none():
-    """Callers at the counter wait; a bill at night has ten seconds to spare.
+def test_late_quote_goes_before_a_bill_with_slack_and_behind_one_without():
+    """Callers wait for quotes, while bills have ten seconds of slack.
 
-    Put behind all bills that can still be in time, a quote that is a moment late
-    waits until it is in vain, while the bills end long before they must.
+    Placed behind all bills that can still be in time, a slightly late quote would
+    wait until it is worthless, while the bills end long before their objective.
     """
     world = World(workers=1)
     quote = world.submit(QUOTE, tasks(8, estimate_s=1.0))
@@ -268,7 +268,7 @@
         world.submit(queue, tasks(count, cpu_m, gang=gang))
         running += world.round()
         world.now += rng.random() * 3
-        assert world.overfull() == []
+        assert world.overcommitted() == []
         used = world.book.team_use.get("a", Resources())
         assert used.cpu_m <= 20000
         if running and rng.random() < 0.7:
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("end", [End.LAPSED, End.STOPPED, End.FAILED])
-def test_a_task_that_did_not_end_done_runs_again_under_a_higher_number(end):
+def test_task_that_did_not_complete_runs_again_with_a_higher_run_number(end):
     world = World()
     world.submit(BILL, tasks(1))
     queue = attrs.evolve(BILL, max_attempts=3)
--- a/tests/decide/test_speeds.py
+++ b/tests/decide/test_speeds.py
@@ -1,4 +1,4 @@
-"""Speeds of workers, and runs that stand still."""
+"""Speeds of workers, stalled runs and workers that fail their runs."""
 
 import random
 
@@ -34,14 +34,14 @@
     checkpoint = "saved"
 
 
-def a_run(first, percent, at, task=FakeTask):
+def make_run(first, percent, at, task=FakeTask):
     run = Run(task, 1, "w", 1, 0.0)
     run.confirmed = True
     run.first_percent, run.percent, run.percent_at = first, percent, at
     return run
 
 
-def test_slow_workers_are_told_from_others_by_tasks_of_the_same_steps():
+def test_slow_workers_are_found_by_comparing_tasks_of_the_same_step():
     rng = random.Random(1)
     slow = {f"w{i}" for i in range(7)}
     estimator = SpeedEstimator()
@@ -58,47 +58,47 @@
     assert len(found - slow) <= 2
 
 
-def test_a_worker_on_which_nothing_moves_has_its_runs_moved():
-    """A worker takes work and answers as if all were well, but nothing moves.
+def test_runs_of_a_stalled_worker_are_moved():
+    """A faulty worker accepts work and answers polls, but nothing progresses.
 
-    Its tasks would never end; a user sees a job that runs for ever.
+    Its tasks would never end, and users would see a job that runs forever.
     """
-    still = [a_run(0, 50, 1.0), a_run(0, 50, 1.0)]
-    assert stalled_runs(still, 1.0 + STALL_TIMEOUT_S / 2) == []
-    assert stalled_runs(still, 1.5 + STALL_TIMEOUT_S) == still
+    stalled = [make_run(0, 50, 1.0), make_run(0, 50, 1.0)]
+    assert stalled_runs(stalled, 1.0 + STALL_TIMEOUT_S / 2) == []
+    assert stalled_runs(stalled, 1.5 + STALL_TIMEOUT_S) == stalled
 
 
-def test_short_work_that_never_moved_is_moved_before_it_is_worthless():
-    """A ticket of 0.6 s is started on a worker that stands still.
+def test_short_run_without_any_progress_is_moved_in_time():
+    """A ticket task of 0.6 s starts on a stalled worker.
 
-    Left there for as long as work that moved before, it is worth nothing any more
-    when it begins anew.
+    With the timeout of runs that progressed before, it would be worthless by the
+    time it starts again elsewhere.
     """
-    fresh = [a_run(0, 0, 0.4)]
+    fresh = [make_run(0, 0, 0.4)]
     assert stalled_runs(fresh, 0.7) == []
     assert stalled_runs(fresh, 1.0) == fresh
-    resumed = [a_run(0, 0, 0.4, ResumedTask)]
+    resumed = [make_run(0, 0, 0.4, ResumedTask)]
     assert stalled_runs(resumed, 1.4) == []
     assert stalled_runs(resumed, 1.7) == resumed
 
 
-def test_what_moved_before_does_not_hide_that_a_worker_stands_still_now():
-    before, fresh = a_run(0, 60, 1.0), a_run(0, 0, 1.5)
+def test_earlier_progress_does_not_hide_that_a_worker_is_stalled_now():
+    before, fresh = make_run(0, 60, 1.0), make_run(0, 0, 1.5)
     fresh.begun_at = 1.2
     assert stalled_runs([before, fresh], 2.1) == []
     assert stalled_runs([before, fresh], 2.4) == [fresh]
 
 
-def test_a_slow_run_beside_one_that_moves_is_left_alone():
-    runs = [a_run(0, 0, 1.0), a_run(0, 50, 4.0)]
+def test_slow_run_beside_a_progressing_one_is_not_stalled():
+    runs = [make_run(0, 0, 1.0), make_run(0, 50, 4.0)]
     assert stalled_runs(runs, 4.2) == []
 
 
-def test_a_worker_that_fails_several_jobs_rests_and_is_then_tried_with_one():
-    """A worker fails all that it starts, within milliseconds.
+def test_worker_that_fails_several_jobs_backs_off_and_then_gets_one_task():
+    """A faulty worker fails every run within milliseconds.
 
-    It always has room, so that it would draw most of what waits, and each task
-    has a few attempts only.
+    It always has free capacity and would attract most of the waiting work, and each
+    task has only a few attempts.
     """
     health = WorkerHealth()
     for job in range(MAX_CONSECUTIVE_FAILURES):
@@ -110,7 +110,7 @@
     assert health.accepts(5, 13.0)
 
 
-def test_a_job_that_can_never_be_done_gives_no_worker_a_rest():
+def test_job_that_cannot_succeed_causes_no_backoff():
     health = WorkerHealth()
     for _ in range(10):
         health.record_end("hopeless", End.FAILED, 10.0)
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -1,4 +1,4 @@
-"""What a waiting step waits for, and that it does not wait in vain."""
+"""Why steps wait, and that advice is widened so that they can start."""
 
 import attrs
 import pytest
@@ -12,21 +12,21 @@
 
 
 class AdvisedWorld(World):
-    """Workers of which the adviser permits each third."""
+    """A world whose adviser permits every third worker."""
 
-    def __init__(self, workers, heard=None):
+    def __init__(self, workers, known_workers=None):
         super().__init__(workers)
-        self.heard = workers if heard is None else heard
+        self.known_workers = workers if known_workers is None else known_workers
 
-    def told(self, result, answering=()):
-        """Return what is told of the steps that wait, four seconds later."""
+    def report(self, result, answering=()):
+        """Return the waiting steps that are reported four seconds later."""
         at = self.now + 4.0
         return longest_waiting(
             self.book, result.wait_reasons, self.tickets, answering, at
         )
 
-    def play_round(self):
-        """Play a round, and return what it decided."""
+    def run_round(self):
+        """Run a round and return its decisions."""
         views = {
             name: WorkerView(
                 name,
@@ -36,67 +36,72 @@
                 self.labels[name],
                 self.capacity.minus(self.book.worker_use.get(name, Resources())),
             )
-            for name in self.names[: self.heard]
+            for name in self.names[: self.known_workers]
         }
         result = place_round(self.book, views, self.tickets, self.now)
         for placement in result.placements:
             self.book.plan(placement.step, placement.tasks, self.now)
         return result
 
-    def play(self, seconds):
-        """Play rounds in which each question is answered; return what was asked."""
-        asked = []
+    def run_rounds(self, seconds):
+        """Run rounds in which each request is answered at once.
+
+        :return: the number of workers of each request.
+        """
+        sizes = []
         end = self.now + seconds
         while self.now < end:
-            for request in self.play_round().advice_requests:
-                asked.append(len(request.workers))
+            for request in self.run_round().advice_requests:
+                sizes.append(len(request.workers))
                 advice = self.tickets.advice_for(request.step)
-                good = {w: "yes" for w, _ in request.workers if int(w[1:]) % 3 == 0}
+                tickets = {w: "yes" for w, _ in request.workers if int(w[1:]) % 3 == 0}
                 valid_s = request.step.job.queue.advice.valid_s
-                advice.record_answer(request.workers, Advice(good, valid_s), self.now)
+                advice.record_answer(
+                    request.workers, Advice(tickets, valid_s), self.now
+                )
             self.now += 0.1
-        return asked
+        return sizes
 
 
 def gang(count, cpu_m=4000):
     return StepSpec(count, Resources(cpu_m, 100), 1.0, gang=True)
 
 
-def test_gang_asked_about_when_one_worker_was_heard_is_asked_about_others():
-    world = AdvisedWorld(12, heard=1)
+def test_gang_is_asked_about_workers_that_became_known_later():
+    world = AdvisedWorld(12, known_workers=1)
     job = world.submit(ADVISED, gang(6))
-    world.play(0.5)
+    world.run_rounds(0.5)
     assert not any(job.runs())
-    world.heard = 12
-    world.play(1.5)
+    world.known_workers = 12
+    world.run_rounds(1.5)
     assert len(list(job.runs())) == 6
 
 
-def test_gang_wider_than_what_one_question_finds_is_asked_about_more_workers():
+def test_gang_that_needs_more_workers_than_one_request_finds_is_asked_about_more():
     world = AdvisedWorld(300)
     job = world.submit(ADVISED, gang(90))
-    world.play(3.0)
+    world.run_rounds(3.0)
     assert len(list(job.runs())) == 90
 
 
-def test_task_that_no_permitted_worker_can_ever_hold_is_asked_about_others():
-    world = AdvisedWorld(4, heard=1)
+def test_task_that_no_permitted_worker_can_hold_is_asked_about_others():
+    world = AdvisedWorld(4, known_workers=1)
     world.submit(PLAN, StepSpec(1, Resources(6000, 100), 1.0, lasting=True))
-    world.play_round()
+    world.run_round()
     job = world.submit(ADVISED, StepSpec(1, Resources(4000, 100), 1.0))
-    world.play(0.5)
+    world.run_rounds(0.5)
     assert not any(job.runs())
-    world.heard = 4
-    world.play(1.5)
+    world.known_workers = 4
+    world.run_rounds(1.5)
     assert len(list(job.runs())) == 1
 
 
-def test_a_full_cell_does_not_draw_more_questions_than_needed():
+def test_full_cell_causes_no_needless_requests():
     world = AdvisedWorld(300)
     world.submit(PLAN, StepSpec(600, Resources(4000, 100), 1.0))
-    world.play(0.2)
+    world.run_rounds(0.2)
     world.submit(ADVISED, gang(6))
-    first, *others = world.play(3.0)
+    first, *others = world.run_rounds(3.0)
     assert first == 100
     assert set(others) == {34}
 
@@ -105,87 +110,85 @@
     return StepSpec(1, Resources(cpu_m, 100), 1.0, **more)
 
 
-def permit_none(world, step):
+def deny_all(world, step):
     advice = world.tickets.advice_for(step)
     advice.record_answer(
         [(name, 1) for name in world.names], Advice({}, 1.5), world.now
     )
 
 
-def be_asking(world, step):
+def mark_in_flight(world, step):
     world.tickets.advice_for(step).in_flight = True
 
 
 @pytest.mark.parametrize(
-    ("queue", "spec", "prepare", "why"),
+    ("queue", "spec", "prepare", "reason"),
     [
         (PLAN, single(label="none"), None, WaitReason.NO_WORKER),
         (PLAN, single(cpu_m=9000), None, WaitReason.NO_ROOM),
         (PLAN, gang(40), None, WaitReason.NO_ROOM),
         (PLAN, single(cpu_m=8000, label="kind"), None, None),
         (ADVISED, single(), None, WaitReason.ADVICE_DUE),
-        (ADVISED, single(), be_asking, WaitReason.ADVICE_ASKED),
-        (ADVISED, single(), permit_none, WaitReason.NOT_PERMITTED),
+        (ADVISED, single(), mark_in_flight, WaitReason.ADVICE_ASKED),
+        (ADVISED, single(), deny_all, WaitReason.NOT_PERMITTED),
     ],
 )
-def test_step_that_does_not_start_has_the_reason_that_the_round_found(
-    queue, spec, prepare, why
-):
+def test_step_that_does_not_start_has_a_reason(queue, spec, prepare, reason):
     world = AdvisedWorld(4)
     job = world.submit(queue, spec)
     step = job.steps[0, 0]
     if prepare is not None:
         prepare(world, step)
-    result = world.play_round()
-    assert result.wait_reasons.get(step.name) == why
+    result = world.run_round()
+    assert result.wait_reasons.get(step.name) == reason
 
 
 @pytest.mark.parametrize("spec", [single(), gang(2)])
-def test_step_of_a_team_at_its_limit_waits_for_that(spec):
+def test_step_of_a_team_at_its_limit_reports_the_limit(spec):
     world = AdvisedWorld(4)
     limit = Team("a", frozenset(), limit=Resources(1000))
     world.book.set_config(attrs.evolve(world.book.config, teams=(limit,)))
     world.submit(PLAN, spec)
-    assert [row.reason for row in world.told(world.play_round())] == [
+    assert [row.reason for row in world.report(world.run_round())] == [
         WaitReason.TEAM_LIMIT
     ]
 
 
-def test_waiting_step_is_told_of_with_what_the_adviser_said():
+def test_report_counts_the_answers_of_the_adviser():
     world = AdvisedWorld(9)
     world.submit(ADVISED, gang(40))
-    world.play(1.0)
-    (row,) = world.told(world.play_round())
+    world.run_rounds(1.0)
+    (row,) = world.report(world.run_round())
     assert (row.asked, row.permitted) == (9, 3)
 
 
-def test_step_whose_run_no_worker_confirms_names_the_worker():
+def test_report_names_the_worker_of_an_unconfirmed_run():
     world = AdvisedWorld(1)
     job = world.submit(PLAN, single())
-    result = world.play_round()
-    (row,) = world.told(result, answering={"w0"})
+    result = world.run_round()
+    (row,) = world.report(result, answering={"w0"})
     assert (row.reason, row.workers) == (WaitReason.RUNS_BOUND, ("w0",))
     (run,) = job.runs()
     run.confirmed = True
-    assert world.told(result, answering={"w0"}) == []
-    (row,) = world.told(result, answering=())
+    assert world.report(result, answering={"w0"}) == []
+    (row,) = world.report(result, answering=())
     assert row.workers == ("w0",)
 
 
-def test_as_many_steps_are_told_of_however_many_wait():
+def test_report_is_limited_to_the_longest_waiting_steps():
     world = AdvisedWorld(1)
     jobs = []
     for _ in range(30):
         jobs.append(world.submit(PLAN, single(cpu_m=9000)))
         world.now += 0.1
-    told = world.told(world.play_round())
-    assert [row.step.job for row in told] == jobs[:5]
+    report = world.report(world.run_round())
+    assert [row.step.job for row in report] == jobs[:5]
     assert world.book.jobs.keys() == {job.id for job in jobs}
 
 
-def test_step_that_no_round_looked_at_is_told_of_as_such():
+def test_report_marks_steps_that_no_round_considered():
     world = AdvisedWorld(1)
     job = world.submit(PLAN, single())
     world.book.open_steps.clear()
-    (row,) = world.told(world.play_round())
+    (row,) = world.report(world.run_round())
     assert (row.step.job, row.reason) == (job, WaitReason.NOT_LOOKED_AT)
