--- a/src/firhook/decide/_adviser_slots.py
+++ b/src/firhook/decide/_adviser_slots.py
@@ -113,7 +113,7 @@
     With a small fixed number of reserved slots, fast requests waited there for
     seconds behind each other and behind medium ones, while slow requests occupied
     all other slots.  After a takeover two thirds of the workers were idle for a
-    second because 160 tickets were outstanding.  So as many slots are reserved for
+    second while 160 ticket requests waited.  So as many slots are reserved for
     fast requests as these need, and slow requests share the rest.
     """
 
--- a/src/firhook/decide/_election.py
+++ b/src/firhook/decide/_election.py
@@ -212,8 +212,8 @@
         delay = campaign_delay_s(self._name, candidates, self.lead)
         if delay is None:
             return False
-        listened = self._listening_since + (
+        listened_until = self._listening_since + (
             LISTEN_DELAY_S if self.epoch else FIRST_ELECTION_DELAY_S
         )
-        since = max(self._alive_at + LEAD_TIMEOUT_S, self._ready_since, listened)
+        since = max(self._alive_at + LEAD_TIMEOUT_S, self._ready_since, listened_until)
         return now >= since + delay
--- a/src/firhook/decide/_fan_out.py
+++ b/src/firhook/decide/_fan_out.py
@@ -62,8 +62,8 @@
         each with the time until which it is not chosen as a relay.
     """
     others = [c for c in candidates if c.name != lead]
-    line = [c.name for c, _ in succession_order(candidates, lead)]
-    standbys = tuple(name for name in line if name != lead)[:STANDBYS]
+    order = [c.name for c, _ in succession_order(candidates, lead)]
+    standbys = tuple(name for name in order if name != lead)[:STANDBYS]
     by_zone: dict[str, list[Candidate]] = {}
     for row in others:
         by_zone.setdefault(row.zone, []).append(row)
--- a/src/firhook/decide/_schedule.py
+++ b/src/firhook/decide/_schedule.py
@@ -70,10 +70,10 @@
     :ivar reservation_ready_at: when the capacity reserved for gangs will be free.
     :ivar unreserved: the capacity that is free then beside the reservations;
         ``None`` if nothing is reserved.
-    :ivar urgent_cpu_m: millicores kept free for work of the first priority.  In a
-        burst of plans, each of which occupies its capacity for six seconds, quotes
-        have half a second to start and would find every permitted worker full:
-        under ordinary load 27 of 814 were late and 12 too late to be worth running.
+    :ivar urgent_cpu_m: millicores kept free for work of the first priority.  Without
+        them quotes, which have half a second to start, find every permitted worker
+        full in a burst of plans, each of which holds its capacity for six seconds:
+        27 of 814 were late and 12 worthless even under ordinary load.
     """
 
     name: str
@@ -130,10 +130,10 @@
     objective.
 
     Work that can still meet its objective goes before work that cannot.  Within it,
-    queues of the first priority, whose work is short, go first, then the work with
-    the earliest latest start.  Late work is still worth running up to three times
-    its objective, so it goes before work that is later than that.  Late work of a
-    first-priority queue becomes worthless within seconds, so it also goes before
+    queues of the first priority, whose work is short, go first, then the work whose
+    latest possible start is soonest.  Late work is still worth running up to three
+    times its objective, so it goes before work that is later than that.  Late work
+    of a first-priority queue becomes worthless within seconds, so it also goes before
     other work that has ample slack, but after other work that has little.
     """
     latest = step.latest_start()
--- a/src/firhook/decide/_speeds.py
+++ b/src/firhook/decide/_speeds.py
@@ -13,7 +13,7 @@
 SLOW_FACTOR = 1.1
 #: Comparisons before a worker may count as slow.
 _MIN_COMPARISONS = 5
-#: Limit of a single comparison, for example when a worker stalled.
+#: Limit of a single comparison, as a logarithm, for example when a worker stalled.
 _MAX_OFFSET = 1.5
 
 
@@ -51,12 +51,12 @@
         mean = sum(value for _, value in rows) / len(rows)
         for worker, value in rows:
             speed = self._speeds.setdefault(worker, _Speed())
-            off = min(max(value - mean, -_MAX_OFFSET), _MAX_OFFSET)
+            offset = min(max(value - mean, -_MAX_OFFSET), _MAX_OFFSET)
             # Corrects for the known speeds of the workers it is compared with.
             known = sum(self._mean(w) for w, _ in rows) / len(rows)
             speed.count += 1
             weight = max(_WEIGHT, 1 / speed.count)
-            speed.mean += weight * (off + known - speed.mean)
+            speed.mean += weight * (offset + known - speed.mean)
 
     def _mean(self, worker: str) -> float:
         speed = self._speeds.get(worker)
--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -57,10 +57,10 @@
     """
     step = run.task.step
     restore_s = _RESTORE_S if step.start_checkpoint(run.task) else 0.0
-    limit = (
+    timeout_s = (
         _FIRST_PROGRESS_S + _FIRST_PROGRESS_FRACTION * step.spec.estimate_s + restore_s
     )
-    return min(limit, stall_timeout_s(run) + restore_s)
+    return min(timeout_s, stall_timeout_s(run) + restore_s)
 
 
 def stalled_runs(runs: Iterable[Run], now: float) -> list[Run]:
--- a/src/firhook/decide/_suspicion.py
+++ b/src/firhook/decide/_suspicion.py
@@ -45,19 +45,20 @@
         return oldest if now - oldest > OVERDUE_S else None
 
 
-def suspected_zones(late: Iterable[tuple[str, float | None]]) -> dict[str, float]:
+def suspected_zones(overdue: Iterable[tuple[str, float | None]]) -> dict[str, float]:
     """Return the zones whose workers are suspected, each with a time.
 
     A network partition isolates all workers of a zone together.  A worker that has
     not answered since that time should not be used; one that has answered since is
     reachable and may be used.
 
-    :param late: for each worker its zone, and when its overdue reply was due.
+    :param overdue: for each worker its zone, and when its overdue reply was due;
+        ``None`` if none is overdue.
     """
-    moments: dict[str, list[float]] = {}
-    for zone, due in late:
+    due_times: dict[str, list[float]] = {}
+    for zone, due in overdue:
         if due is not None:
-            moments.setdefault(zone, []).append(due)
+            due_times.setdefault(zone, []).append(due)
     return {
-        zone: min(dues) for zone, dues in moments.items() if len(dues) >= _MIN_OVERDUE
+        zone: min(dues) for zone, dues in due_times.items() if len(dues) >= _MIN_OVERDUE
     }
--- a/src/firhook/decide/_tickets.py
+++ b/src/firhook/decide/_tickets.py
@@ -118,8 +118,8 @@
         if self._mean_s is None:
             self._mean_s, self._deviation_s = took_s, took_s / 2
             return
-        off_s = abs(took_s - self._mean_s)
-        self._deviation_s += _DEVIATION_WEIGHT * (off_s - self._deviation_s)
+        offset_s = abs(took_s - self._mean_s)
+        self._deviation_s += _DEVIATION_WEIGHT * (offset_s - self._deviation_s)
         self._mean_s += _MEAN_WEIGHT * (took_s - self._mean_s)
 
     def margin_s(self, valid_s: float) -> float:
@@ -208,12 +208,12 @@
             :MAX_WORKERS_PER_REQUEST
         ]
         return _request(step, unknown, now) if unknown else None
-    ends_at = min(_expires_at(advice, w) for w in usable)
+    expires_at = min(_expires_at(advice, w) for w in usable)
     cost_s = policy.takes_s(len(usable))
     if cost_s > FAST_ANSWER_S:
-        due = ends_at - margin_s - cost_s <= now
+        due = expires_at - margin_s - cost_s <= now
     else:
-        due = has_capacity and ends_at - margin_s <= now
+        due = has_capacity and expires_at - margin_s <= now
     return _request(step, usable, now) if due else None
 
 
@@ -245,7 +245,7 @@
     if not workers or policy is None:
         return None
     cost_s = policy.takes_s(len(workers))
-    latest = step.latest_start()
+    latest_start = step.latest_start()
     # Steps that can still be in time go before those that cannot.
-    order_key = latest if latest > now else latest + 1e6
+    order_key = latest_start if latest_start > now else latest_start + 1e6
     return AdviceRequest(step, tuple(workers), cost_s, order_key)
