--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -148,7 +148,6 @@
             if step.spec.gang
             else _START_RETRY_LIMIT_S
         )
-        )
         while run in run.task.runs and not run.stop_reason and not self._term.lost:
             if boot_time() - began > limit_s:
                 self._abandon_start(run, "start_unanswered")
