--- a/src/firhook/_calls.py
+++ b/src/firhook/_calls.py
@@ -57,7 +57,7 @@
         return self.idempotent or bool(self.once_key)
 
     @property
-    def gone(self) -> bool:
+    def caller_gone(self) -> bool:
         """Whether the caller has closed its connection."""
         return self.transport is not None and self.transport.is_closing()
 
@@ -80,22 +80,24 @@
     return hashlib.sha256("\0".join(parts).encode()).hexdigest()
 
 
-async def read_call(bus: Bus, req: web.Request, now: float, longest_s: float) -> Call:
+async def read_call(
+    bus: Bus, req: web.Request, now: float, max_deadline_s: float
+) -> Call:
     """Read and check a caller's request, with its body.
 
-    :param longest_s: the longest deadline that a request may have, in seconds.
+    :param max_deadline_s: the longest deadline that a request may have, in seconds.
     :raises RequestMalformedError: naming the part that is wrong.
     :raises ZoneStaleError: if the key may have been withdrawn unnoticed.
     """
     who = await principal(bus, req)
-    if who.operator:
+    if who.is_operator:
         raise NotPermittedError("an operator's key runs no requests")
     await bus.ask(CheckFresh(req.method in IDEMPOTENT))
     service, path = split_target(req.raw_path)
     klass = _single(req, "X-Class") or "standard"
     if klass not in CLASSES:
         raise RequestMalformedError(f"X-Class = {klass!r}: give one of {CLASSES}")
-    deadline_s = check_deadline(_single(req, "X-Deadline-Ms"), longest_s)
+    deadline_s = check_deadline(_single(req, "X-Deadline-Ms"), max_deadline_s)
     once_key = ""
     if req.method not in IDEMPOTENT:
         once_key = check_once_key(_single(req, "Idempotency-Key"))
@@ -139,18 +141,18 @@
     return values[0] if values else None
 
 
-def check_deadline(header: str | None, longest_s: float) -> float:
+def check_deadline(header: str | None, max_deadline_s: float) -> float:
     """Return the seconds that a caller will wait.
 
     :raises RequestMalformedError: if it is no whole number of ms above 0.
     """
     if header is None:
-        return longest_s
+        return max_deadline_s
     if not header.isascii() or not header.isdigit() or int(header[:12]) < 1:
         raise RequestMalformedError(
             f"X-Deadline-Ms = {header[:40]!r}: give whole ms above 0"
         )
-    return min(int(header[:12]) / 1000, longest_s)
+    return min(int(header[:12]) / 1000, max_deadline_s)
 
 
 def check_once_key(header: str | None) -> str:
@@ -167,7 +169,9 @@
     return header
 
 
-def note_earlier(req: web.Request, call: Call | None, exc: FirhookError) -> None:
+def add_earlier_attempts(
+    req: web.Request, call: Call | None, exc: FirhookError
+) -> None:
     """Say what a refusal does not know of a keyed request's earlier attempts.
 
     Until its claim was seen to be first, ``ran: no`` speaks of the attempt that
@@ -181,7 +185,7 @@
         exc.extra.setdefault("earlier_attempts", "unknown")
 
 
-def whole_response(answer: EndpointResponse, closing: bool) -> web.Response:
+def build_response(answer: EndpointResponse, closing: bool) -> web.Response:
     """Return a runner's answer to the caller.
 
     :param closing: whether to close the caller's connection after it.
--- a/src/firhook/_room.py
+++ b/src/firhook/_capacity_borrower.py
@@ -8,7 +8,7 @@
 from firhook._leadership import Leadership
 from firhook.decide.grants import Demand
 from firhook.errors import FirhookError, NotLeadError
-from firhook.events import AskPeer, RoomChanged, RoomWanted
+from firhook.events import AskPeer, CapacityChanged, CapacityWanted
 from firhook.kernel import Kernel
 from firhook.logs import log
 from firhook.model import GrantAnswer, GrantAsk, Holdings, HoldingsAsk, TeamRoom
@@ -30,12 +30,12 @@
     read_at: float
 
 
-def name_of(lane: str) -> str:
+def instance_name(lane: str) -> str:
     """Return the instance's name of a lane."""
     return lane.partition("#")[0]
 
 
-class RoomKeeper:
+class CapacityBorrower:
     """Borrows room from the zone's lead for what waits here.
 
     All teams of an instance go into one message: at the two-year size 120
@@ -62,7 +62,7 @@
         self._lead: tuple[int, str] = (0, "")
         self._left = False
 
-    def want(self, event: RoomWanted) -> None:
+    def add_demand(self, event: CapacityWanted) -> None:
         """Note that work waits for room."""
         now = self._kernel.clock()
         self._demand.note(event.team, event.wanted, now)
@@ -176,13 +176,13 @@
         if lead == self._kernel.lane:
             answer = await self._lend(ask)
         else:
-            answer = await self._kernel.bus.ask(AskPeer(name_of(lead), ask))
+            answer = await self._kernel.bus.ask(AskPeer(instance_name(lead), ask))
         self._apply(ask, answer, sent_at)
         return answer.lent
 
     def _promise(self, epoch: int) -> float:
         """Return the stamp to send back, by which this ask is a promise."""
-        if self._stamp.epoch != epoch or not self._leadership.promising:
+        if self._stamp.epoch != epoch or not self._leadership.may_promise:
             return -1.0
         self._leadership.promised_at = self._stamp.read_at
         return self._stamp.stamp
@@ -209,7 +209,7 @@
             else:
                 self._quiet_until.pop(room.team, None)
             if grown:
-                self._kernel.bus.publish(RoomChanged(room.team))
+                self._kernel.bus.publish(CapacityChanged(room.team))
 
     def stop(self) -> None:
         """Ask no more."""
--- a/src/firhook/_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -5,8 +5,8 @@
 
 import attrs
 
+from firhook._capacity_borrower import CapacityBorrower, instance_name
 from firhook._leadership import Leadership
-from firhook._room import RoomKeeper, name_of
 from firhook.decide.grants import guests_of
 from firhook.decide.limits import zone_parts
 from firhook.decide.moves import TeamView, choose_move
@@ -51,10 +51,10 @@
     return {room.team: room.held for room in rooms}
 
 
-class Lender:
+class CapacityLender:
     """Keeps the book while this instance leads its zone.
 
-    :param keeper: this instance's own room.
+    :param borrower: this instance's own room.
     """
 
     def __init__(self, kernel: Kernel, leadership: Leadership) -> None:
@@ -66,13 +66,13 @@
         self._unsettled: list[_Unsettled] = []
         self._given_at: dict[str, float] = {}
         self._shorts: dict[str, tuple[float, ZoneShort]] = {}
-        self.keeper: RoomKeeper | None = None
+        self.borrower: CapacityBorrower | None = None
 
-    def part(self, team: str) -> int:
+    def zone_limit(self, team: str) -> int:
         """Return the zone's part of a team's limit."""
-        return self._parts(team).get(self._kernel.cfg.zone, 0)
+        return self._zone_limits(team).get(self._kernel.cfg.zone, 0)
 
-    def _parts(self, team: str) -> dict[str, int]:
+    def _zone_limits(self, team: str) -> dict[str, int]:
         plan = self._kernel.states.config.plan_of(team)
         if plan is None:
             return {}
@@ -84,7 +84,7 @@
     def roster(self) -> frozenset[str]:
         """Return the instances to lend to from the next renewal on."""
         stays, grown = self._stays(), self._grown()
-        if self._book.opened and self._book.fits(len(grown), self.part):
+        if self._book.opened and self._book.fits(len(grown), self.zone_limit):
             return grown
         return stays
 
@@ -100,7 +100,7 @@
         lead = self._leadership
         return self._stays() | (lead.joining - lead.leaving)
 
-    def capped_by(self) -> int:
+    def published_holders(self) -> int:
         """Return the number of holders to publish with the roster."""
         return self._book.capped_by(self._kernel.clock(), len(self.roster()))
 
@@ -110,10 +110,10 @@
         unheard = not self._book.asked_lately(holder, now)
         return unheard and self._book.lapsed(holder, now)
 
-    async def follow_lead(self) -> None:
+    async def sync_with_lead(self) -> None:
         """Open the book after a won claim; close it after a loss."""
         lead = self._leadership
-        if not lead.mine:
+        if not lead.is_lead:
             if self._book.opened:
                 self._book.close()
             self._epoch = 0
@@ -124,23 +124,23 @@
             await self._ask_silent()
 
     async def _take_over(self, epoch: int) -> None:
-        assert self.keeper is not None
+        assert self.borrower is not None
         lead = self._leadership
         self._book.close()
         roster = frozenset(lead.state.roster) - {self._kernel.lane}
         answers = await self._holdings(epoch, roster)
-        if not lead.mine or lead.state.epoch != epoch:
+        if not lead.is_lead or lead.state.epoch != epoch:
             return
         now = self._kernel.clock()
         known: dict[str, dict[str, int]] = {}
-        for h in (*answers, self.keeper.all_holdings()):
+        for h in (*answers, self.borrower.all_holdings()):
             known[h.instance] = _held(h.teams)
             if h.guests:
                 known[guests_of(h.instance)] = _held(h.guests)
         silent = roster - set(known)
         until = lead.silent_until(frozenset(known), now)
         holders = len(roster) + 1
-        self._book.open(now, known, silent, until, lead.before_holders, holders)
+        self._book.open(now, known, silent, until, lead.previous_holders, holders)
         self._epoch = epoch
         log(
             "lead.opened",
@@ -162,7 +162,7 @@
         me = self._kernel.lane
         asks = [
             self._kernel.bus.ask(
-                AskPeer(name_of(lane), HoldingsAsk(epoch, me, lane), _HOLDINGS_S)
+                AskPeer(instance_name(lane), HoldingsAsk(epoch, me, lane), _HOLDINGS_S)
             )
             for lane in sorted(lanes)
         ]
@@ -176,14 +176,14 @@
 
     # -- lending ---------------------------------------------------------
 
-    async def on_ask(self, ask: GrantAsk) -> GrantAnswer:
+    async def on_grant_ask(self, ask: GrantAsk) -> GrantAnswer:
         """Answer an instance of the zone that wants room."""
         now = self._kernel.clock()
         lead = self._leadership
-        if not lead.mine or ask.epoch != lead.state.epoch or not self._book.opened:
+        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._book.opened:
             raise NotLeadError(f"epoch {ask.epoch} is not led from here")
         if ask.echo >= 0:
-            lead.promised(ask.instance, ask.echo)
+            lead.record_promise(ask.instance, ask.echo)
         if not lead.may_lend(now):
             # The stamp alone goes back, so that the asker can promise anew;
             # an error would leave every promise lapsed until the log returns.
@@ -218,7 +218,7 @@
     def _grant(self, holder: str, room: TeamRoom, now: float) -> TeamGrant | None:
         """Lend what a holder wants; return the grant if it is something else."""
         wanted, held = max(room.wanted, 0), max(room.held, 0)
-        part = self.part(room.team)
+        part = self.zone_limit(room.team)
         granted = self._book.ask(room.team, holder, wanted, held, part, now)
         return None if granted == room.wanted else TeamGrant(room.team, granted)
 
@@ -235,7 +235,7 @@
             for item in [u for u in self._unsettled if u.move == body][:1]:
                 self._settle(item)
 
-    def settle_before(self, sent_at: float) -> None:
+    def settle_moves_before(self, sent_at: float) -> None:
         """Settle transfers given up before a record that was read back.
 
         Readers pass over a record that lands after a later one of its lane,
@@ -255,7 +255,7 @@
         left = self._book.moving.get(move.team, 0) - move.amount
         self._book.moving[move.team] = max(left, 0)
 
-    async def move_spare(self) -> None:
+    async def transfer_spare(self) -> None:
         """Give spare room to zones where teams are short of it."""
         now = self._kernel.clock()
         if not self._leadership.is_held(now) or not self._book.opened:
@@ -282,7 +282,7 @@
             return None
         view = TeamView(
             zone_parts(plan.limit, cfg.zones)[cfg.zone],
-            self._book.spare(team, self.part(team), now),
+            self._book.spare(team, self.zone_limit(team), now),
             short,
             len(cfg.zones),
             self._given_at.get(team, float("-inf")),
@@ -321,7 +321,9 @@
             self._kernel.cfg.zone, tuple(TeamShort(t, n) for t, n in own.items())
         )
         asks = [
-            self._kernel.bus.ask(AskPeer(name_of(lead.instance), word, _SHORT_WAIT_S))
+            self._kernel.bus.ask(
+                AskPeer(instance_name(lead.instance), word, _SHORT_WAIT_S)
+            )
             for zone, lead in self._kernel.states.cell.leads.items()
             if zone != self._kernel.cfg.zone and lead.instance and not lead.released
         ]
--- a/src/firhook/_daemon.py
+++ b/src/firhook/_daemon.py
@@ -65,7 +65,7 @@
 
 
 async def _serve(kernel: Kernel) -> int:
-    told = kernel.stop_asked
+    told = kernel.stop_requested
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sig, told.set)
--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -43,12 +43,12 @@
         self._served_s: dict[str, float] = {}
         self._noted_at = now
 
-    def listed(self, instances: Iterable[Endpoint]) -> None:
+    def set_instances(self, instances: Iterable[Endpoint]) -> None:
         """Take over the instances that the platform lists."""
         self._entries = {e.name for e in instances if e.kind == "entry"}
         self._heard = {n: h for n, h in self._heard.items() if n in self._entries}
 
-    def hear(self, peer: str, word: Gossip, now: float) -> None:
+    def add_gossip(self, peer: str, word: Gossip, now: float) -> None:
         """Take in a peer's word."""
         self._heard[peer] = _Heard(now, word)
 
@@ -60,7 +60,7 @@
                 counts[load.runner] = counts.get(load.runner, 0) + load.in_flight
         return counts
 
-    def use(self, account: Account, load: Load, now: float) -> FleetUse:
+    def fleet_use(self, account: Account, load: Load, now: float) -> FleetUse:
         """Return the fleet's use as far as it is known here."""
         # Listed instances that were not heard may be serving all the same, cut
         # off from here; they keep the least part.
@@ -76,20 +76,20 @@
                 served[team.team] = served.get(team.team, 0.0) + team.served_s
         return FleetUse(demand, served)
 
-    def note(
+    def update_load(
         self, account: Account, services: Iterable[Dispatcher], load: Load, now: float
     ) -> None:
         """Fill in what the peers are told of this instance."""
         self._note_served(account.running, now)
         load.served_s = dict(self._served_s)
         load.waiting = {}
-        load.in_flight = {}
-        load.here = {}
+        load.excess_in_flight = {}
+        load.local_in_flight = {}
         known: set[str] = set()
         for service in services:
             known |= set(service.router.views)
-            load.in_flight.update(service.router.beyond_parts())
-            load.here.update(service.router.in_flight())
+            load.excess_in_flight.update(service.router.beyond_parts())
+            load.local_in_flight.update(service.router.in_flight())
             for team in service.queue.teams():
                 n = service.queue.waiting(team)
                 load.waiting[team] = load.waiting.get(team, 0) + n
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -49,16 +49,16 @@
 
     :ivar waiting: requests waiting, by team.
     :ivar served_s: seconds of slot time that each team used lately, decayed.
-    :ivar in_flight: requests in flight beyond this instance's part of a runner's
+    :ivar excess_in_flight: requests in flight beyond this instance's part of a runner's
         slots, by runner and address.
-    :ivar here: requests in flight, likewise; for operators, not for peers.
+    :ivar local_in_flight: requests in flight, likewise; for operators, not for peers.
     :ivar leaving: runners that said they take no new work, likewise.
     """
 
     waiting: dict[str, int] = attrs.field(factory=dict)
     served_s: dict[str, float] = attrs.field(factory=dict)
-    in_flight: dict[str, int] = attrs.field(factory=dict)
-    here: dict[str, int] = attrs.field(factory=dict)
+    excess_in_flight: dict[str, int] = attrs.field(factory=dict)
+    local_in_flight: dict[str, int] = attrs.field(factory=dict)
     leaving: set[str] = attrs.field(factory=set)
 
 
@@ -80,10 +80,10 @@
         self.bus = kernel.bus
         self.states = kernel.states
         self.platform = kernel.platform
-        self.wire()
+        self.register_handlers()
 
     @abstractmethod
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Subscribe to events and offer answers; called before any start."""
 
     async def drain(self) -> None:
@@ -97,7 +97,7 @@
     :param platform: the platform's services.
     :param incarnation: unique for each run of the process.
     :param clock: monotonic clock in seconds; tests pass their own.
-    :ivar stop_asked: set by an operator's drain; the daemon then stops as it
+    :ivar stop_requested: set by an operator's drain; the daemon then stops as it
         would on SIGTERM.
     :ivar mesh_traffic: bytes sent to and received from peers, for the metrics.
     """
@@ -124,7 +124,7 @@
         self.routes: dict[str, list[web.RouteDef]] = {"api": [], "ops": []}
         self.ready = False
         self.stopping = False
-        self.stop_asked = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.mesh_traffic: Callable[[], tuple[int, int]] = lambda: (0, 0)
         self.ports: dict[str, str] = {}
         self.roles: dict[str, Role] = {
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -48,11 +48,11 @@
         self._seen_offset: int | None = None
         self._before: TakeOver | None = None
         self._offered: frozenset[str] = frozenset()
-        self.before_holders = 1
+        self.previous_holders = 1
         self._promises: dict[str, float] = {}
         self._fenced = 0
         self.promised_at = float("-inf")
-        self.promising = True
+        self.may_promise = True
         self.joining: set[str] = set()
         self.leaving: set[str] = set()
         self.wake = asyncio.Event()
@@ -75,7 +75,7 @@
         return self._kernel.states.cell.leads[self._cfg.zone]
 
     @property
-    def mine(self) -> bool:
+    def is_lead(self) -> bool:
         """Whether the log names this run of this instance as lead."""
         lead = self.state
         return (
@@ -86,11 +86,11 @@
 
     def is_held(self, now: float) -> bool:
         """Return whether the lease by the log is held for certain."""
-        return self.mine and self._held.held(now)
+        return self.is_lead and self._held.held(now)
 
     def may_lend(self, now: float) -> bool:
         """Return whether room may be lent at this moment."""
-        if not self.mine:
+        if not self.is_lead:
             return False
         others = (self._offered | set(self.state.roster)) - {self._kernel.lane}
         promises = [self._promises.get(o, float("-inf")) for o in others]
@@ -99,7 +99,7 @@
     def view(self, now: float) -> Lead:
         """Return the lead for other roles."""
         lead = self.state
-        if not self.mine:
+        if not self.is_lead:
             return Lead(lead.epoch, lead.instance, False, float("-inf"), float("-inf"))
         return Lead(
             lead.epoch,
@@ -109,7 +109,7 @@
             self._held.until - now,
         )
 
-    def promised(self, holder: str, stamp: float) -> None:
+    def record_promise(self, holder: str, stamp: float) -> None:
         """Note a promise that a holder gave after this lead made a stamp."""
         until = stamp + self.times.ttl_s
         self._promises[holder] = max(self._promises.get(holder, until), until)
@@ -126,11 +126,11 @@
         self._hold.void()
         self._outage.void()
 
-    def stalled(self) -> None:
+    def on_loop_stall(self) -> None:
         """Void the lease by the log after a stall of the event loop."""
         self._held.void()
 
-    def look(self, now: float) -> None:
+    def observe_record(self, now: float) -> None:
         """Note when the lead's latest record was read.
 
         A lead that was renewed before this instance had read anything counts
@@ -151,16 +151,16 @@
             max(now, self.promised_until),
         )
 
-    async def step(self, roster: frozenset[str], holders: int) -> None:
+    async def renew_or_claim(self, roster: frozenset[str], holders: int) -> None:
         """Renew or claim the lead if it is time to.
 
         :param roster: instances that may be lent to from now on, by this lead.
         :param holders: the number of holders by which each loan is capped.
         """
         now = self._kernel.clock()
-        self.look(now)
+        self.observe_record(now)
         lead = self.state
-        if self.mine:
+        if self.is_lead:
             if self._kernel.stopping:
                 await self.release(frozenset(lead.roster))
             else:
@@ -175,7 +175,7 @@
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
         # A lead that the log has lost, but this instance has not, must be
         # replaced although it still answers, or nobody places the zone's tasks.
-        self.promising = not (lapsed and age <= max_age_s)
+        self.may_promise = not (lapsed and age <= max_age_s)
         sight = Sight(lead.released, lapsed, age, self.promised_at)
         if not may_claim(sight, self.times, now, max_age_s):
             return
@@ -194,7 +194,7 @@
             self._seen.read_at,
         )
         body = LeadClaimed(self._cfg.zone, lead.epoch + 1, me, lead.offset)
-        self.before_holders = lead.holders
+        self.previous_holders = lead.holders
         self._promises.clear()
         self._offered = frozenset(lead.roster) | {me}
         if await self._confirmed(body):
--- a/src/firhook/_principal.py
+++ b/src/firhook/_principal.py
@@ -18,6 +18,6 @@
     :raises NotPermittedError: if it is a team's key.
     """
     who = await principal(bus, req)
-    if not who.operator:
+    if not who.is_operator:
         raise NotPermittedError("this needs an operator's key")
     return who
--- a/src/firhook/_report.py
+++ b/src/firhook/_report.py
@@ -22,8 +22,8 @@
     """
 
     name: str
-    short: str
-    long: str
+    short_window: str
+    long_window: str
     burn_rate: float
 
 
@@ -87,10 +87,10 @@
     return missed / total / (1 - target)
 
 
-def alert_of(burn_rates: Mapping[str, float]) -> str:
+def worst_alert(burn_rates: Mapping[str, float]) -> str:
     """Return the gravest alert whose two windows both burn fast enough."""
     for alert in ALERTS:
-        slower = min(burn_rates[alert.short], burn_rates[alert.long])
+        slower = min(burn_rates[alert.short_window], burn_rates[alert.long_window])
         if slower >= alert.burn_rate:
             return alert.name
     return ""
@@ -139,5 +139,5 @@
         p50_ms=waits.get_value_at_percentile(50) / 1000 if known else 0.0,
         p99_ms=waits.get_value_at_percentile(99) / 1000 if known else 0.0,
         burn_rates=rates,
-        alert=alert_of(rates),
+        alert=worst_alert(rates),
     )
--- a/src/firhook/_settings.py
+++ b/src/firhook/_settings.py
@@ -184,13 +184,13 @@
     """What the operators' page must say of an option.
 
     :param default: as one would write it; ``None`` if it must be given.
-    :param takes: the values it takes, such as its range.
+    :param accepts: the values it takes, such as its range.
     """
 
     section: str
     name: str
     default: str | None
-    takes: str
+    accepts: str
 
 
 def describe_options() -> tuple[Option, ...]:
--- a/src/firhook/_stats.py
+++ b/src/firhook/_stats.py
@@ -39,10 +39,10 @@
 
 ANSWERED, SLOW, REFUSED = range(3)
 
-Key = tuple[str, str]
+ClassKey = tuple[str, str]
 
 
-def burns_budget(code: str) -> bool:
+def counts_as_miss(code: str) -> bool:
     """Return whether a refusal with the code counts as a miss."""
     return not code.startswith(_CALLERS_FAULTS)
 
@@ -81,7 +81,7 @@
                 counts[passed % _SLOTS] = 0
         self._latest = max(self._latest, minute)
 
-    def last(self, minute: int, window_s: int) -> list[int]:
+    def sum_window(self, minute: int, window_s: int) -> list[int]:
         """Return answered, slow and refused over a window that ends now."""
         self._advance(minute)
         end = minute % _SLOTS + 1
@@ -93,14 +93,14 @@
 
 
 @attrs.define(slots=True, eq=False)
-class _Recent:
+class _RollingHistogram:
     """The histogram in use and the one before it."""
 
     age: int
     now: HdrHistogram = attrs.field(factory=new_histogram)
     before: HdrHistogram | None = None
 
-    def turn(self, age: int) -> None:
+    def rotate(self, age: int) -> None:
         """Change histograms if their time is over."""
         if age == self.age:
             return
@@ -126,7 +126,7 @@
 class FleetStats:
     """The sum of what several instances dumped."""
 
-    classes: dict[Key, ClassStats] = attrs.field(factory=dict)
+    classes: dict[ClassKey, ClassStats] = attrs.field(factory=dict)
     refusals: Counter[str] = attrs.field(factory=Counter)
 
     def merge(self, data: dict[str, Any]) -> None:
@@ -157,35 +157,35 @@
         self.objective_ms: Callable[[str, str], float] = lambda team, klass: 1000.0
         self.counters: Counter[str] = Counter()
         self.refusals: Counter[str] = Counter()
-        self.answers: Counter[Key] = Counter()
-        self.wait_sums_s: Counter[Key] = Counter()
-        self._recent: dict[Key, _Recent] = {}
-        self._counts: dict[Key, MinuteCounts] = {}
+        self.answers: Counter[ClassKey] = Counter()
+        self.wait_sums_s: Counter[ClassKey] = Counter()
+        self._recent: dict[ClassKey, _RollingHistogram] = {}
+        self._counts: dict[ClassKey, MinuteCounts] = {}
 
-    def answered(self, team: str, klass: str, wait_s: float, took_s: float) -> None:
+    def count_answer(self, team: str, klass: str, wait_s: float, took_s: float) -> None:
         """Count a request that got a runner's answer."""
         key = (team, klass)
         age = int(self._clock() // _HISTOGRAM_S)
         recent = self._recent.get(key)
         if recent is None:
-            recent = self._recent[key] = _Recent(age)
-        recent.turn(age)
+            recent = self._recent[key] = _RollingHistogram(age)
+        recent.rotate(age)
         recent.now.record_value(min(max(_LOW_US, int(wait_s * 1e6)), _HIGH_US))
         self.answers[key] += 1
         self.wait_sums_s[key] += wait_s
         slow = wait_s * 1000 > self.objective_ms(team, klass)
         self._count(key, SLOW if slow else ANSWERED)
 
-    def refused(self, code: str, team: str = "", klass: str = "standard") -> None:
+    def count_refusal(self, code: str, team: str = "", klass: str = "standard") -> None:
         """Count a request that was refused.
 
         :param team: empty if the request came without a valid key.
         """
         self.refusals[code] += 1
-        if team and burns_budget(code):
+        if team and counts_as_miss(code):
             self._count((team, klass), REFUSED)
 
-    def _count(self, key: Key, kind: int) -> None:
+    def _count(self, key: ClassKey, kind: int) -> None:
         counts = self._counts.get(key)
         if counts is None:
             counts = self._counts[key] = MinuteCounts()
@@ -203,18 +203,18 @@
                 [
                     *key,
                     self._merged_waits(key).encode().decode(),
-                    {n: counts.last(minute, s) for n, s in WINDOWS_S.items()},
+                    {n: counts.sum_window(minute, s) for n, s in WINDOWS_S.items()},
                 ]
                 for key, counts in self._counts.items()
             ],
             "refusals": dict(self.refusals),
         }
 
-    def _merged_waits(self, key: Key) -> HdrHistogram:
+    def _merged_waits(self, key: ClassKey) -> HdrHistogram:
         merged = new_histogram()
         recent = self._recent.get(key)
         if recent is not None:
-            recent.turn(int(self._clock() // _HISTOGRAM_S))
+            recent.rotate(int(self._clock() // _HISTOGRAM_S))
             merged.add(recent.now)
             if recent.before is not None:
                 merged.add(recent.before)
--- a/src/firhook/_lane.py
+++ b/src/firhook/_stream_client.py
@@ -38,7 +38,7 @@
 _RETRY_AFTER_S = 2.0
 
 
-class Lane(Service):
+class StreamClient(Service):
     """Follows one stream and appends to it, one append in flight at a time.
 
     :param stream: the stream's name.
@@ -48,8 +48,8 @@
     :param carry_s: seconds after which a stream is carried forward.
     :ivar ready: whether the state is whole.  Until it is, nothing is appended:
         a decision made from part of a state would be recorded as sound.
-    :ivar seen_end_at: when the end of the stream was last seen.
-    :ivar carried_at: when a whole snapshot was last read.
+    :ivar end_seen_at: when the end of the stream was last seen.
+    :ivar snapshot_read_at: when a whole snapshot was last read.
     """
 
     def __init__(
@@ -67,8 +67,8 @@
         self.stream = stream
         self.stream_state = state
         self.ready = False
-        self.seen_end_at = float("-inf")
-        self.carried_at = time.monotonic() - START_AGE * carry_s
+        self.end_seen_at = float("-inf")
+        self.snapshot_read_at = time.monotonic() - START_AGE * carry_s
         self._lane = lane
         self._service = service
         self._bus = bus
@@ -84,7 +84,7 @@
     @property
     def age_s(self) -> float:
         """Seconds since the end of the stream was seen; inf if not ready."""
-        return time.monotonic() - self.seen_end_at if self.ready else float("inf")
+        return time.monotonic() - self.end_seen_at if self.ready else float("inf")
 
     # -- appending -------------------------------------------------------
 
@@ -216,7 +216,7 @@
             # It was made at the latest when the wait that was asked for ended,
             # so it counts as no fresher than that.
             latest = asked_at + self._poll_s + _ANSWER_S
-            self.seen_end_at = min(time.monotonic(), latest)
+            self.end_seen_at = min(time.monotonic(), latest)
             self.ready = True
 
     def _apply(self, entry: LogEntry) -> None:
@@ -234,7 +234,7 @@
         carried = state.carried_upto
         verdict = state.apply(entry.offset, envelope)
         if state.carried_upto != carried:
-            self.carried_at = time.monotonic()
+            self.snapshot_read_at = time.monotonic()
         if verdict is Verdict.IGNORED:
             self._report_ignored(entry.offset, envelope)
         event = RecordApplied(self.stream, entry.offset, envelope, verdict)
@@ -317,7 +317,7 @@
             state.carried_upto, state.carried_parts = snapshot.upto, snapshot.parts
         return True
 
-    def load_peer(self, offset: int, text: str) -> bool:
+    def load_peer_snapshot(self, offset: int, text: str) -> bool:
         """Take over a peer's state if it is ahead; return whether it was.
 
         :raises RecordMalformedError: if it is no state of this stream.
--- a/src/firhook/_web.py
+++ b/src/firhook/_web.py
@@ -62,7 +62,7 @@
 
 
 @web.middleware
-async def problems(req: web.Request, handler: Handler) -> web.StreamResponse:
+async def problem_middleware(req: web.Request, handler: Handler) -> web.StreamResponse:
     """Turn errors into problem documents and put the request id on answers."""
     rid = "-"
     try:
@@ -108,7 +108,7 @@
     )
 
 
-class DrainedSite(web.SockSite):
+class DrainingSite(web.SockSite):
     """A listening socket that closes without cutting who has connected.
 
     The kernel completes connections before the process accepts them.  Those
@@ -151,7 +151,7 @@
             task.add_done_callback(log_failure("caller.not_accepted", level="warning"))
 
 
-async def wait_let_go(runner: web.BaseRunner, most_s: float) -> None:
+async def wait_connections_closed(runner: web.BaseRunner, most_s: float) -> None:
     """Wait until no caller holds a connection any more.
 
     A caller that keeps its connection between two requests cannot know that
@@ -170,7 +170,7 @@
         waited_s += _LET_GO_STEP_S
 
 
-async def close_served(runner: web.BaseRunner, most_s: float) -> None:
+async def drain_and_close(runner: web.BaseRunner, most_s: float) -> None:
     """Close a runner without cutting callers who connected just before.
 
     A connection whose request has not come yet looks idle, and closing the
@@ -182,13 +182,13 @@
         await site.stop()
     # The loop may have accepted connections that the server does not know yet.
     await asyncio.sleep(_LET_GO_STEP_S)
-    await wait_let_go(runner, most_s)
+    await wait_connections_closed(runner, most_s)
     await runner.cleanup()
 
 
 async def serve(routes: list[web.RouteDef], host: str, port: int, max_body: int) -> Any:
     """Start serving routes; return the runner and the port it got."""
-    app = web.Application(middlewares=[problems], client_max_size=max_body)
+    app = web.Application(middlewares=[problem_middleware], client_max_size=max_body)
     app.add_routes(routes)
     # A body is passed on with the headers that describe it, so it must stay as
     # it was sent: unpacked under "Content-Encoding: gzip" a runner would fail
@@ -198,6 +198,6 @@
     )
     await runner.setup()
     sock = listening_socket(host, port)
-    site = DrainedSite(runner, sock)
+    site = DrainingSite(runner, sock)
     await site.start()
     return runner, site
--- a/src/firhook/cli/_cell.py
+++ b/src/firhook/cli/_cell.py
@@ -5,7 +5,7 @@
 import msgspec
 from cyclopts import App, Parameter
 
-from firhook.cli._client import local_problem, stream
+from firhook.cli._client import local_error, stream
 from firhook.cli._common import Common, path, table
 
 team = App(name="team", help="Teams, their plans and what they use.")
@@ -39,7 +39,7 @@
     rows = common.ask("GET", path("teams"))["teams"]
     found = [row for row in rows if row["team"] == name]
     if not found:
-        raise local_problem(
+        raise local_error(
             "team.unknown",
             "No such team",
             f"team {name!r}",
--- a/src/firhook/cli/_client.py
+++ b/src/firhook/cli/_client.py
@@ -24,7 +24,7 @@
         self.problem = problem
 
 
-def local_problem(code: str, title: str, detail: str, remedy: str) -> RefusedError:
+def local_error(code: str, title: str, detail: str, remedy: str) -> RefusedError:
     """Return an error of the tool itself, in the form of an instance's."""
     return RefusedError(
         {"code": code, "title": title, "detail": detail, "remedy": remedy}
@@ -49,7 +49,7 @@
 
 
 def _unreachable(url: str, exc: Exception) -> RefusedError:
-    return local_problem(
+    return local_error(
         "cell.unreachable",
         "The cell cannot be reached",
         f"{url}: {str(exc) or type(exc).__name__}",
--- a/src/firhook/cli/_common.py
+++ b/src/firhook/cli/_common.py
@@ -11,7 +11,7 @@
 import msgspec
 from cyclopts import Parameter
 
-from firhook.cli._client import call, default_key, default_url, local_problem
+from firhook.cli._client import call, default_key, default_url, local_error
 
 
 class Exit(enum.IntEnum):
@@ -21,8 +21,8 @@
     REFUSED = 1
     USAGE = 2
     CONFLICT = 3
-    COME_BACK = 4
-    KEY = 5
+    RETRY_LATER = 4
+    KEY_REFUSED = 5
     TIMED_OUT = 6
 
 
@@ -34,11 +34,11 @@
     if code in ("config.conflict", "job.conflict"):
         return Exit.CONFLICT
     if code.startswith("key.") and code != "key.unknown":
-        return Exit.KEY
+        return Exit.KEY_REFUSED
     if code == "wait.timed_out":
         return Exit.TIMED_OUT
     if code == "cell.unreachable" or problem.get("status") in (429, 503):
-        return Exit.COME_BACK
+        return Exit.RETRY_LATER
     return Exit.REFUSED
 
 
@@ -97,7 +97,7 @@
             return sys.stdin.read()
         return file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
-        raise local_problem(
+        raise local_error(
             "file.unreadable",
             "A file cannot be read",
             f"{file}: {exc}",
@@ -113,7 +113,7 @@
     try:
         file.write_text(text, encoding="utf-8")
     except OSError as exc:
-        raise local_problem(
+        raise local_error(
             "file.unwritable",
             "A file cannot be written",
             f"{file}: {exc}",
@@ -130,7 +130,7 @@
     try:
         return msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError) as exc:
-        raise local_problem(
+        raise local_error(
             "file.not_json",
             "A file is not JSON",
             f"{file}: {exc}",
--- a/src/firhook/cli/_config.py
+++ b/src/firhook/cli/_config.py
@@ -8,7 +8,7 @@
 import zmq
 from cyclopts import App, Parameter
 
-from firhook.cli._client import RefusedError, local_problem
+from firhook.cli._client import RefusedError, local_error
 from firhook.cli._common import Common, path, read_file, table, write_file
 from firhook.errors import ListInvalidError
 from firhook.model import parse_list
@@ -70,7 +70,7 @@
 
 
 def _usage(detail: str) -> RefusedError:
-    return local_problem(
+    return local_error(
         "usage", "The command is not complete", detail, "Run it with --help."
     )
 
@@ -91,9 +91,9 @@
     try:
         rows = {r.name: r.values for r in parse_list(list_name, data[list_name])}
     except ListInvalidError as exc:
-        raise local_problem(exc.code, exc.title, exc.detail, exc.remedy) from exc
+        raise local_error(exc.code, exc.title, exc.detail, exc.remedy) from exc
     if values is None and name not in rows:
-        raise local_problem(
+        raise local_error(
             "list.no_row",
             "The list has no such row",
             f"{list_name}: {name!r}",
@@ -202,7 +202,7 @@
         if not behind:
             break
         if time.monotonic() >= give_up:
-            raise local_problem(
+            raise local_error(
                 "wait.timed_out",
                 "The version is not in force everywhere yet",
                 f"behind: {', '.join(f'{n} at {found[n]}' for n in behind)}",
--- a/src/firhook/cli/_report_page.py
+++ b/src/firhook/cli/_report_page.py
@@ -24,7 +24,7 @@
     return _LEFT + _WIDTH * math.log1p(rate) / math.log1p(top)
 
 
-def plot(rows: Sequence[dict[str, Any]]) -> str:
+def render_plot(rows: Sequence[dict[str, Any]]) -> str:
     """Return an SVG of the burn rates: for each team and class a bar a window."""
     rates = [rate for row in rows for rate in row["burn_rates"].values()]
     top = max([20.0, *rates])
@@ -99,5 +99,5 @@
         f"<p>Figures of {len(data['instances'])} instances. A burn rate of 1 uses "
         "the error budget up exactly; refusals that are not the caller's fault "
         f"count as misses.</p>{missing}<p>{key}</p>"
-        f"{plot(data['rows'])}{_table(data['rows'])}</html>\n"
+        f"{render_plot(data['rows'])}{_table(data['rows'])}</html>\n"
     )
--- a/src/firhook/events.py
+++ b/src/firhook/events.py
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen(slots=True)
-class ServePeer:
+class RegisterPeerHandler:
     """Registers the handler of a kind of peer message, by the members role."""
 
     kind: type
@@ -157,7 +157,7 @@
 
 
 @attrs.frozen(slots=True)
-class RoomWanted:
+class CapacityWanted:
     """Work of a team waits for room; ``wanted`` is what it could use in all."""
 
     team: str
@@ -165,7 +165,7 @@
 
 
 @attrs.frozen(slots=True)
-class RoomChanged:
+class CapacityChanged:
     """The room of a team at this instance changed."""
 
     team: str
--- a/src/firhook/ops/_health.py
+++ b/src/firhook/ops/_health.py
@@ -51,7 +51,7 @@
         """Begin the same graceful stop as SIGTERM does."""
         who = await require_operator(self.bus, req)
         log("instance.drain_asked", key_id=who.key_id)
-        self.kernel.stop_asked.set()
+        self.kernel.stop_requested.set()
         return json_response({"instance": self.cfg.name, "draining": True}, status=202)
 
     async def _get_status(self, req: web.Request) -> web.Response:
@@ -119,7 +119,7 @@
             row["leaving"] = endpoint.leaving or key in leaving
             # Peers do not say what they have within their parts, so this is
             # what this instance alone has there.
-            row["in_flight"] = self.kernel.load.here.get(key, 0)
+            row["in_flight"] = self.kernel.load.local_in_flight.get(key, 0)
             row["mark"] = marks.get(endpoint.name, ("", ""))[0]
             rows.append(row)
         return json_response({"endpoints": rows})
--- a/src/firhook/ops/_reports.py
+++ b/src/firhook/ops/_reports.py
@@ -9,7 +9,7 @@
 from firhook._report import BurnReport, burn_report
 from firhook._web import json_response
 from firhook.errors import PeerUnreachableError
-from firhook.events import AskPeer, Members, ServePeer
+from firhook.events import AskPeer, Members, RegisterPeerHandler
 from firhook.logs import log
 from firhook.model import StatsAnswer, StatsAsk, to_builtins
 from firhook.ops._routes import Routes
@@ -29,7 +29,7 @@
 
     def start(self) -> None:
         """Answer peers that gather a report, and judge by the plans in force."""
-        self.bus.publish(ServePeer(StatsAsk, self._on_stats_ask))
+        self.bus.publish(RegisterPeerHandler(StatsAsk, self._on_stats_ask))
         self.kernel.stats.objective_ms = self._objective_ms
 
     def _objective_ms(self, team: str, klass: str) -> float:
--- a/src/firhook/queries.py
+++ b/src/firhook/queries.py
@@ -15,7 +15,7 @@
     team: str
 
     @property
-    def operator(self) -> bool:
+    def is_operator(self) -> bool:
         """Whether it is an operator's key."""
         return not self.team
 
@@ -128,7 +128,7 @@
 
 
 @attrs.frozen(slots=True)
-class OnceGiveBack(Query[None]):
+class OnceRelease(Query[None]):
     """Gives a claim back whose request was certainly never sent."""
 
     key: str
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -16,7 +16,7 @@
     JobUnknownError,
     NotPermittedError,
 )
-from firhook.events import Append, AskPeer, InstancesListed, ServePeer
+from firhook.events import Append, AskPeer, InstancesListed, RegisterPeerHandler
 from firhook.kernel import Role, register_role
 from firhook.model import (
     Endpoint,
@@ -39,7 +39,7 @@
 class Cell(Role):
     """Accepts jobs anywhere; its zone's lead places them."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer the jobs' routes."""
         self._workers: tuple[Endpoint, ...] = ()
         self._lead = ZoneLead(self.kernel)
@@ -58,7 +58,7 @@
 
     async def on_start(self) -> None:
         """Answer peers that ask for jobs of this zone."""
-        self.bus.publish(ServePeer(JobInquiry, self._on_inquiry))
+        self.bus.publish(RegisterPeerHandler(JobInquiry, self._on_inquiry))
 
     def _on_instances(self, event: InstancesListed) -> None:
         self._workers = tuple(e for e in event.instances if e.kind == "worker")
@@ -67,7 +67,7 @@
 
     async def _post_job(self, req: web.Request) -> web.Response:
         who = await principal(self.bus, req)
-        if who.operator:
+        if who.is_operator:
             raise NotPermittedError("submit a job with its team's key")
         await self.bus.ask(CheckFresh(idempotent=False))
         spec = check_job(await read_json(req), who.team)
@@ -89,7 +89,7 @@
     async def _visible(self, req: web.Request) -> str:
         who = await principal(self.bus, req)
         team = req.query.get("team", who.team)
-        if not who.operator and team != who.team:
+        if not who.is_operator and team != who.team:
             raise NotPermittedError(f"the key is not of team {team!r}")
         return team
 
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -56,7 +56,7 @@
 class Config(Role):
     """Publishes changes of lists and keys, and knows those in force."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer changes and checks of keys."""
         cfg = self.cfg
         self._policy = StalePolicy(
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -8,9 +8,9 @@
 from aiohttp import web
 from mode import Service
 
-from firhook._calls import Call, note_earlier, read_call, whole_response
+from firhook._calls import Call, add_earlier_attempts, build_response, read_call
 from firhook._fleet import FleetView
-from firhook._web import REQUEST_KEY, problem_response, serve, wait_let_go
+from firhook._web import REQUEST_KEY, problem_response, serve, wait_connections_closed
 from firhook.decide.admit import (
     REBALANCE_S,
     Dispatcher,
@@ -28,7 +28,7 @@
     NoEndpointError,
     StoppingError,
 )
-from firhook.events import InstancesListed, PeerMessage, RoomChanged, RoomWanted
+from firhook.events import CapacityChanged, CapacityWanted, InstancesListed, PeerMessage
 from firhook.kernel import Role, register_role
 from firhook.logs import log
 from firhook.model import Endpoint, Gossip
@@ -36,8 +36,8 @@
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
-    OnceGiveBack,
     OnceLost,
+    OnceRelease,
     OnceSending,
 )
 from firhook.tasks import log_failure
@@ -52,7 +52,7 @@
 class Gateway(Role):
     """Admits, queues, routes and answers requests; decide/ says how."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer the callers' routes."""
         self._services: dict[str, Dispatcher] = {}
         self._fleet = FleetView(
@@ -70,7 +70,7 @@
             web.route("*", "/r/{service}/{path:.*}", self._handle)
         )
         self.bus.subscribe(InstancesListed, self._on_instances)
-        self.bus.subscribe(RoomChanged, lambda event: self._pump())
+        self.bus.subscribe(CapacityChanged, lambda event: self._pump())
         self.bus.subscribe(PeerMessage, self._on_peer)
 
     async def on_started(self) -> None:
@@ -95,7 +95,7 @@
             await asyncio.sleep(0.02)
         self._refuse_waiting()
         if self._runner is not None:
-            await wait_let_go(self._runner, self.cfg.drain_idle_s)
+            await wait_connections_closed(self._runner, self.cfg.drain_idle_s)
         if self._late:
             # A keyed request's outcome is worth storing though its caller has
             # been told that it is unknown: the repeat will ask for it.
@@ -125,14 +125,14 @@
                 self.bus, req, self.kernel.clock(), self.cfg.default_deadline_s
             )
             answer = await self._answer(call)
-            return whole_response(answer, self.kernel.stopping)
+            return build_response(answer, self.kernel.stopping)
         except FirhookError as exc:
             if call is None:
-                self.stats.refused(exc.code)
+                self.stats.count_refusal(exc.code)
             else:
-                self.stats.refused(exc.code, call.team, call.klass)
+                self.stats.count_refusal(exc.code, call.team, call.klass)
             log("request.refused", code=exc.code, request_id=req[REQUEST_KEY])
-            note_earlier(req, call, exc)
+            add_earlier_attempts(req, call, exc)
             resp = problem_response(exc, req[REQUEST_KEY])
             if self.kernel.stopping:
                 resp.force_close()
@@ -152,7 +152,7 @@
             answer = await self._run(call, key)
         except BaseException as exc:
             if isinstance(exc, FirhookError) and exc.ran == "no":
-                await self.bus.ask(OnceGiveBack(key))
+                await self.bus.ask(OnceRelease(key))
             elif key not in self._late_keys:
                 self.bus.publish(OnceLost(key))
             raise
@@ -301,7 +301,7 @@
         service.router.answered(view, took_s, expected_s, now)
         service.times.learn(call.kind, took_s, now)
         service.budget.answered()
-        self.stats.answered(
+        self.stats.count_answer(
             call.team, call.klass, placed.started - call.arrived, took_s
         )
 
@@ -315,7 +315,7 @@
                 waiter = placed.item.token
                 if isinstance(placed, GivenUp):
                     _refuse(waiter.fut, placed.exc)
-                elif waiter.call.gone or waiter.fut.done():
+                elif waiter.call.caller_gone or waiter.fut.done():
                     service.end(placed, now)
                     _refuse(waiter.fut, CallerGoneError("its turn had come"))
                 else:
@@ -323,7 +323,7 @@
             for team in service.roomless():
                 running = self.kernel.account.running.get(team, 0)
                 wanted = running + service.queue.waiting(team)
-                self.bus.publish(RoomWanted(team, wanted))
+                self.bus.publish(CapacityWanted(team, wanted))
 
     @Service.task
     async def _tick_loop(self) -> None:
@@ -339,13 +339,13 @@
     def _tick(self, now: float) -> None:
         for service in self._services.values():
             for item in list(service.queue):
-                if item.token.call.gone:
+                if item.token.call.caller_gone:
                     service.queue.remove(item)
                     _refuse(item.token.fut, CallerGoneError("it was waiting"))
             self._jitter = random.random()
             for given_up in service.sweep(now, self._jitter):
                 _refuse(given_up.item.token.fut, given_up.exc)
-        self._fleet.note(
+        self._fleet.update_load(
             self.kernel.account, self._services.values(), self.kernel.load, now
         )
         if now - self._balanced >= REBALANCE_S:
@@ -356,7 +356,7 @@
 
     def _rebalance(self, now: float) -> None:
         self._balanced = now
-        use = self._fleet.use(self.kernel.account, self.kernel.load, now)
+        use = self._fleet.fleet_use(self.kernel.account, self.kernel.load, now)
         config = self.states.config
         shares = {
             t: config.plans[entry.plan].share for t, entry in config.teams.items()
@@ -370,7 +370,7 @@
         for endpoint in event.instances:
             if endpoint.kind == "runner":
                 listed.setdefault(endpoint.service, []).append(endpoint)
-        self._fleet.listed(event.instances)
+        self._fleet.set_instances(event.instances)
         fresh = not listed.keys() <= self._services.keys()
         for name, endpoints in listed.items():
             if name not in self._services:
@@ -397,7 +397,7 @@
         if not isinstance(event.body, Gossip):
             return
         now = self.kernel.clock()
-        self._fleet.hear(event.peer, event.body, now)
+        self._fleet.add_gossip(event.peer, event.body, now)
         counts = self._fleet.beyond_parts(now)
         leaving = [load.runner for load in event.body.runners if load.leaving]
         for service in self._services.values():
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -12,7 +12,7 @@
 from mode import Service
 
 from firhook._budget import Budget
-from firhook._lane import Lane
+from firhook._stream_client import StreamClient
 from firhook.decide.carry import carry_due, carry_rank
 from firhook.errors import FirhookError, FrameMalformedError, NotReadyError
 from firhook.events import (
@@ -22,7 +22,7 @@
     InstancesListed,
     LogAge,
     Members,
-    ServePeer,
+    RegisterPeerHandler,
     StreamReady,
 )
 from firhook.kernel import Role, register_role
@@ -50,13 +50,13 @@
 class Journal(Role):
     """Follows the streams, carries them forward, and asks peers without the log."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer appends and the log's age."""
         cfg = self.cfg
         budget = Budget(cfg.append_budget_per_s / cfg.instances_expected)
         self._listed: set[str] = set()
         self.lanes = {
-            stream: Lane(
+            stream: StreamClient(
                 stream,
                 self.kernel.lane,
                 state,
@@ -79,7 +79,7 @@
 
     async def on_start(self) -> None:
         """Answer peers that boot while the log is out."""
-        self.bus.publish(ServePeer(SnapshotAsk, self._on_snapshot_ask))
+        self.bus.publish(RegisterPeerHandler(SnapshotAsk, self._on_snapshot_ask))
 
     async def _append(self, query: Append) -> Applied:
         return await self.lanes[query.stream].append(query)
@@ -109,7 +109,7 @@
                 except Exception as exc:
                     log("snapshot.failed", level="error", error=repr(exc))
 
-    def _carries(self, lane: Lane) -> bool:
+    def _carries(self, lane: StreamClient) -> bool:
         if not lane.ready or self.kernel.stopping or not lane.stream_state.next_offset:
             return False
         lead = self.states.cell.leads[self.cfg.zone]
@@ -120,14 +120,14 @@
         state = lane.stream_state
         return carry_due(
             state.next_offset - state.carried_upto,
-            time.monotonic() - lane.carried_at,
+            time.monotonic() - lane.snapshot_read_at,
             rank,
             state.carried_parts,
             self.cfg.carry_forward_records,
             self.cfg.carry_forward_s,
         )
 
-    async def _carry(self, lane: Lane) -> None:
+    async def _carry(self, lane: StreamClient) -> None:
         state = lane.stream_state
         chunks = split_snapshot(state.next_offset, state.to_text())
         for i in range(0, len(chunks), _CHUNKS_AT_ONCE):
@@ -171,7 +171,7 @@
                 except Exception as exc:
                     log("snapshot.peer_failed", level="error", error=repr(exc))
 
-    async def _catch_up(self, lane: Lane) -> None:
+    async def _catch_up(self, lane: StreamClient) -> None:
         """Take over the furthest peer's state if the log does not show it.
 
         A zone that is cut off from the log but not from its peers goes on
@@ -185,13 +185,13 @@
         answers = await asyncio.gather(*asks, return_exceptions=True)
         whole = [a for a in answers if isinstance(a, SnapshotAnswer)]
         for answer in sorted(whole, key=lambda a: a.offset, reverse=True):
-            if answer.stream == lane.stream and lane.load_peer(
+            if answer.stream == lane.stream and lane.load_peer_snapshot(
                 answer.offset, answer.data
             ):
                 log("snapshot.from_peer", stream=lane.stream, offset=answer.offset)
                 return
 
-    async def _peers_to_ask(self, lane: Lane) -> set[str]:
+    async def _peers_to_ask(self, lane: StreamClient) -> set[str]:
         members = await self.bus.ask(Members())
         if lane.ready and lane.stream != "config":
             return set()
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -6,10 +6,10 @@
 
 from mode import Service
 
+from firhook._capacity_borrower import CapacityBorrower
+from firhook._capacity_lender import CapacityLender
 from firhook._leadership import Leadership
-from firhook._lender import Lender
 from firhook._mesh import Mesh
-from firhook._room import RoomKeeper
 from firhook.decide.gossip import gossip_every
 from firhook.errors import (
     FirhookError,
@@ -18,6 +18,7 @@
 )
 from firhook.events import (
     AskPeer,
+    CapacityWanted,
     InstancesListed,
     Lead,
     LeadChanged,
@@ -28,8 +29,7 @@
     Members,
     PeerMessage,
     RecordApplied,
-    RoomWanted,
-    ServePeer,
+    RegisterPeerHandler,
     StreamRebuilt,
 )
 from firhook.kernel import Role, register_role
@@ -71,7 +71,7 @@
 class MembersRole(Role):
     """Knows the peers, holds or watches the zone's lead, lends and borrows room."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer peers, lead and room."""
         self._mesh: Mesh | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {}
@@ -80,23 +80,25 @@
         self._every_s = self.cfg.gossip_s
         self._was_held = False
         self.leadership = Leadership(self.kernel)
-        self.lender = Lender(self.kernel, self.leadership)
-        self.keeper = RoomKeeper(self.kernel, self.leadership, self.lender.on_ask)
-        self.lender.keeper = self.keeper
+        self.lender = CapacityLender(self.kernel, self.leadership)
+        self.borrower = CapacityBorrower(
+            self.kernel, self.leadership, self.lender.on_grant_ask
+        )
+        self.lender.borrower = self.borrower
         bus = self.bus
         bus.answer(AskPeer, self._ask_peer)
         bus.answer(Members, self._members)
         bus.answer(LeadView, self._lead_view)
-        bus.subscribe(ServePeer, self._on_serve_peer)
+        bus.subscribe(RegisterPeerHandler, self._on_serve_peer)
         bus.subscribe(RecordApplied, self._on_record)
         bus.subscribe(StreamRebuilt, self._on_rebuilt)
         bus.subscribe(InstancesListed, self._on_instances)
-        bus.subscribe(RoomWanted, self.keeper.want)
+        bus.subscribe(CapacityWanted, self.borrower.add_demand)
         bus.subscribe(LoopStalled, self._on_stall)
         self._handlers[Gossip] = self._on_gossip
-        self._handlers[GrantAsk] = self.lender.on_ask
+        self._handlers[GrantAsk] = self.lender.on_grant_ask
         self._handlers[ZoneShort] = self.lender.on_zone_short
-        self._handlers[HoldingsAsk] = self.keeper.on_holdings_ask
+        self._handlers[HoldingsAsk] = self.borrower.on_holdings_ask
 
     async def on_start(self) -> None:
         """Bind the socket to the peers."""
@@ -111,13 +113,13 @@
 
     async def on_stop(self) -> None:
         """Close the sockets."""
-        self.keeper.stop()
+        self.borrower.stop()
         if self._mesh is not None:
             self._mesh.close()
 
     async def drain(self) -> None:
         """Hand lead and room back, so that peers can use both at once."""
-        free = await self.keeper.leave()
+        free = await self.borrower.leave()
         lead = self.leadership.state
         if lead.instance != self.kernel.lane:
             return
@@ -182,8 +184,10 @@
             withdrawn=tuple(list(config.withdrawn)[-20:]),
             teams=self._team_uses(),
             runners=tuple(
-                RunnerLoad(name, load.in_flight.get(name, 0), name in load.leaving)
-                for name in sorted({*load.in_flight, *load.leaving})
+                RunnerLoad(
+                    name, load.excess_in_flight.get(name, 0), name in load.leaving
+                )
+                for name in sorted({*load.excess_in_flight, *load.leaving})
             ),
             every_s=round(self._every_s, 3),
         )
@@ -207,7 +211,7 @@
             raise FrameMalformedError(f"nobody serves {type(msg).__name__}")
         return await handler(msg)
 
-    def _on_serve_peer(self, event: ServePeer) -> None:
+    def _on_serve_peer(self, event: RegisterPeerHandler) -> None:
         self._handlers[event.kind] = event.handler
 
     async def _on_gossip(self, msg: Gossip) -> None:
@@ -283,7 +287,7 @@
             return
         if body.zone != self.cfg.zone:
             return
-        self.leadership.look(self.kernel.clock())
+        self.leadership.observe_record(self.kernel.clock())
         if event.envelope.lane != self.kernel.lane:
             self.leadership.wake.set()
 
@@ -291,10 +295,10 @@
         # The lead's last renewal is in the snapshot and was not read by
         # itself; counting it as long ago would depose a lead that is well.
         if event.stream == "cell":
-            self.leadership.look(self.kernel.clock())
+            self.leadership.observe_record(self.kernel.clock())
 
     def _on_stall(self, event: LoopStalled) -> None:
-        self.leadership.stalled()
+        self.leadership.on_loop_stall()
         log("loop.stalled", level="warning", stall_s=round(event.stall_s, 3))
 
     @Service.task
@@ -321,17 +325,19 @@
     async def _lead_loop(self) -> None:
         while not self.should_stop:
             await self._guarded("lead", self._lead_step())
-            mine = self.leadership.mine
+            mine = self.leadership.is_lead
             await self._pause(self.cfg.lead_lease_s / 3 if mine else _LOOK_S)
 
     async def _lead_step(self) -> None:
         started = self.kernel.clock()
         self.leadership.wake.clear()
-        await self.leadership.step(self.lender.roster(), self.lender.capped_by())
+        await self.leadership.renew_or_claim(
+            self.lender.roster(), self.lender.published_holders()
+        )
         self._note_lead(self.kernel.clock())
         if self.leadership.is_held(self.kernel.clock()):
-            self.lender.settle_before(started)
-        await self.lender.follow_lead()
+            self.lender.settle_moves_before(started)
+        await self.lender.sync_with_lead()
 
     async def _pause(self, seconds: float) -> None:
         least = min(_HURRY_S, seconds)
@@ -345,11 +351,11 @@
 
     @Service.task
     async def _room_loop(self) -> None:
-        await self.keeper.run()
+        await self.borrower.run()
         await self.wait_until_stopped()
 
     @Service.task
     async def _move_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("move", self.lender.move_spare())
+            await self._guarded("move", self.lender.transfer_spare())
             await self.sleep(_MOVE_EVERY_S)
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -15,7 +15,7 @@
     OnceMismatchError,
     OnceUnknownError,
 )
-from firhook.events import Append, AskPeer, Members, RecordApplied, ServePeer
+from firhook.events import Append, AskPeer, Members, RecordApplied, RegisterPeerHandler
 from firhook.kernel import Role, register_role
 from firhook.logs import log
 from firhook.model import (
@@ -30,8 +30,8 @@
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
-    OnceGiveBack,
     OnceLost,
+    OnceRelease,
     OnceSending,
 )
 from firhook.state import OnceEntry
@@ -58,7 +58,7 @@
 class Once(Role):
     """Claims, stores and repeats outcomes."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer claims."""
         self._book = ClaimBook()
         self._unstored: dict[str, EndpointResponse] = {}
@@ -68,14 +68,14 @@
         bus = self.bus
         bus.answer(OnceBegin, self._begin)
         bus.answer(OnceFinish, self._finish)
-        bus.answer(OnceGiveBack, self._give_back)
+        bus.answer(OnceRelease, self._give_back)
         bus.subscribe(OnceSending, self._on_sending)
         bus.subscribe(OnceLost, self._on_lost)
         bus.subscribe(RecordApplied, self._on_record)
 
     async def on_start(self) -> None:
         """Answer peers that ask what became of a claim."""
-        self.bus.publish(ServePeer(ClaimInquiry, self._on_inquiry))
+        self.bus.publish(RegisterPeerHandler(ClaimInquiry, self._on_inquiry))
 
     async def drain(self) -> None:
         """Store the outcomes that are still on their way to the log."""
@@ -262,7 +262,7 @@
         self._unstored.pop(key, None)
         self._unstored_bytes -= len(answer.body)
 
-    async def _give_back(self, query: OnceGiveBack) -> None:
+    async def _give_back(self, query: OnceRelease) -> None:
         claim = self._book.find(query.key)
         if claim is not None:
             self._abandon(query.key, claim.nonce)
--- a/src/firhook/roles/_ops.py
+++ b/src/firhook/roles/_ops.py
@@ -23,7 +23,7 @@
 class Ops(Role):
     """Serves operators and says whether this instance is ready."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer the operators' routes."""
         self._runner: Any = None
         self._reports = ReportRoutes(self.kernel)
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -8,10 +8,10 @@
 
 from firhook._sockets import listening_socket
 from firhook._web import (
-    DrainedSite,
-    close_served,
+    DrainingSite,
+    drain_and_close,
     problem_response,
-    wait_let_go,
+    wait_connections_closed,
 )
 from firhook.address import Address
 from firhook.cell import AcceptedJob, CellConfig, Queue
@@ -112,7 +112,7 @@
         runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
         sock = sock or listening_socket(address.host, address.port)
-        await DrainedSite(runner, sock).start()
+        await DrainingSite(runner, sock).start()
         self._runners.append(runner)
 
     async def drain(self) -> None:
@@ -125,12 +125,12 @@
         while self._open_requests and boot_time() < deadline:
             await asyncio.sleep(0.02)
         for runner in self._runners[1:]:
-            await wait_let_go(runner, deadline - boot_time())
+            await wait_connections_closed(runner, deadline - boot_time())
 
     async def on_stop(self) -> None:
         """Close all sockets."""
         for runner in self._runners[1:]:
-            await close_served(runner, _LAST_REQUEST_TIMEOUT_S)
+            await drain_and_close(runner, _LAST_REQUEST_TIMEOUT_S)
         # The platform may keep the connections of its probe.
         for runner in self._runners[:1]:
             await runner.cleanup()
--- a/tests/cli/test_tool.py
+++ b/tests/cli/test_tool.py
@@ -122,9 +122,9 @@
         apply_lists(cell, tmp_path)
         stats = cell.kernel.stats
         for wait_s in (0.01, 0.02, 0.03):
-            stats.answered("lisboa", "interactive", wait_s, 0.1)
-        stats.refused("queue.overloaded", "lisboa", "interactive")
-        stats.refused("key.refused", "lisboa", "interactive")
+            stats.count_answer("lisboa", "interactive", wait_s, 0.1)
+        stats.count_refusal("queue.overloaded", "lisboa", "interactive")
+        stats.count_refusal("key.refused", "lisboa", "interactive")
         [row] = json.loads(cell.done("report", "--json"))["rows"]
         assert (row["requests"], row["refused"]) == (4, 1)
         assert row["burn_rates"]["5m"] == pytest.approx(25.0)
@@ -140,4 +140,4 @@
         while "leads epoch 1" not in cell.done("events", "--wait", "0.2"):
             continue
         cell.done("drain", cell.kernel.ports["ops"])
-        assert cell.kernel.stop_asked.is_set()
+        assert cell.kernel.stop_requested.is_set()
--- a/tests/golden/sessions.py
+++ b/tests/golden/sessions.py
@@ -24,7 +24,7 @@
 from aiohttp.streams import StreamReader
 from aiohttp.test_utils import make_mocked_request
 
-from firhook._web import problems
+from firhook._web import problem_middleware
 from firhook.address import Address
 from firhook.errors import (
     LogUnavailableError,
@@ -206,7 +206,7 @@
         )
         match = await app.router.resolve(req)
         req._match_info = match
-        return await problems(req, match.handler)
+        return await problem_middleware(req, match.handler)
 
     async def until(self, check: Callable[[], bool], limit_s: float = 60.0) -> None:
         """Wait until a check holds, in virtual time."""
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -12,10 +12,10 @@
 import attrs
 
 from firhook._bus import Bus
+from firhook._capacity_borrower import CapacityBorrower
+from firhook._capacity_lender import CapacityLender
 from firhook._kernel import Load
 from firhook._leadership import Leadership
-from firhook._lender import Lender
-from firhook._room import RoomKeeper
 from firhook.decide.grants import GrantBook
 from firhook.decide.limits import Account
 from firhook.errors import (
@@ -28,10 +28,10 @@
     Append,
     Applied,
     AskPeer,
+    CapacityChanged,
+    CapacityWanted,
     LogAge,
     RecordApplied,
-    RoomChanged,
-    RoomWanted,
 )
 from firhook.model import Envelope, GrantAsk, HoldingsAsk, Plan, ZoneShort
 from firhook.state import CellState
@@ -112,27 +112,29 @@
         self.islands: set[str] | None = None
         self.gate = asyncio.Event()
         self.gate.set()
-        self.seen_end_at = float("-inf")
+        self.end_seen_at = float("-inf")
         self.seq = 0
         self.pending: dict[int, asyncio.Future] = {}
         self.demand = 0
         self.leadership = Leadership(self)
-        self.lender = Lender(self, self.leadership)
-        self.keeper = RoomKeeper(self, self.leadership, self.lender.on_ask)
-        self.lender.keeper = self.keeper
+        self.lender = CapacityLender(self, self.leadership)
+        self.borrower = CapacityBorrower(
+            self, self.leadership, self.lender.on_grant_ask
+        )
+        self.lender.borrower = self.borrower
         self.bus.answer(AskPeer, self._ask_peer)
         self.bus.answer(Append, self._append)
         self.bus.answer(LogAge, self._log_age)
         self.bus.subscribe(RecordApplied, self.lender.on_record)
-        self.bus.subscribe(RoomWanted, self.keeper.want)
-        self.bus.subscribe(RoomChanged, lambda event: self.serve())
+        self.bus.subscribe(CapacityWanted, self.borrower.add_demand)
+        self.bus.subscribe(CapacityChanged, lambda event: self.serve())
         self.tasks = [
             loop.create_task(t)
             for t in (
                 self._follow(),
                 self._every(0.25, self._lead_step),
-                self.keeper.run(),
-                self._every(1.0, self.lender.move_spare),
+                self.borrower.run(),
+                self._every(1.0, self.lender.transfer_spare),
                 self._serve_loop(),
             )
         ]
@@ -164,8 +166,8 @@
             await asyncio.sleep(query.timeout_s)
             raise PeerUnreachableError(f"{query.peer}: cut")
         kinds = {
-            GrantAsk: other.lender.on_ask,
-            HoldingsAsk: other.keeper.on_holdings_ask,
+            GrantAsk: other.lender.on_grant_ask,
+            HoldingsAsk: other.borrower.on_holdings_ask,
             ZoneShort: other.lender.on_zone_short,
         }
         serve = self.fleet.loop.create_task(
@@ -213,7 +215,7 @@
         return applied
 
     async def _log_age(self, query):
-        return self.clock() - self.seen_end_at
+        return self.clock() - self.end_seen_at
 
     # -- its loops -------------------------------------------------------
 
@@ -226,10 +228,12 @@
 
     async def _lead_step(self):
         started = self.clock()
-        await self.leadership.step(self.lender.roster(), self.lender.capped_by())
+        await self.leadership.renew_or_claim(
+            self.lender.roster(), self.lender.published_holders()
+        )
         if self.leadership.is_held(self.clock()):
-            self.lender.settle_before(started)
-        await self.lender.follow_lead()
+            self.lender.settle_moves_before(started)
+        await self.lender.sync_with_lead()
 
     async def _follow(self):
         while True:
@@ -249,7 +253,7 @@
         """Apply what the streams hold beyond what was read."""
         log = self.fleet.log
         self.read_to(len(log.limits) - 1, len(log.records))
-        self.seen_end_at = self.clock()
+        self.end_seen_at = self.clock()
 
     def read_to(self, version, end):
         """Apply the streams up to a version and an offset."""
@@ -261,7 +265,7 @@
             envelope = log.records[offset]
             verdict = cell.apply(offset, envelope)
             self.bus.publish(RecordApplied("cell", offset, envelope, verdict))
-            self.leadership.look(self.clock())
+            self.leadership.observe_record(self.clock())
             fut = self.pending.pop(envelope.seq, None)
             if envelope.lane == self.lane and fut is not None and not fut.done():
                 fut.set_result(Applied(offset, verdict))
@@ -283,7 +287,7 @@
         while self.account.running.get(TEAM, 0) < self.demand:
             if not self.account.take(TEAM):
                 self.load.waiting = {TEAM: 1}
-                self.bus.publish(RoomWanted(TEAM, self.demand))
+                self.bus.publish(CapacityWanted(TEAM, self.demand))
                 return
             self.fleet.start(self)
         self.load.waiting = {}
--- a/tests/roles/mini.py
+++ b/tests/roles/mini.py
@@ -9,7 +9,7 @@
 from firhook._settings import Settings
 from firhook.address import Address
 from firhook.errors import PeerUnreachableError
-from firhook.events import AskPeer, LogAge, Member, Members, ServePeer
+from firhook.events import AskPeer, LogAge, Member, Members, RegisterPeerHandler
 from firhook.model import Gossip, LeadClaimed, decode_message, encode_message
 from firhook.platform.clients import Platform
 from firhook.roles._config import Config, digest_of
@@ -64,11 +64,11 @@
         cell[name] = self
         self.bus.answer(Members, self._members)
         self.bus.answer(AskPeer, self._ask_peer)
-        self.bus.subscribe(ServePeer, self._on_serve)
+        self.bus.subscribe(RegisterPeerHandler, self._on_serve)
         self.journal, self.config, self.once = Journal(self), Config(self), Once(self)
         self.roles = [self.journal, self.config, self.once]
 
-    def _on_serve(self, event: ServePeer) -> None:
+    def _on_serve(self, event: RegisterPeerHandler) -> None:
         self.handlers[event.kind] = event.handler
 
     async def _ask_peer(self, query: AskPeer):
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -151,7 +151,7 @@
         with pytest.raises(ZoneStaleError):
             await b.bus.ask(Authenticate(f"Bearer {given.key}"))
         who = await b.bus.ask(Authenticate(f"Bearer {OPERATOR}"))
-        assert who.operator
+        assert who.is_operator
 
     run_two(scenario, stale="refuse", **SHORT)
 
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -17,7 +17,7 @@
     LogUnavailableError,
     NoEndpointError,
 )
-from firhook.events import InstancesListed, RoomChanged, RoomWanted
+from firhook.events import CapacityChanged, CapacityWanted, InstancesListed
 from firhook.model import Endpoint, parse_list
 from firhook.platform.clients import EndpointResponse
 from firhook.queries import (
@@ -25,8 +25,8 @@
     CheckFresh,
     OnceBegin,
     OnceFinish,
-    OnceGiveBack,
     OnceLost,
+    OnceRelease,
     OnceSending,
     Principal,
 )
@@ -109,10 +109,10 @@
             stopping=False,
         )
         bus.answer(Authenticate, self._authenticate)
-        for kind in (OnceBegin, OnceFinish, OnceGiveBack, CheckFresh):
+        for kind in (OnceBegin, OnceFinish, OnceRelease, CheckFresh):
             bus.answer(kind, self._note)
         bus.subscribe(OnceSending, self.events.append)
-        bus.subscribe(RoomWanted, self._lend)
+        bus.subscribe(CapacityWanted, self._lend)
 
     async def _authenticate(self, query):
         return Principal("k", query.authorization.partition(" ")[2])
@@ -125,7 +125,7 @@
         self.kernel.account.room[event.team] = self.room
         if self.room:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.kernel.bus.publish, RoomChanged(event.team))
+            loop.call_soon(self.kernel.bus.publish, CapacityChanged(event.team))
 
     def kinds(self):
         return [type(e).__name__ for e in self.events]
@@ -230,7 +230,7 @@
         return answer.problem["ran"], world.kinds()[-1]
 
     gone = [NoEndpointError("gone") for _ in range(3)]
-    assert in_world(scenario, *gone) == ("no", "OnceGiveBack")
+    assert in_world(scenario, *gone) == ("no", "OnceRelease")
     assert in_world(scenario, cut()) == ("unknown", "OnceSending")
 
 
@@ -448,7 +448,7 @@
         headers = {"Idempotency-Key": "k"}
         first = await world.call("POST", path="/r/other/x", headers=headers)
         assert first.problem["ran"] == "no"
-        assert world.kinds() == ["OnceBegin", "OnceGiveBack"]
+        assert world.kinds() == ["OnceBegin", "OnceRelease"]
         assert "earlier_attempts" not in first.problem
 
         async def out(query):
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -126,7 +126,7 @@
             old = lane.stream_state.next_offset, lane.stream_state.to_text()
             await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
             await until(lambda: b.states.config.version == 2)
-            assert not lane.load_peer(*old)
+            assert not lane.load_peer_snapshot(*old)
             assert b.states.config.version == 2
 
     asyncio.run(scenario())
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -17,8 +17,8 @@
 from firhook.queries import (
     OnceBegin,
     OnceFinish,
-    OnceGiveBack,
     OnceLost,
+    OnceRelease,
     OnceSending,
 )
 from firhook.roles import _once
@@ -171,7 +171,7 @@
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
         a.bus.publish(OnceSending(CHARGE.key))
-        await a.bus.ask(OnceGiveBack(CHARGE.key))
+        await a.bus.ask(OnceRelease(CHARGE.key))
         await until(lambda: b.states.once.entries == {} and len(bodies(log)) == 2)
         assert await b.bus.ask(CHARGE) is None
 
--- a/tests/roles/test_ops.py
+++ b/tests/roles/test_ops.py
@@ -38,7 +38,7 @@
         for path in ("/v1/config", "/v1/teams", "/v1/events", "/v1/report"):
             assert ask(kernel, path, key="fk_guessed")[0] == 401
         assert ask(kernel, "/v1/drain", b"", key="fk_guessed", port="ops")[0] == 401
-        assert not kernel.stop_asked.is_set()
+        assert not kernel.stop_requested.is_set()
 
 
 def test_stopping_instance_is_not_ready():
@@ -53,7 +53,7 @@
     """The platform's list lags; operators must see what the runner itself said."""
     with running_kernel() as kernel:
         kernel.load.leaving.add("runner-1@127.0.0.1:9")
-        kernel.load.here["runner-1@127.0.0.1:9"] = 2
+        kernel.load.local_in_flight["runner-1@127.0.0.1:9"] = 2
         [runner] = json.loads(ask(kernel, "/v1/endpoints")[1])["endpoints"]
         assert (runner["leaving"], runner["in_flight"]) == (True, 2)
 
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -21,7 +21,7 @@
 
 def test_settings_page_has_every_option_with_its_default_and_range():
     rows = table_rows("settings.md")
-    expected = {o.name: [o.default or "", o.takes] for o in describe_options()}
+    expected = {o.name: [o.default or "", o.accepts] for o in describe_options()}
     assert {name: cells[1:3] for name, cells in rows.items()} == expected
     assert all(cells[3] for cells in rows.values())
 
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firhook._report import alert_of, burn_rate, burn_report
+from firhook._report import burn_rate, burn_report, worst_alert
 from firhook._stats import WINDOWS_S, FleetStats, MinuteCounts, Stats
 from firhook.model import Plan, Row, check_plan
 
@@ -26,7 +26,7 @@
             sum(1 for at, k in events if first < at <= now and k == kind)
             for kind in range(3)
         ]
-        assert counts.last(now, window_s) == expected
+        assert counts.sum_window(now, window_s) == expected
 
 
 @given(st.lists(st.integers(0, 10**6), min_size=3, max_size=3), st.floats(0.5, 0.9999))
@@ -43,10 +43,10 @@
 def test_alert_needs_both_of_its_windows():
     """A burst that is over still fills the hour, and must wake nobody."""
     quiet = dict.fromkeys(WINDOWS_S, 0.0)
-    assert alert_of({**quiet, "1h": 50.0}) == ""
-    assert alert_of({**quiet, "5m": 50.0}) == ""
-    assert alert_of({**quiet, "5m": 50.0, "1h": 15.0}) == "page"
-    assert alert_of({**quiet, "30m": 7.0, "6h": 6.0}) == "ticket"
+    assert worst_alert({**quiet, "1h": 50.0}) == ""
+    assert worst_alert({**quiet, "5m": 50.0}) == ""
+    assert worst_alert({**quiet, "5m": 50.0, "1h": 15.0}) == "page"
+    assert worst_alert({**quiet, "30m": 7.0, "6h": 6.0}) == "ticket"
 
 
 @given(
@@ -63,9 +63,9 @@
     for instance, wait_s in requests:
         for stats in (spread[instance], alone):
             if wait_s is None:
-                stats.refused("queue.deadline", "lisboa", "bulk")
+                stats.count_refusal("queue.deadline", "lisboa", "bulk")
             else:
-                stats.answered("lisboa", "bulk", wait_s, 0.1)
+                stats.count_answer("lisboa", "bulk", wait_s, 0.1)
     fleet, single = FleetStats(), FleetStats()
     single.merge(alone.dump())
     for stats in spread:
@@ -81,8 +81,8 @@
 
 def test_callers_own_mistakes_burn_no_budget():
     stats = Stats(lambda: 0.0)
-    stats.refused("request.malformed", "lisboa", "bulk")
-    stats.refused("key.refused")
+    stats.count_refusal("request.malformed", "lisboa", "bulk")
+    stats.count_refusal("key.refused")
     fleet = FleetStats()
     fleet.merge(stats.dump())
     assert burn_report(fleet, {"lisboa": PLAN}).rows == ()
--- a/tests/test_lane.py
+++ b/tests/test_stream_client.py
@@ -7,7 +7,7 @@
 
 from firhook._budget import Budget
 from firhook._bus import Bus
-from firhook._lane import Lane
+from firhook._stream_client import StreamClient
 from firhook.errors import (
     LogOutcomeUnknownError,
     LogUnavailableError,
@@ -35,7 +35,7 @@
 async def lane_on(log: FakeLog, ready: bool = True):
     """Run a lane on a log."""
     bus = Bus()
-    lane = Lane("config", "i#1", ConfigState(), log, bus, Budget(1000), 0.05)
+    lane = StreamClient("config", "i#1", ConfigState(), log, bus, Budget(1000), 0.05)
     lane.rebuilt = []
     bus.subscribe(StreamRebuilt, lane.rebuilt.append)
     await lane.start()
@@ -243,11 +243,11 @@
         log, _ = grown_log(5)
         async with lane_on(log) as lane:
             del log.streams["config"][3:]
-            seen = lane.seen_end_at
+            seen = lane.end_seen_at
             await asyncio.sleep(0.3)
             assert lane.stream_state.next_offset == 5
             await until(lambda: lane.age_s > 0.2)
-            assert lane.seen_end_at <= seen + 0.1
+            assert lane.end_seen_at <= seen + 0.1
 
     asyncio.run(scenario())
 
