--- a/src/firhook/_bus.py
+++ b/src/firhook/_bus.py
@@ -42,7 +42,9 @@
                     error=repr(exc),
                 )
 
-    def answer(self, kind: type, handler: Callable[[Any], Awaitable[Any]]) -> None:
+    def register_handler(
+        self, kind: type, handler: Callable[[Any], Awaitable[Any]]
+    ) -> None:
         """Have ``handler`` answer the queries of the kind."""
         if kind in self._handlers:
             raise ValueError(f"{kind.__name__} already has a handler")
--- a/src/firhook/_clock.py
+++ b/src/firhook/_clock.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 
 
-def _boot_clock() -> float:
+def _read_boot_clock() -> float:
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-_boot: Callable[[], float] = _boot_clock
-_unix: Callable[[], float] = time.time
+_boot_clock: Callable[[], float] = _read_boot_clock
+_unix_clock: Callable[[], float] = time.time
 
 
 def boot_time() -> float:
@@ -20,18 +20,18 @@
     with a lease that lapsed while it slept; the time of day, which does count
     suspensions, may jump.
     """
-    return _boot()
+    return _boot_clock()
 
 
 def unix_time() -> float:
     """Return the time of day in seconds since 1970; it may jump."""
-    return _unix()
+    return _unix_clock()
 
 
 def set_clocks(
     boot: Callable[[], float] | None = None, unix: Callable[[], float] | None = None
 ) -> None:
     """Go by other clocks, for tests in virtual time; by the real ones if none."""
-    global _boot, _unix
-    _boot = boot or _boot_clock
-    _unix = unix or time.time
+    global _boot_clock, _unix_clock
+    _boot_clock = boot or _read_boot_clock
+    _unix_clock = unix or time.time
--- a/src/firhook/_codec.py
+++ b/src/firhook/_codec.py
@@ -50,8 +50,8 @@
     body: Any
 
 
-_json = msgspec.json.Encoder(enc_hook=None)
-_pack = msgspec.msgpack.Encoder()
+_json_encoder = msgspec.json.Encoder(enc_hook=None)
+_msgpack_encoder = msgspec.msgpack.Encoder()
 
 
 def to_builtins(obj: Any) -> Any:
@@ -61,7 +61,7 @@
 
 def encode_envelope(envelope: Envelope) -> bytes:
     """Encode a record for the log, as JSON that operators can read."""
-    return _json.encode(
+    return _json_encoder.encode(
         [type(envelope.body).__name__, envelope.lane, envelope.seq, envelope.body]
     )
 
@@ -84,7 +84,7 @@
 
 def encode_message(msg: Any) -> bytes:
     """Encode a message between instances."""
-    return _pack.encode([type(msg).__name__, msg])
+    return _msgpack_encoder.encode([type(msg).__name__, msg])
 
 
 def decode_message(frame: bytes) -> Any:
--- a/src/firhook/_early.py
+++ b/src/firhook/_early_start.py
@@ -6,7 +6,7 @@
 from socket import socket
 from types import FrameType
 
-from firhook._sockets import listening_socket
+from firhook._sockets import open_listening_socket
 from firhook.errors import AddressUnusableError
 from firhook.platform.early import callers_address
 
@@ -20,19 +20,19 @@
     that is told to stop in that time must not end by the signal, or it would cut
     those who wait.
 
-    :ivar listening: the socket for callers; ``None`` if it could not be bound.
-    :ivar stop_asked: whether the process was told to stop.
+    :ivar listener: the socket for callers; ``None`` if it could not be bound.
+    :ivar stop_requested: whether the process was told to stop.
     """
 
     def __init__(self, settings: Path) -> None:
-        self.stop_asked = False
+        self.stop_requested = False
         signal.signal(signal.SIGTERM, self._on_signal)
         # It tells that the settings changed, and they are not read yet.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        self.listening = self._listen(settings)
+        self.listener = self._listen(settings)
 
     def _on_signal(self, number: int, frame: FrameType | None) -> None:
-        self.stop_asked = True
+        self.stop_requested = True
 
     @staticmethod
     def _listen(settings: Path) -> socket | None:
@@ -40,7 +40,7 @@
         if address is None:
             return None
         try:
-            return listening_socket(*address)
+            return open_listening_socket(*address)
         except AddressUnusableError as exc:
             # Tried again, and told as the reason of a failed start, by who serves.
             print(exc, file=sys.stderr)
--- a/src/firhook/_errors.py
+++ b/src/firhook/_errors.py
@@ -5,13 +5,13 @@
 __all__: list[str] = []
 
 
-def _public(cls: type) -> type:
+def _export(cls: type) -> type:
     """Add an error kind to the public names of :mod:`firhook.errors`."""
     __all__.append(cls.__name__)
     return cls
 
 
-@_public
+@_export
 class FirhookError(Exception):
     """Base of every error that firhook raises.
 
@@ -60,7 +60,7 @@
         return problem
 
 
-def _kind(
+def _define_error(
     name: str, code: str, status: int, title: str, remedy: str, ran: str = "no"
 ) -> type[FirhookError]:
     """Define one error kind.
@@ -81,80 +81,80 @@
             "default_ran": ran,
         },
     )
-    return _public(cls)
+    return _export(cls)
 
 
-SettingsInvalidError = _kind(
+SettingsInvalidError = _define_error(
     "SettingsInvalidError",
     "settings.invalid",
     400,
     "Settings are not valid",
     "Mend the options named and run firhookd --check again.",
 )
-AddressUnusableError = _kind(
+AddressUnusableError = _define_error(
     "AddressUnusableError",
     "address.unusable",
     500,
     "Cannot listen at an address",
     "End the process that listens there, or change the address in the settings.",
 )
-ListInvalidError = _kind(
+ListInvalidError = _define_error(
     "ListInvalidError",
     "list.invalid",
     422,
     "A list is not valid",
     "Mend the rows named and apply the list again; nothing was changed.",
 )
-ConfigConflictError = _kind(
+ConfigConflictError = _define_error(
     "ConfigConflictError",
     "config.conflict",
     409,
     "Another change came first",
     "Read the lists again, redo your change on the new version and apply it.",
 )
-KeyMissingError = _kind(
+KeyMissingError = _define_error(
     "KeyMissingError",
     "key.missing",
     401,
     "No key was shown",
     "Send the team's key as 'Authorization: Bearer KEY'.",
 )
-KeyRefusedError = _kind(
+KeyRefusedError = _define_error(
     "KeyRefusedError",
     "key.refused",
     401,
     "The key is not valid",
     "Ask an operator for a new key; this one is unknown or withdrawn.",
 )
-NotPermittedError = _kind(
+NotPermittedError = _define_error(
     "NotPermittedError",
     "key.not_permitted",
     403,
     "The key does not permit this",
     "Use a key of the team concerned, or an operator's key.",
 )
-KeyUnknownError = _kind(
+KeyUnknownError = _define_error(
     "KeyUnknownError",
     "key.unknown",
     404,
     "No such key",
     "List the keys with 'firhook key list' and name one of them.",
 )
-ZoneStaleError = _kind(
+ZoneStaleError = _define_error(
     "ZoneStaleError",
     "zone.stale",
     503,
     "This availability zone cannot check for withdrawn keys",
     "Try another zone, or come back after the time given.",
 )
-LogUnavailableError = _kind(
+LogUnavailableError = _define_error(
     "LogUnavailableError",
     "log.unavailable",
     503,
     "The platform's log cannot be reached",
     "Nothing was recorded; come back after the time given.",
 )
-LogOutcomeUnknownError = _kind(
+LogOutcomeUnknownError = _define_error(
     "LogOutcomeUnknownError",
     "log.outcome_unknown",
     503,
@@ -162,63 +162,63 @@
     "Ask again with the same id; it cannot take effect twice.",
     "unknown",
 )
-LogTrimmedError = _kind(
+LogTrimmedError = _define_error(
     "LogTrimmedError",
     "log.trimmed",
     410,
     "The records asked for have expired",
     "Rebuild from the latest snapshot; the journal does this by itself.",
 )
-LogFencedError = _kind(
+LogFencedError = _define_error(
     "LogFencedError",
     "log.fenced",
     409,
     "A newer epoch has written to the log",
     "Another instance leads the cell now; this one steps down by itself.",
 )
-LogSequenceError = _kind(
+LogSequenceError = _define_error(
     "LogSequenceError",
     "log.sequence",
     409,
     "The log expects another sequence number",
     "The lead steps down and takes over anew with a higher epoch by itself.",
 )
-LogMovedError = _kind(
+LogMovedError = _define_error(
     "LogMovedError",
     "log.moved",
     412,
     "The partition does not end where the append expected",
     "Read on to the end and decide anew; nothing was recorded.",
 )
-LogFullError = _kind(
+LogFullError = _define_error(
     "LogFullError",
     "log.full",
     507,
     "The platform's log has no space left",
     "Have ended jobs dropped sooner, or the platform's space enlarged.",
 )
-QueueUnknownError = _kind(
+QueueUnknownError = _define_error(
     "QueueUnknownError",
     "queue.unknown",
     404,
     "No queue has this host and path",
     "Check the host and the path against the configuration in force.",
 )
-JobGoneError = _kind(
+JobGoneError = _define_error(
     "JobGoneError",
     "job.gone",
     410,
     "No such job is kept in this queue",
     "Check the id; ended jobs are kept for a limited time only.",
 )
-JobIdTakenError = _kind(
+JobIdTakenError = _define_error(
     "JobIdTakenError",
     "job.id_taken",
     409,
     "The id belongs to another job",
     "Choose another id and submit the job under it; nothing was recorded.",
 )
-SubmissionUnknownError = _kind(
+SubmissionUnknownError = _define_error(
     "SubmissionUnknownError",
     "job.submission_unknown",
     504,
@@ -226,42 +226,42 @@
     "Submit the same id again; it remains one job.",
     "unknown",
 )
-PlatformUnavailableError = _kind(
+PlatformUnavailableError = _define_error(
     "PlatformUnavailableError",
     "platform.unavailable",
     503,
     "The platform's instance list cannot be reached",
     "The last list stays in use; nothing needs doing unless this lasts.",
 )
-OverloadedError = _kind(
+OverloadedError = _define_error(
     "OverloadedError",
     "queue.overloaded",
     503,
     "More work is waiting than can be served in time",
     "Come back after the time given; the request was not run.",
 )
-DeadlineUnmeetableError = _kind(
+DeadlineUnmeetableError = _define_error(
     "DeadlineUnmeetableError",
     "queue.deadline",
     503,
     "The request cannot be answered before its deadline",
     "Come back after the time given, or allow a later deadline.",
 )
-TeamQueueFullError = _kind(
+TeamQueueFullError = _define_error(
     "TeamQueueFullError",
     "queue.team_full",
     429,
     "The team has too many requests waiting",
     "Send fewer at once, or come back after the time given.",
 )
-NoEndpointError = _kind(
+NoEndpointError = _define_error(
     "NoEndpointError",
     "endpoint.none",
     503,
     "No runner of the service can take the request",
     "Come back after the time given; if it lasts, check the service's runners.",
 )
-EndpointFailedError = _kind(
+EndpointFailedError = _define_error(
     "EndpointFailedError",
     "endpoint.failed",
     502,
@@ -269,7 +269,7 @@
     "Check the outcome before sending a non-idempotent request again.",
     "unknown",
 )
-EndpointTimeoutError = _kind(
+EndpointTimeoutError = _define_error(
     "EndpointTimeoutError",
     "endpoint.timeout",
     504,
@@ -277,7 +277,7 @@
     "Check the outcome before sending a non-idempotent request again.",
     "unknown",
 )
-OnceInProgressError = _kind(
+OnceInProgressError = _define_error(
     "OnceInProgressError",
     "once.in_progress",
     409,
@@ -285,7 +285,7 @@
     "Ask again with the same key after the time given to get its outcome.",
     "unknown",
 )
-OnceUnknownError = _kind(
+OnceUnknownError = _define_error(
     "OnceUnknownError",
     "once.unknown",
     409,
@@ -293,77 +293,77 @@
     "Check with the service whether it took effect; it is not run again.",
     "unknown",
 )
-OnceMismatchError = _kind(
+OnceMismatchError = _define_error(
     "OnceMismatchError",
     "once.mismatch",
     422,
     "The Idempotency-Key was used before for another request",
     "Use a fresh key for each distinct request.",
 )
-JobInvalidError = _kind(
+JobInvalidError = _define_error(
     "JobInvalidError",
     "job.invalid",
     422,
     "The job is not valid",
     "Mend the fields named and submit it again; nothing was accepted.",
 )
-JobImpossibleError = _kind(
+JobImpossibleError = _define_error(
     "JobImpossibleError",
     "job.impossible",
     422,
     "The job can never run in this cell",
     "Ask for less, or have the plan or the workers enlarged.",
 )
-JobConflictError = _kind(
+JobConflictError = _define_error(
     "JobConflictError",
     "job.conflict",
     409,
     "Another job has this id",
     "Choose a new id, or submit the same body to repeat the request.",
 )
-JobUnknownError = _kind(
+JobUnknownError = _define_error(
     "JobUnknownError",
     "job.unknown",
     404,
     "No such job",
     "List the team's jobs with 'firhook job list' and name one of them.",
 )
-BodyTooLargeError = _kind(
+BodyTooLargeError = _define_error(
     "BodyTooLargeError",
     "request.too_large",
     413,
     "The body is larger than allowed",
     "Send a smaller body, or have [gateway] max_body_bytes raised.",
 )
-RequestMalformedError = _kind(
+RequestMalformedError = _define_error(
     "RequestMalformedError",
     "request.malformed",
     400,
     "The request cannot be understood",
     "Mend the part named and send it again.",
 )
-CallerGoneError = _kind(
+CallerGoneError = _define_error(
     "CallerGoneError",
     "request.abandoned",
     499,
     "The caller closed its connection while the request waited",
     "Keep the connection open until the answer or the deadline.",
 )
-RecordMalformedError = _kind(
+RecordMalformedError = _define_error(
     "RecordMalformedError",
     "record.malformed",
     500,
     "A record on the log cannot be understood",
     "Every instance ignores it; find who appended it.",
 )
-FrameMalformedError = _kind(
+FrameMalformedError = _define_error(
     "FrameMalformedError",
     "peer.malformed",
     400,
     "A message from a peer cannot be understood",
     "Check that all instances run versions that work together.",
 )
-PeerUnreachableError = _kind(
+PeerUnreachableError = _define_error(
     "PeerUnreachableError",
     "peer.unreachable",
     503,
@@ -371,14 +371,14 @@
     "Nothing needs doing unless this lasts.",
     "unknown",
 )
-NotLeadError = _kind(
+NotLeadError = _define_error(
     "NotLeadError",
     "lead.not_here",
     503,
     "This instance cannot lend room now",
     "The asker finds the zone's lead and asks again by itself.",
 )
-WorkerUnreachableError = _kind(
+WorkerUnreachableError = _define_error(
     "WorkerUnreachableError",
     "worker.unreachable",
     503,
@@ -386,21 +386,21 @@
     "Its tasks restart elsewhere once its lease has lapsed.",
     "unknown",
 )
-WorkerFencedError = _kind(
+WorkerFencedError = _define_error(
     "WorkerFencedError",
     "worker.fenced",
     409,
     "The worker has seen a newer zone lead",
     "This instance has lost the lead and stops placing by itself.",
 )
-StoppingError = _kind(
+StoppingError = _define_error(
     "StoppingError",
     "instance.stopping",
     503,
     "This instance is stopping",
     "Send the request again at once; the balancer picks another instance.",
 )
-NotReadyError = _kind(
+NotReadyError = _define_error(
     "NotReadyError",
     "instance.not_ready",
     503,
--- a/src/firhook/_instance.py
+++ b/src/firhook/_instance.py
@@ -69,7 +69,7 @@
     config: CellConfig | None = None
     read_at: float = float("-inf")
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether no key can have been withdrawn for too long unseen.
 
         An instance that is cut off from the store goes on with the keys that
@@ -93,10 +93,10 @@
         self.replica = instance.replica
         self.meters = instance.meters
         self.bus = instance.bus
-        self.wire()
+        self.register_handlers()
 
     @abstractmethod
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Subscribe to events and offer answers; called before any start."""
 
     async def drain(self) -> None:
@@ -109,7 +109,7 @@
     :param settings: what the platform tells this instance.
     :param platform: for all calls that it makes.
     :param services: the services by name; those that ship with firhook if none.
-    :param listening: the socket for callers, if it listens already.
+    :param listener: the socket for callers, if it listens already.
     :ivar incarnation: unique for each run of the process.
     :ivar replica: the cell's records.
     :ivar config: the operators' configuration.
@@ -121,12 +121,12 @@
         settings: InstanceSettings,
         platform: Connections,
         services: dict[str, type["InstanceService"]] | None = None,
-        listening: socket | None = None,
+        listener: socket | None = None,
     ) -> None:
         super().__init__()
         self.settings = settings
         self.platform = platform
-        self.listening = listening
+        self.listener = listener
         self.incarnation = secrets.token_hex(4)
         self.store = platform.store
         self.replica = Replica()
--- a/src/firhook/_instance_daemon.py
+++ b/src/firhook/_instance_daemon.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from firhook._early import EarlyStart
+from firhook._early_start import EarlyStart
 from firhook.errors import SettingsInvalidError
 from firhook.instance import Instance
 from firhook.logs import flush_logs, log, setup_logs
@@ -22,13 +22,13 @@
 EXIT_SETTINGS = 2
 EXIT_CRASHED = 1
 #: The settings file may change without a signal; it is compared so often.
-_WATCH_S = 1.0
+_SETTINGS_POLL_S = 1.0
 
 
-def run_instance(check: bool, early: EarlyStart | None = None) -> int:
+def run_instance(check_only: bool, early: EarlyStart | None = None) -> int:
     """Run an instance with the settings that the platform lays down.
 
-    :param check: only check the settings.
+    :param check_only: only check the settings.
     :param early: what was begun before this was imported.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
@@ -40,7 +40,7 @@
     except SettingsInvalidError as exc:
         print(f"{exc.detail}\n{exc.remedy}", file=sys.stderr)
         return EXIT_SETTINGS
-    if check:
+    if check_only:
         print(f"{path}: settings are valid")
         return 0
     return asyncio.run(_run(settings, Path(path), early))
@@ -48,18 +48,18 @@
 
 async def _run(settings: InstanceSettings, path: Path, early: EarlyStart | None) -> int:
     setup_logs(settings.zone, settings.name, stream=sys.stdout)
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, told.set)
-    if early is not None and early.stop_asked:
-        told.set()
+        loop.add_signal_handler(sig, stop_requested.set)
+    if early is not None and early.stop_requested:
+        stop_requested.set()
     changed = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, changed.set)
     async with new_session() as session:
         connections = HttpConnections(settings, session)
         instance = Instance(
-            settings, connections, listening=early.listening if early else None
+            settings, connections, listener=early.listener if early else None
         )
         log("instance.starting", incarnation=instance.incarnation)
         try:
@@ -70,23 +70,23 @@
             await instance.stop()
             return EXIT_CRASHED
         log("instance.started", incarnation=instance.incarnation)
-        watching = asyncio.create_task(_watch(path, settings, changed))
-        crashed = asyncio.create_task(instance.wait_until_stopped())
-        waiting = asyncio.create_task(told.wait())
-        await asyncio.wait({crashed, waiting}, return_when=asyncio.FIRST_COMPLETED)
-        watching.cancel()
-        if not told.is_set():
+        watch_task = asyncio.create_task(_watch_settings(path, settings, changed))
+        crash_task = asyncio.create_task(instance.wait_until_stopped())
+        stop_task = asyncio.create_task(stop_requested.wait())
+        await asyncio.wait({crash_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+        watch_task.cancel()
+        if not stop_requested.is_set():
             error = str(instance.crash_reason) or repr(instance.crash_reason)
             log("instance.crashed", level="error", error=error)
             return EXIT_CRASHED
         await instance.drain()
         await instance.stop()
-        crashed.cancel()
+        crash_task.cancel()
         log("instance.stopped")
     return 0
 
 
-async def _watch(
+async def _watch_settings(
     path: Path, settings: InstanceSettings, changed: asyncio.Event
 ) -> None:
     """Say when the settings file changes, and whether it can still be read.
@@ -94,18 +94,18 @@
     What an instance goes by while it runs, its addresses and bounds, is fixed
     at its start; a change takes effect at the next one.
     """
-    known = settings
+    current = settings
     while True:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(changed.wait(), _WATCH_S)
+            await asyncio.wait_for(changed.wait(), _SETTINGS_POLL_S)
         flush_logs()
         signalled = changed.is_set()
         changed.clear()
         try:
-            now = load_instance_settings(path)
+            loaded = load_instance_settings(path)
         except SettingsInvalidError as exc:
             log("settings.invalid", level="error", detail=exc.detail)
             continue
-        if signalled or now != known:
-            log("settings.read", changed=now != known, signalled=signalled)
-        known = now
+        if signalled or loaded != current:
+            log("settings.read", changed=loaded != current, signalled=signalled)
+        current = loaded
--- a/src/firhook/_lane.py
+++ b/src/firhook/_lane.py
@@ -7,7 +7,7 @@
 
 from mode import Service
 
-from firhook._budget import Budget
+from firhook._append_rate_limiter import AppendRateLimiter
 from firhook._bus import Bus
 from firhook.decide.carry import START_AGE
 from firhook.decide.commit import Outbox, Outgoing
@@ -59,7 +59,7 @@
         state: StreamState,
         service: LogService,
         bus: Bus,
-        budget: Budget,
+        budget: AppendRateLimiter,
         poll_s: float,
         carry_s: float = 3600.0,
     ) -> None:
@@ -139,7 +139,7 @@
             await self._wake.wait()
             self._wake.clear()
             while self._outbox.busy and not self.should_stop:
-                await self._budget.wait(lambda: self._outbox.urgent)
+                await self._budget.acquire(lambda: self._outbox.urgent)
                 batch = self._outbox.take()
                 if batch:
                     await self._send(batch)
--- a/src/firhook/_log_stream.py
+++ b/src/firhook/_log_stream.py
@@ -7,10 +7,10 @@
 
 #: What waits for a reader that stalls.  A pipe holds 64 KiB more; at the usual
 #: 100 lines of 200 bytes a second this is some 13 seconds.
-PENDING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 
 
-class StallProofStream:
+class NonBlockingStream:
     """Writes lines to a pipe as far as its reader takes them.
 
     Load: whoever collects the logs stalls, and the pipe fills up.  Harm: the next
@@ -24,18 +24,18 @@
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
-        self._fd = _pipe_of(stream)
+        self._fd = _pipe_descriptor(stream)
         self._pending: deque[bytes] = deque()
-        self._size = 0
-        self._left_out = 0
+        self._pending_bytes = 0
+        self._dropped_count = 0
         if self._fd is not None:
             os.set_blocking(self._fd, False)
 
-    def take_left_out(self) -> int:
+    def take_dropped_count(self) -> int:
         """Return how many lines were left out, once there is room to say so."""
         if self._pending:
             return 0
-        count, self._left_out = self._left_out, 0
+        count, self._dropped_count = self._dropped_count, 0
         return count
 
     def write(self, text: str) -> None:
@@ -45,11 +45,11 @@
             return
         self._flush_pending(self._fd)
         line = text.encode("utf-8", "backslashreplace")
-        if self._size + len(line) > PENDING_BYTES:
-            self._left_out += 1
+        if self._pending_bytes + len(line) > MAX_PENDING_BYTES:
+            self._dropped_count += 1
             return
         self._pending.append(line)
-        self._size += len(line)
+        self._pending_bytes += len(line)
         self._flush_pending(self._fd)
 
     def flush(self) -> None:
@@ -69,14 +69,14 @@
             except OSError:
                 # Nobody will ever read; there is nowhere to say so.
                 written = len(line)
-            self._size -= written
+            self._pending_bytes -= written
             if written == len(line):
                 self._pending.popleft()
             else:
                 self._pending[0] = line[written:]
 
 
-def _pipe_of(stream: TextIO) -> int | None:
+def _pipe_descriptor(stream: TextIO) -> int | None:
     """Return the descriptor of a stream that is a pipe or a socket."""
     try:
         fd = stream.fileno()
--- a/src/firhook/_loop_socket.py
+++ b/src/firhook/_loop_socket.py
@@ -8,7 +8,7 @@
 from firhook.logs import log
 
 #: Messages taken before other work of the loop has its turn.
-_BURST = 100
+_MAX_BATCH_MESSAGES = 100
 
 
 class LoopSocket:
@@ -27,14 +27,14 @@
         self.sock = sock
         self._on_message = on_message
         self._loop = asyncio.get_running_loop()
-        self._reading = self._due = False
+        self._reading = self._read_scheduled = False
 
     def start(self) -> None:
         """Begin to read."""
         self._reading = True
         self._loop.add_reader(self.sock.fileno(), self._read)
         # What came before is not signalled any more.
-        self._read_soon()
+        self._schedule_read()
 
     def send(self, frames: list[bytes]) -> bool:
         """Send a message; return whether it was taken.
@@ -50,17 +50,17 @@
         # Trying to send takes the signal that a message came, which is given only
         # once.
         if self._reading and self.sock.getsockopt(zmq.EVENTS) & zmq.POLLIN:
-            self._read_soon()
+            self._schedule_read()
         return taken
 
-    def _read_soon(self) -> None:
-        if not self._due:
-            self._due = True
+    def _schedule_read(self) -> None:
+        if not self._read_scheduled:
+            self._read_scheduled = True
             self._loop.call_soon(self._read)
 
     def _read(self) -> None:
-        self._due = False
-        for _ in range(_BURST):
+        self._read_scheduled = False
+        for _ in range(_MAX_BATCH_MESSAGES):
             if not self._reading:
                 return
             try:
@@ -71,7 +71,7 @@
                 self._on_message(frames)
             except Exception as exc:
                 log("peer.failed", level="error", error=repr(exc))
-        self._read_soon()
+        self._schedule_read()
 
     def close(self) -> None:
         """Stop reading and close the socket."""
--- a/src/firhook/_mesh.py
+++ b/src/firhook/_mesh.py
@@ -34,25 +34,25 @@
 #: Larger frames are refused by libzmq, so that no peer can fill the memory.
 MAX_FRAME_BYTES = 4 << 20
 #: Messages that wait for a peer that is away; older gossip is of no use.
-QUEUED_MESSAGES = 64
+MAX_QUEUED_MESSAGES = 64
 #: Messages that are being answered at once.  A peer that sends without end is
 #: refused beyond them, or the answers in progress would fill the memory.
-MAX_SERVING = 1000
+MAX_CONCURRENT_REQUESTS = 1000
 #: A connection on which nothing came for so long is made anew.  One that went silent
 #: without a reset, as after a cut, would otherwise be waited on for many seconds.
-_HEARTBEAT_MS = 2000
-_SILENT_MS = 2500
+_HEARTBEAT_INTERVAL_MS = 2000
+_HEARTBEAT_TIMEOUT_MS = 2500
 #: A peer without power does not refuse a connection; it is tried again soon, as it
 #: may be back within a second.
-_CONNECT_MS = 500
-ONE_WAY = b""
+_CONNECT_TIMEOUT_MS = 500
+ONE_WAY_TAG = b""
 _TAG_BYTES = 8
 #: For each message that is served.
-_NOTE_UNANSWERED = log_failure("peer.unanswered")
+_log_unanswered = log_failure("peer.unanswered")
 #: Shorter frames gain nothing by compression.
-COMPRESS_FROM_BYTES = 300
+COMPRESSION_THRESHOLD_BYTES = 300
 #: First byte of what zlib writes; no encoded message begins with it.
-_ZLIB = 0x78
+_ZLIB_FIRST_BYTE = 0x78
 
 
 def pack_frame(msg: Any) -> bytes:
@@ -70,7 +70,7 @@
         raise FrameMalformedError(
             f"a message of {len(frame)} bytes; {MAX_FRAME_BYTES} are allowed"
         )
-    if len(frame) < COMPRESS_FROM_BYTES:
+    if len(frame) < COMPRESSION_THRESHOLD_BYTES:
         return frame
     return min(zlib.compress(frame, 1), frame, key=len)
 
@@ -82,7 +82,7 @@
         than :data:`MAX_FRAME_BYTES`, which a few kilobytes could otherwise fill
         the memory with.
     """
-    if not frame or frame[0] != _ZLIB:
+    if not frame or frame[0] != _ZLIB_FIRST_BYTE:
         return decode_message(frame)
     unpacker = zlib.decompressobj()
     try:
@@ -103,9 +103,9 @@
     :ivar malformed: messages that could not be understood.
     :ivar refused: messages answered with an error of ours.
     :ivar failed: messages whose handler crashed.
-    :ivar overrun: messages refused because too many were being served.
-    :ivar messages: messages that were sent, by kind.
-    :ivar bytes: their bytes, without what the transport adds.
+    :ivar overloaded: messages refused because too many were being served.
+    :ivar sent_by_kind: messages that were sent, by kind.
+    :ivar sent_bytes_by_kind: their bytes, without what the transport adds.
     """
 
     sent: int = 0
@@ -115,12 +115,12 @@
     malformed: int = 0
     refused: int = 0
     failed: int = 0
-    overrun: int = 0
-    messages: Counter[str] = attrs.field(factory=Counter)
-    bytes: Counter[str] = attrs.field(factory=Counter)
+    overloaded: int = 0
+    sent_by_kind: Counter[str] = attrs.field(factory=Counter)
+    sent_bytes_by_kind: Counter[str] = attrs.field(factory=Counter)
 
 
-class _Allowed:
+class _CellKeyValidator:
     """Lets in the cell's own public key only."""
 
     def __init__(self, public: str) -> None:
@@ -131,7 +131,7 @@
         return key == self._public
 
 
-def _error(exc: FirhookError) -> PeerError:
+def _to_peer_error(exc: FirhookError) -> PeerError:
     return PeerError(exc.code, exc.detail)
 
 
@@ -140,24 +140,24 @@
 
     :param public: the cell's CURVE public key, in Z85.
     :param secret: its secret key.
-    :param serve: handles a message and returns the answer to it, if any; or an
+    :param handler: handles a message and returns the answer to it, if any; or an
         awaitable of it, if the answer takes a while.
     """
 
     def __init__(
-        self, public: str, secret: str, serve: Callable[[Any], Awaitable[Any] | Any]
+        self, public: str, secret: str, handler: Callable[[Any], Awaitable[Any] | Any]
     ) -> None:
         self._public = public.encode()
         self._secret = secret.encode()
-        self._serve = serve
+        self._handler = handler
         self._ctx = zmq.asyncio.Context()
         self._auth = AsyncioAuthenticator(self._ctx)
-        self._plain_ctx: zmq.Context[Any] = zmq.Context.shadow(self._ctx)
+        self._sync_ctx: zmq.Context[Any] = zmq.Context.shadow(self._ctx)
         self._router: LoopSocket | None = None
         self._dealers: dict[str, LoopSocket] = {}
-        self._asked: dict[bytes, asyncio.Future[Any]] = {}
-        self._serving: set[asyncio.Task[None]] = set()
-        self._count = 0
+        self._pending_requests: dict[bytes, asyncio.Future[Any]] = {}
+        self._handler_tasks: set[asyncio.Task[None]] = set()
+        self._request_count = 0
         self.counts = MeshCounts()
 
     def bind(self, address: Address) -> Address:
@@ -167,9 +167,9 @@
         """
         self._auth.start()
         self._auth.configure_curve_callback(
-            domain="*", credentials_provider=_Allowed(self._public.decode())
+            domain="*", credentials_provider=_CellKeyValidator(self._public.decode())
         )
-        router = self._plain_ctx.socket(zmq.ROUTER)
+        router = self._sync_ctx.socket(zmq.ROUTER)
         self._configure(router)
         router.curve_server = True
         try:
@@ -179,16 +179,16 @@
             detail = f"{address.host}:{address.port}: {exc.strerror}"
             raise AddressUnusableError(detail) from exc
         endpoint = router.getsockopt_string(zmq.LAST_ENDPOINT)
-        self._router = LoopSocket(router, self._take)
+        self._router = LoopSocket(router, self._on_request)
         return Address(address.host, int(endpoint.rpartition(":")[2]))
 
     def _configure(self, sock: zmq.Socket[Any]) -> None:
         sock.linger = 0
-        sock.heartbeat_ivl = _HEARTBEAT_MS
-        sock.heartbeat_timeout = _SILENT_MS
-        sock.handshake_ivl = _SILENT_MS
+        sock.heartbeat_ivl = _HEARTBEAT_INTERVAL_MS
+        sock.heartbeat_timeout = _HEARTBEAT_TIMEOUT_MS
+        sock.handshake_ivl = _HEARTBEAT_TIMEOUT_MS
         sock.maxmsgsize = MAX_FRAME_BYTES
-        sock.sndhwm = QUEUED_MESSAGES
+        sock.sndhwm = MAX_QUEUED_MESSAGES
         sock.curve_publickey = self._public
         sock.curve_secretkey = self._secret
 
@@ -196,14 +196,14 @@
         """Connect to a peer, unless connected already."""
         if address in self._dealers:
             return
-        dealer = self._plain_ctx.socket(zmq.DEALER)
+        dealer = self._sync_ctx.socket(zmq.DEALER)
         self._configure(dealer)
         dealer.curve_serverkey = self._public
         dealer.reconnect_ivl = 100
         dealer.reconnect_ivl_max = 400
-        dealer.connect_timeout = _CONNECT_MS
+        dealer.connect_timeout = _CONNECT_TIMEOUT_MS
         dealer.connect(f"tcp://{address}")
-        self._dealers[address] = LoopSocket(dealer, self._take_answer)
+        self._dealers[address] = LoopSocket(dealer, self._on_reply)
         self._dealers[address].start()
 
     def disconnect(self, address: str) -> None:
@@ -227,29 +227,29 @@
         """The peers connected to."""
         return set(self._dealers)
 
-    def tell(self, address: str, msg: Any) -> None:
+    def send(self, address: str, msg: Any) -> None:
         """Send a one-way message; it is dropped if the peer is away."""
-        self._send(address, ONE_WAY, msg, pack_frame(msg))
+        self._send(address, ONE_WAY_TAG, msg, pack_frame(msg))
 
-    def tell_all(self, msg: Any, addresses: Iterable[str] | None = None) -> int:
+    def broadcast(self, msg: Any, addresses: Iterable[str] | None = None) -> int:
         """Send a one-way message to peers and return its size in bytes.
 
         :param addresses: of the peers; all that are connected to if ``None``.
         """
         frame = pack_frame(msg)
         for address in self._dealers if addresses is None else addresses:
-            self._send(address, ONE_WAY, msg, frame)
+            self._send(address, ONE_WAY_TAG, msg, frame)
         return len(frame)
 
-    async def ask(self, address: str, msg: Any, timeout_s: float) -> Any:
+    async def request(self, address: str, msg: Any, timeout_s: float) -> Any:
         """Send a message and return the answer.
 
         :raises PeerUnreachableError: if none came in time, or it was an error.
         """
-        self._count += 1
-        tag = self._count.to_bytes(8, "big")
+        self._request_count += 1
+        tag = self._request_count.to_bytes(8, "big")
         fut = asyncio.get_running_loop().create_future()
-        self._asked[tag] = fut
+        self._pending_requests[tag] = fut
         try:
             if not self._send(address, tag, msg, pack_frame(msg)):
                 raise PeerUnreachableError(f"{address}: not connected", ran="no")
@@ -260,7 +260,7 @@
                 f"{address}: no answer in {timeout_s:g} s"
             ) from exc
         finally:
-            self._asked.pop(tag, None)
+            self._pending_requests.pop(tag, None)
         if isinstance(answer, PeerError):
             raise PeerUnreachableError(f"{address}: {answer.code}: {answer.detail}")
         return answer
@@ -269,24 +269,24 @@
         dealer = self._dealers.get(address)
         if dealer is None or not dealer.send([tag, frame]):
             return False
-        self._count_sent(msg, frame)
+        self._record_sent(msg, frame)
         return True
 
-    def _count_sent(self, msg: Any, frame: bytes) -> None:
+    def _record_sent(self, msg: Any, frame: bytes) -> None:
         """Take note of a message that a socket took."""
         kind = type(msg).__name__
         self.counts.sent_bytes += len(frame)
         self.counts.sent += 1
-        self.counts.messages[kind] += 1
-        self.counts.bytes[kind] += len(frame)
+        self.counts.sent_by_kind[kind] += 1
+        self.counts.sent_bytes_by_kind[kind] += len(frame)
 
-    def _take_answer(self, frames: list[bytes]) -> None:
+    def _on_reply(self, frames: list[bytes]) -> None:
         if len(frames) != 2:
             self.counts.malformed += 1
             return
         self.counts.received_bytes += len(frames[1])
         self.counts.received += 1
-        fut = self._asked.get(frames[0])
+        fut = self._pending_requests.get(frames[0])
         if fut is None or fut.done():
             # The asker gave up; the tag keeps this late answer from
             # reaching whoever asks next.
@@ -305,74 +305,74 @@
         self._router.start()
         await asyncio.get_running_loop().create_future()
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _on_request(self, frames: list[bytes]) -> None:
         if len(frames) != 3 or len(frames[1]) not in (0, _TAG_BYTES):
-            self._refuse_frames(frames)
+            self._reject_frames(frames)
             return
         identity, tag, frame = frames
         self.counts.received_bytes += len(frame)
         self.counts.received += 1
-        if len(self._serving) >= MAX_SERVING:
-            self.counts.overrun += 1
+        if len(self._handler_tasks) >= MAX_CONCURRENT_REQUESTS:
+            self.counts.overloaded += 1
             exc = OverloadedError("too many messages are being served")
-            self._answer(identity, tag, _error(exc))
+            self._reply(identity, tag, _to_peer_error(exc))
             return
         try:
-            answer = self._serve(unpack_frame(frame))
+            answer = self._handler(unpack_frame(frame))
         except Exception as exc:
-            answer = self._failed(exc)
+            answer = self._record_failure(exc)
         if not inspect.isawaitable(answer):
-            self._answer(identity, tag, answer)
+            self._reply(identity, tag, answer)
             return
-        task = asyncio.ensure_future(self._answer_later(identity, tag, answer))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
-        task.add_done_callback(_NOTE_UNANSWERED)
+        task = asyncio.ensure_future(self._reply_when_done(identity, tag, answer))
+        self._handler_tasks.add(task)
+        task.add_done_callback(self._handler_tasks.discard)
+        task.add_done_callback(_log_unanswered)
 
-    def _refuse_frames(self, frames: list[bytes]) -> None:
+    def _reject_frames(self, frames: list[bytes]) -> None:
         self.counts.malformed += 1
         log("peer.malformed", level="warning", frames=len(frames))
         if len(frames) >= 2 and 0 < len(frames[1]) <= _TAG_BYTES:
             exc = FrameMalformedError(f"{len(frames) - 1} frames; give a tag and one")
-            self._answer(frames[0], frames[1], _error(exc))
+            self._reply(frames[0], frames[1], _to_peer_error(exc))
 
-    async def _answer_later(
+    async def _reply_when_done(
         self, identity: bytes, tag: bytes, answer: Awaitable[Any]
     ) -> None:
         try:
-            self._answer(identity, tag, await answer)
+            self._reply(identity, tag, await answer)
         except Exception as exc:
-            self._answer(identity, tag, self._failed(exc))
+            self._reply(identity, tag, self._record_failure(exc))
 
-    def _failed(self, exc: Exception) -> PeerError:
+    def _record_failure(self, exc: Exception) -> PeerError:
         """Count and log why a message was not served; return what to answer."""
         if isinstance(exc, FrameMalformedError):
             self.counts.malformed += 1
             log("peer.malformed", level="warning", code=exc.code, detail=exc.detail)
-            return _error(exc)
+            return _to_peer_error(exc)
         if isinstance(exc, FirhookError):
             self.counts.refused += 1
             log("peer.refused", level="debug", code=exc.code, detail=exc.detail)
-            return _error(exc)
+            return _to_peer_error(exc)
         self.counts.failed += 1
         log("peer.failed", level="error", error=repr(exc))
         return PeerError("internal", repr(exc))
 
-    def _answer(self, identity: bytes, tag: bytes, answer: Any) -> None:
-        if tag == ONE_WAY or answer is None or self._router is None:
+    def _reply(self, identity: bytes, tag: bytes, answer: Any) -> None:
+        if tag == ONE_WAY_TAG or answer is None or self._router is None:
             return
         try:
             reply = pack_frame(answer)
         except FrameMalformedError as exc:
-            reply = pack_frame(_error(exc))
+            reply = pack_frame(_to_peer_error(exc))
         if self._router.send([identity, tag, reply]):
-            self._count_sent(answer, reply)
+            self._record_sent(answer, reply)
 
     def close(self) -> None:
         """Close all sockets."""
         for address in list(self._dealers):
             self.disconnect(address)
-        for task in self._serving:
+        for task in self._handler_tasks:
             task.cancel()
         if self._router is not None:
             self._router.close()
--- a/src/firhook/_meters.py
+++ b/src/firhook/_meters.py
@@ -9,29 +9,29 @@
 #: The label values of one name; further ones are counted under "other", so that
 #: a caller who makes up names cannot fill the memory.
 MAX_LABELS = 40
-OTHER = "other"
+OTHER_LABEL = "other"
 
 
 class Meters:
-    """What an instance counts and times, by name and label."""
+    """What an instance counts and histograms, by name and label."""
 
     def __init__(self) -> None:
         self.counters: dict[str, Counter[str]] = {}
-        self.times: dict[str, dict[str, HdrHistogram]] = {}
+        self.histograms: dict[str, dict[str, HdrHistogram]] = {}
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
         """Add to a counter."""
         counter = self.counters.setdefault(name, Counter())
         if label not in counter and len(counter) >= MAX_LABELS:
-            label = OTHER
+            label = OTHER_LABEL
         counter[label] += amount
 
-    def time(self, name: str, label: str, seconds: float) -> None:
+    def record_duration(self, name: str, label: str, seconds: float) -> None:
         """Record how long something took."""
-        times = self.times.setdefault(name, {})
-        if label not in times and len(times) >= MAX_LABELS:
-            label = OTHER
-        if label not in times:
-            times[label] = HdrHistogram(_LOW_US, _HIGH_US, _DIGITS)
+        histograms = self.histograms.setdefault(name, {})
+        if label not in histograms and len(histograms) >= MAX_LABELS:
+            label = OTHER_LABEL
+        if label not in histograms:
+            histograms[label] = HdrHistogram(_LOW_US, _HIGH_US, _DIGITS)
         value = min(max(int(seconds * 1e6), _LOW_US), _HIGH_US)
-        times[label].record_value(value)
+        histograms[label].record_value(value)
--- a/src/firhook/_sockets.py
+++ b/src/firhook/_sockets.py
@@ -9,7 +9,7 @@
 BACKLOG = 512
 
 
-def listening_socket(host: str, port: int) -> socket.socket:
+def open_listening_socket(host: str, port: int) -> socket.socket:
     """Return a socket that listens, not blocking.
 
     Two processes that start together can both bind a port on which nobody
--- a/src/firhook/_tasks.py
+++ b/src/firhook/_tasks.py
@@ -19,8 +19,8 @@
     :param fields: further members of the line.
     """
 
-    def note(task: asyncio.Future[Any]) -> None:
+    def log_if_failed(task: asyncio.Future[Any]) -> None:
         if not task.cancelled() and task.exception() is not None:
             log(event, level=level, error=repr(task.exception()), **fields)
 
-    return note
+    return log_if_failed
--- a/src/firhook/_web.py
+++ b/src/firhook/_web.py
@@ -10,7 +10,7 @@
 import msgspec
 from aiohttp import web
 
-from firhook._sockets import BACKLOG, listening_socket
+from firhook._sockets import BACKLOG, open_listening_socket
 from firhook.errors import (
     BodyTooLargeError,
     FirhookError,
@@ -197,7 +197,7 @@
         app, access_log=None, shutdown_timeout=1.0, auto_decompress=False
     )
     await runner.setup()
-    sock = listening_socket(host, port)
+    sock = open_listening_socket(host, port)
     site = DrainedSite(runner, sock)
     await site.start()
     return runner, site
--- a/src/firhook/daemon.py
+++ b/src/firhook/daemon.py
@@ -15,12 +15,12 @@
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if len(sys.argv) == 1 and path:
-        from firhook._early import EarlyStart
+        from firhook._early_start import EarlyStart
 
         early = EarlyStart(Path(path))
         from firhook._instance_daemon import run_instance
 
-        sys.exit(run_instance(check=False, early=early))
+        sys.exit(run_instance(check_only=False, early=early))
     from firhook._daemon import main as run
 
     run()
--- a/src/firhook/logs.py
+++ b/src/firhook/logs.py
@@ -7,12 +7,12 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from firhook._log_stream import StallProofStream
+from firhook._log_stream import NonBlockingStream
 
 #: Events alone.  mode logs under the names of its services' modules, that each
 #: starts and stops, which says nothing that the events do not say.
 _LOGGER = logging.getLogger("firhook.events")
-_stream: StallProofStream | None = None
+_stream: NonBlockingStream | None = None
 
 
 def setup_logs(
@@ -24,7 +24,7 @@
     :param instance: the instance's name, put on every line.
     """
     global _stream
-    _stream = StallProofStream(stream or sys.stderr)
+    _stream = NonBlockingStream(stream or sys.stderr)
     handler = logging.StreamHandler(_stream)
     handler.setFormatter(
         JsonFormatter(
@@ -43,10 +43,10 @@
 
 #: Lines of one event in a second.  A cell that starts and ends 100 tasks a second
 #: stays below it; a loop of failures at one per call does not.
-LINES_A_SECOND = 400
+MAX_LINES_PER_SECOND = 400
 
 
-class _Budget:
+class _EventRateLimiter:
     """Bounds the lines of each event, and counts what was left out.
 
     Load: something fails at every call, thousands of times a second.  Harm: each
@@ -56,25 +56,25 @@
 
     def __init__(self) -> None:
         self._second = 0
-        self._lines: dict[str, int] = {}
+        self._line_counts: dict[str, int] = {}
 
     def allows(self, event: str, now: float) -> bool:
         """Return whether a line may be written; say first what was left out."""
         if int(now) != self._second:
-            left_out = {
-                name: count - LINES_A_SECOND
-                for name, count in self._lines.items()
-                if count > LINES_A_SECOND
+            dropped = {
+                name: count - MAX_LINES_PER_SECOND
+                for name, count in self._line_counts.items()
+                if count > MAX_LINES_PER_SECOND
             }
-            self._second, self._lines = int(now), {}
-            if left_out:
-                _LOGGER.warning("log.left_out", extra={"lines": left_out})
-        count = self._lines.get(event, 0) + 1
-        self._lines[event] = count
-        return count <= LINES_A_SECOND
+            self._second, self._line_counts = int(now), {}
+            if dropped:
+                _LOGGER.warning("log.left_out", extra={"lines": dropped})
+        count = self._line_counts.get(event, 0) + 1
+        self._line_counts[event] = count
+        return count <= MAX_LINES_PER_SECOND
 
 
-_budget = _Budget()
+_rate_limiter = _EventRateLimiter()
 
 
 def log(event: str, *, level: str = "info", **fields: object) -> None:
@@ -84,7 +84,7 @@
     :param fields: further members; ``code`` and ``request_id`` where known.
     """
     number = logging.getLevelName(level.upper())
-    if _LOGGER.isEnabledFor(number) and _budget.allows(event, time.monotonic()):
+    if _LOGGER.isEnabledFor(number) and _rate_limiter.allows(event, time.monotonic()):
         _LOGGER.log(number, event, extra=fields)
 
 
@@ -96,6 +96,6 @@
     if _stream is None:
         return
     _stream.flush()
-    unread = _stream.take_left_out()
+    unread = _stream.take_dropped_count()
     if unread:
         _LOGGER.warning("log.left_out", extra={"lines": {"unread": unread}})
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -62,11 +62,11 @@
         self._policy = StalePolicy(
             cfg.stale == "refuse", cfg.key_stale_s, cfg.key_stale_max_s
         )
-        self.bus.answer(ChangeRows, self._change_rows)
-        self.bus.answer(GiveKey, self._give_key)
-        self.bus.answer(WithdrawKey, self._withdraw_key)
-        self.bus.answer(Authenticate, self._authenticate)
-        self.bus.answer(CheckFresh, self._check_fresh)
+        self.bus.register_handler(ChangeRows, self._change_rows)
+        self.bus.register_handler(GiveKey, self._give_key)
+        self.bus.register_handler(WithdrawKey, self._withdraw_key)
+        self.bus.register_handler(Authenticate, self._authenticate)
+        self.bus.register_handler(CheckFresh, self._check_fresh)
         self.bus.subscribe(RecordApplied, self._on_record)
         self.bus.subscribe(StreamRebuilt, self._on_rebuilt)
 
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -11,7 +11,7 @@
 
 from mode import Service
 
-from firhook._budget import Budget
+from firhook._append_rate_limiter import AppendRateLimiter
 from firhook._lane import Lane
 from firhook.decide.carry import carry_due, carry_rank
 from firhook.errors import FirhookError, FrameMalformedError, NotReadyError
@@ -53,7 +53,7 @@
     def wire(self) -> None:
         """Offer appends and the log's age."""
         cfg = self.cfg
-        budget = Budget(cfg.append_budget_per_s / cfg.instances_expected)
+        budget = AppendRateLimiter(cfg.append_budget_per_s / cfg.instances_expected)
         self._listed: set[str] = set()
         self.lanes = {
             stream: Lane(
@@ -68,9 +68,9 @@
             )
             for stream, state in self.states.by_stream.items()
         }
-        self.bus.answer(Append, self._append)
-        self.bus.answer(LogAge, self._age)
-        self.bus.answer(StreamReady, self._stream_ready)
+        self.bus.register_handler(Append, self._append)
+        self.bus.register_handler(LogAge, self._age)
+        self.bus.register_handler(StreamReady, self._stream_ready)
         self.bus.subscribe(InstancesListed, self._on_instances)
 
     def on_init_dependencies(self) -> list[Any]:
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -84,9 +84,9 @@
         self.keeper = RoomKeeper(self.kernel, self.leadership, self.lender.on_ask)
         self.lender.keeper = self.keeper
         bus = self.bus
-        bus.answer(AskPeer, self._ask_peer)
-        bus.answer(Members, self._members)
-        bus.answer(LeadView, self._lead_view)
+        bus.register_handler(AskPeer, self._ask_peer)
+        bus.register_handler(Members, self._members)
+        bus.register_handler(LeadView, self._lead_view)
         bus.subscribe(ServePeer, self._on_serve_peer)
         bus.subscribe(RecordApplied, self._on_record)
         bus.subscribe(StreamRebuilt, self._on_rebuilt)
@@ -163,7 +163,7 @@
 
     async def _gossip_once(self) -> None:
         assert self._mesh is not None
-        size = self._mesh.tell_all(await self._word()) + TRANSPORT_BYTES
+        size = self._mesh.broadcast(await self._word()) + TRANSPORT_BYTES
         peers = len(self._mesh.addresses)
         self._every_s = gossip_every(size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S)
 
@@ -243,7 +243,7 @@
         assert self._mesh is not None
         # A seed is known by its address before it is known by its name.
         address = self._addresses.get(query.peer, query.peer)
-        return await self._mesh.ask(address, query.body, query.timeout_s)
+        return await self._mesh.request(address, query.body, query.timeout_s)
 
     @Service.task
     async def _list_loop(self) -> None:
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -66,9 +66,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, set[asyncio.Future[None]]] = {}
         bus = self.bus
-        bus.answer(OnceBegin, self._begin)
-        bus.answer(OnceFinish, self._finish)
-        bus.answer(OnceGiveBack, self._give_back)
+        bus.register_handler(OnceBegin, self._begin)
+        bus.register_handler(OnceFinish, self._finish)
+        bus.register_handler(OnceGiveBack, self._give_back)
         bus.subscribe(OnceSending, self._on_sending)
         bus.subscribe(OnceLost, self._on_lost)
         bus.subscribe(RecordApplied, self._on_record)
--- a/src/firhook/services/_adviser_client.py
+++ b/src/firhook/services/_adviser_client.py
@@ -114,7 +114,7 @@
             # count from the expected time of the answer.
             advice.record_answer(wish.workers, answer, min(now, began + expected_s))
             queue = wish.step.job.queue.name
-            self._instance.meters.time("advice", queue, now - began)
+            self._instance.meters.record_duration("advice", queue, now - began)
         self._on_answer()
 
     def _note_late(self, wish: AdviceRequest, slot: AdviserSlot) -> None:
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from firhook._sockets import listening_socket
+from firhook._sockets import open_listening_socket
 from firhook._web import (
     DrainedSite,
     close_served,
@@ -80,7 +80,7 @@
 class Callers(InstanceService):
     """Serves callers, and tells the platform whether to send more of them."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Begin without sockets."""
         self._runners: list[web.ServerRunner] = []
         self._open_requests = 0
@@ -101,7 +101,7 @@
         until = boot_time() + _FIRST_CONFIG_TIMEOUT_S
         while self.instance.config.config is None and boot_time() < until:
             await asyncio.sleep(_FIRST_CONFIG_POLL_S)
-        await self._listen(self._handle, self.settings.callers, self.instance.listening)
+        await self._listen(self._handle, self.settings.callers, self.instance.listener)
 
     async def _listen(
         self, handler: Any, address: Address, sock: socket.socket | None = None
@@ -111,7 +111,7 @@
         )
         runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
-        sock = sock or listening_socket(address.host, address.port)
+        sock = sock or open_listening_socket(address.host, address.port)
         await DrainedSite(runner, sock).start()
         self._runners.append(runner)
 
@@ -167,7 +167,9 @@
             self._open_requests -= 1
         if self.instance.stopping:
             resp.force_close()
-        self.meters.time("answer", f"{req.method} {resp.status}", boot_time() - began)
+        self.meters.record_duration(
+            "answer", f"{req.method} {resp.status}", boot_time() - began
+        )
         return resp
 
     async def _answer(self, req: web.BaseRequest) -> web.Response:
@@ -197,7 +199,7 @@
         view = self.instance.config
         if view.config is None:
             raise NotReadyError("no configuration was read yet", retry_after_s=_RETRY_S)
-        if not view.fresh(boot_time()):
+        if not view.is_fresh(boot_time()):
             age_s = round(boot_time() - view.read_at, 1)
             raise ZoneStaleError(f"read {age_s} s ago", retry_after_s=_RETRY_S)
         return view.config
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -175,7 +175,7 @@
 class Follower(InstanceService):
     """Keeps the replica up to date."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer reading to the end, and appending."""
         firsts = (LEAD_PARTITIONS[0], CALLERS_PARTITIONS[0])
         self._readers = {
@@ -203,13 +203,13 @@
         self._holds_full_replica = False
         self._standby_until = float("-inf")
         self._full_fetch: asyncio.Task[None] | None = None
-        self.bus.answer(CatchUp, self._catch_up)
-        self.bus.answer(ReadToEnd, self._read_to_end)
-        self.bus.answer(AppendRecord, self._append_record)
-        self.bus.answer(StoreLatency, self._store_latency)
-        self.bus.answer(ReplicaAge, self._replica_age)
-        self.bus.answer(IsFollowingStore, self._is_following_store)
-        self.bus.answer(HoldFullReplica, self._hold_full_replica)
+        self.bus.register_handler(CatchUp, self._catch_up)
+        self.bus.register_handler(ReadToEnd, self._read_to_end)
+        self.bus.register_handler(AppendRecord, self._append_record)
+        self.bus.register_handler(StoreLatency, self._store_latency)
+        self.bus.register_handler(ReplicaAge, self._replica_age)
+        self.bus.register_handler(IsFollowingStore, self._is_following_store)
+        self.bus.register_handler(HoldFullReplica, self._hold_full_replica)
         self.bus.subscribe(RecordsAppended, self._on_appended)
         self.bus.subscribe(TermEnded, self._on_term_ended)
 
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -104,7 +104,7 @@
     place = staticmethod(place_round)
     slot_plan = SlotPlan
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Initialise the state and subscribe to what the lead depends on."""
         self._election = Election(self.settings.name)
         self._act_until = float("-inf")
@@ -124,7 +124,7 @@
         self.bus.subscribe(LeadRecordSeen, self._on_lead_seen)
         self.bus.subscribe(PartitionRebuilt, self._on_rebuilt)
         self.bus.subscribe(StopBegun, self._on_stop_begun)
-        self.bus.answer(LiveLead, self._current_lead)
+        self.bus.register_handler(LiveLead, self._current_lead)
 
     async def on_started(self) -> None:
         """Serve messages of other instances, and start the main loop."""
--- a/src/firhook/services/_mesh.py
+++ b/src/firhook/services/_mesh.py
@@ -41,14 +41,14 @@
     the cell's topic: only who can read the platform's store can speak to them.
     """
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer questions to peers."""
         self._mesh: Mesh | None = None
         self._registration: Registration | None = None
         self._handlers: dict[type, Callable[[Any], Any]] = {}
         self._peer_addresses: dict[str, str] = {}
         self._last_used_at: dict[str, float] = {}
-        self.bus.answer(AskInstance, self._ask)
+        self.bus.register_handler(AskInstance, self._ask)
         self.bus.subscribe(RegisterMessageHandler, self._on_register_handler)
         self.bus.subscribe(SendToInstances, self._on_send_to_instances)
         self.bus.subscribe(SendToInstance, self._on_send_to_instance)
@@ -60,7 +60,7 @@
 
     def _on_send_to_instances(self, event: SendToInstances) -> None:
         if self._mesh is not None:
-            self._mesh.tell_all(event.body, self._connect_to_all(event.names))
+            self._mesh.broadcast(event.body, self._connect_to_all(event.names))
 
     def _connect_to_all(self, names: tuple[str, ...] | None) -> list[str]:
         wanted = self._peer_addresses if names is None else names
@@ -85,7 +85,7 @@
     def _on_send_to_instance(self, event: SendToInstance) -> None:
         address = self._connect_to(event.peer)
         if self._mesh is not None and address is not None:
-            self._mesh.tell(address, event.body)
+            self._mesh.send(address, event.body)
 
     def _on_register_handler(self, event: RegisterMessageHandler) -> None:
         self._handlers[event.kind] = event.handler
@@ -99,8 +99,8 @@
         mesh = Mesh(keys.public, keys.secret, self._dispatch)
         bound = mesh.bind(Address(self.settings.ip, self.settings.peer_port))
         self._mesh = mesh
-        self.meters.counters["messages_sent"] = mesh.counts.messages
-        self.meters.counters["message_bytes_sent"] = mesh.counts.bytes
+        self.meters.counters["messages_sent"] = mesh.counts.sent_by_kind
+        self.meters.counters["message_bytes_sent"] = mesh.counts.sent_bytes_by_kind
         self.add_future(mesh.run())
         self._registration = Registration(self, str(bound))
         self.add_future(self._registration.run())
@@ -152,7 +152,7 @@
         address = self._connect_to(query.peer)
         if self._mesh is None or address is None:
             raise PeerUnreachableError(f"{query.peer}: not known", ran="no")
-        return await self._mesh.ask(address, query.body, query.timeout_s)
+        return await self._mesh.request(address, query.body, query.timeout_s)
 
     def _dispatch(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
--- a/src/firhook/services/_metrics.py
+++ b/src/firhook/services/_metrics.py
@@ -12,7 +12,7 @@
 )
 from prometheus_client.registry import Collector
 
-from firhook._sockets import listening_socket
+from firhook._sockets import open_listening_socket
 from firhook.clock import boot_time
 from firhook.errors import AddressUnusableError
 from firhook.instance import Instance, InstanceService, register_service
@@ -40,14 +40,14 @@
             for label, count in counter.items():
                 family.add_metric([label], count)
             yield family
-        for name, times in sorted(meters.times.items()):
+        for name, histograms in sorted(meters.histograms.items()):
             family = SummaryMetricFamily(
                 f"firhook_{name}_seconds", name, labels=["kind"]
             )
             gauge = GaugeMetricFamily(
                 f"firhook_{name}_quantile_seconds", name, labels=["kind", "quantile"]
             )
-            for label, hist in times.items():
+            for label, hist in histograms.items():
                 total = hist.get_total_count()
                 mean_s = hist.get_mean_value() / 1e6
                 family.add_metric([label], count_value=total, sum_value=mean_s * total)
@@ -77,7 +77,7 @@
 class Metrics(InstanceService):
     """The metrics' port."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Begin without a socket."""
         self._runner: web.ServerRunner | None = None
 
@@ -86,7 +86,7 @@
         self._runner = web.ServerRunner(web.Server(self._serve, access_log=None))
         await self._runner.setup()
         try:
-            sock = listening_socket(self.settings.ip, METRICS_PORT)
+            sock = open_listening_socket(self.settings.ip, METRICS_PORT)
         except AddressUnusableError as exc:
             # An instance without metrics serves; one that ended here would not.
             log("metrics.unavailable", level="error", error=str(exc))
--- a/src/firhook/services/_operator.py
+++ b/src/firhook/services/_operator.py
@@ -33,7 +33,7 @@
 class Operator(InstanceService):
     """Keeps the configuration up to date."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Begin with nothing read."""
         self._reader = TopicReader(self.store, OPERATOR_TOPIC, _POLL_TIMEOUT_S)
         self._raw_config = b""
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -238,7 +238,7 @@
         self._term.tickets.record_start(now - run.assigned_at)
         run.assigned_at = now
         self._term.job_table.mark_begun(run.task.step.job, now)
-        self._meters.time("start", "", now - began)
+        self._meters.record_duration("start", "", now - began)
         log(
             "run.started",
             task=run.task.name,
--- a/src/firhook/services/_placer.py
+++ b/src/firhook/services/_placer.py
@@ -79,12 +79,14 @@
                 self._update_urgent_need(step.spec.reserved.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
-                self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
+                self._meters.record_duration(
+                    "wait_for_room", queue, now - step.job.accepted_at
+                )
         self._waits = result.wait_reasons
         self._adviser_client.ask_all(result.advice_requests, now)
         self._tickets.retain_jobs(self._job_table.jobs)
         took_s = boot_time() - now
-        self._meters.time("round", "", took_s)
+        self._meters.record_duration("round", "", took_s)
 
     def log_waiting(self, now: float) -> None:
         """Log the steps that have waited longest, and why they wait."""
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -273,7 +273,7 @@
             runs=sum(len(r) for r in self.job_table.worker_runs.values()),
             took_ms=round((boot_time() - self._begun_at) * 1000, 1),
         )
-        self._meters.time("takeover", "", boot_time() - self._begun_at)
+        self._meters.record_duration("takeover", "", boot_time() - self._begun_at)
         self._spawn(
             delete_expired_jobs(
                 self._replica,
@@ -547,7 +547,7 @@
                 for job in jobs
             ]
             await self._append(records)
-            self._meters.time("store_state", "", boot_time() - began)
+            self._meters.record_duration("store_state", "", boot_time() - began)
         for link, number in acks:
             link.set_ack(number)
         for job in jobs:
@@ -560,7 +560,7 @@
         self, job_id: str, status: JobStatus, accepted_at: float, queue: str
     ) -> None:
         took_s = boot_time() - accepted_at
-        self._meters.time("job", f"{queue} {status.name.lower()}", took_s)
+        self._meters.record_duration("job", f"{queue} {status.name.lower()}", took_s)
         log(
             "job.ended", job=job_id, status=status.name.lower(), took_s=round(took_s, 3)
         )
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -127,10 +127,10 @@
 
     cell: "ModelCell"
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer questions to peers."""
         self.handlers: dict[type, Callable[[Any], Any]] = {}
-        self.bus.answer(AskInstance, self._ask)
+        self.bus.register_handler(AskInstance, self._ask)
         self.bus.subscribe(RegisterMessageHandler, self._on_serve)
         self.bus.subscribe(SendToInstances, self._on_broadcast)
         self.bus.subscribe(SendToInstance, self._on_send)
--- a/tests/golden/sessions.py
+++ b/tests/golden/sessions.py
@@ -413,7 +413,7 @@
             return None
         return self.session.meshes.get(address)
 
-    def tell(self, address: str, msg: Any) -> None:
+    def send(self, address: str, msg: Any) -> None:
         """Send a one-way message."""
         self._write(address, msg, "->")
         peer = self._reaches(address)
@@ -422,13 +422,13 @@
                 NET_S, lambda: asyncio.ensure_future(peer.serve(msg))
             )
 
-    def tell_all(self, msg: Any) -> int:
+    def broadcast(self, msg: Any) -> int:
         """Send a one-way message to every peer and return its size in bytes."""
         for address in sorted(self.connected):
-            self.tell(address, msg)
+            self.send(address, msg)
         return len(encode_message(msg))
 
-    async def ask(self, address: str, msg: Any, timeout_s: float) -> Any:
+    async def request(self, address: str, msg: Any, timeout_s: float) -> Any:
         """Send a message and return the answer."""
         self._write(address, msg, "->")
         peer = self._reaches(address)
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -120,9 +120,9 @@
         self.lender = Lender(self, self.leadership)
         self.keeper = RoomKeeper(self, self.leadership, self.lender.on_ask)
         self.lender.keeper = self.keeper
-        self.bus.answer(AskPeer, self._ask_peer)
-        self.bus.answer(Append, self._append)
-        self.bus.answer(LogAge, self._log_age)
+        self.bus.register_handler(AskPeer, self._ask_peer)
+        self.bus.register_handler(Append, self._append)
+        self.bus.register_handler(LogAge, self._log_age)
         self.bus.subscribe(RecordApplied, self.lender.on_record)
         self.bus.subscribe(RoomWanted, self.keeper.want)
         self.bus.subscribe(RoomChanged, lambda event: self.serve())
--- a/tests/roles/mini.py
+++ b/tests/roles/mini.py
@@ -62,8 +62,8 @@
         self.heard: dict[str, tuple[float, Gossip]] = {}
         self.handlers: dict[type, object] = {}
         cell[name] = self
-        self.bus.answer(Members, self._members)
-        self.bus.answer(AskPeer, self._ask_peer)
+        self.bus.register_handler(Members, self._members)
+        self.bus.register_handler(AskPeer, self._ask_peer)
         self.bus.subscribe(ServePeer, self._on_serve)
         self.journal, self.config, self.once = Journal(self), Config(self), Once(self)
         self.roles = [self.journal, self.config, self.once]
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -108,9 +108,9 @@
             ports={},
             stopping=False,
         )
-        bus.answer(Authenticate, self._authenticate)
+        bus.register_handler(Authenticate, self._authenticate)
         for kind in (OnceBegin, OnceFinish, OnceGiveBack, CheckFresh):
-            bus.answer(kind, self._note)
+            bus.register_handler(kind, self._note)
         bus.subscribe(OnceSending, self.events.append)
         bus.subscribe(RoomWanted, self._lend)
 
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -74,9 +74,9 @@
         self.records = []
         self.spoil = lambda body: None
         self.seq = 0
-        self.bus.answer(LeadView, self._lead)
-        self.bus.answer(LogAge, self._age)
-        self.bus.answer(Append, self._append)
+        self.bus.register_handler(LeadView, self._lead)
+        self.bus.register_handler(LogAge, self._age)
+        self.bus.register_handler(Append, self._append)
         self.lead = ZoneLead(self)
         self.put("cell", LeadClaimed(ZONE, 1, self.lane, -1))
         plan = Row("plans", "p", {"share": "1", "limit": str(limit)})
--- a/tests/services/test_mesh.py
+++ b/tests/services/test_mesh.py
@@ -26,13 +26,13 @@
     def disconnect(self, address):
         self.open.discard(address)
 
-    def tell(self, address, msg):
+    def send(self, address, msg):
         self.told.append(address)
 
-    def tell_all(self, msg, addresses):
+    def broadcast(self, msg, addresses):
         self.told += addresses
 
-    async def ask(self, address, msg, timeout_s):
+    async def request(self, address, msg, timeout_s):
         return address
 
     def close(self):
--- a/tests/test_lane.py
+++ b/tests/test_lane.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from firhook._budget import Budget
+from firhook._append_rate_limiter import AppendRateLimiter
 from firhook._bus import Bus
 from firhook._lane import Lane
 from firhook.errors import (
@@ -35,7 +35,7 @@
 async def lane_on(log: FakeLog, ready: bool = True):
     """Run a lane on a log."""
     bus = Bus()
-    lane = Lane("config", "i#1", ConfigState(), log, bus, Budget(1000), 0.05)
+    lane = Lane("config", "i#1", ConfigState(), log, bus, AppendRateLimiter(1000), 0.05)
     lane.rebuilt = []
     bus.subscribe(StreamRebuilt, lane.rebuilt.append)
     await lane.start()
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -2,7 +2,7 @@
 
 import os
 
-from firhook._log_stream import PENDING_BYTES, StallProofStream
+from firhook._log_stream import MAX_PENDING_BYTES, NonBlockingStream
 
 LINE = "x" * 199 + "\n"
 
@@ -13,7 +13,7 @@
     def __init__(self):
         self.reading, writing = os.pipe()
         self.file = os.fdopen(writing, "w")
-        self.stream = StallProofStream(self.file)
+        self.stream = NonBlockingStream(self.file)
 
     def read(self):
         os.set_blocking(self.reading, False)
@@ -36,19 +36,19 @@
     was kept arrives whole and in order.
     """
     pipe = Pipe()
-    count = 10 * PENDING_BYTES // len(LINE)
+    count = 10 * MAX_PENDING_BYTES // len(LINE)
     for _ in range(count):
         pipe.stream.write(LINE)
-    assert pipe.stream.take_left_out() == 0
+    assert pipe.stream.take_dropped_count() == 0
     arrived = pipe.read()
     pipe.stream.flush()
     while more := pipe.read():
         arrived += more
         pipe.stream.flush()
-    left_out = pipe.stream.take_left_out()
-    assert left_out > 0
-    assert arrived == LINE * (count - left_out)
-    assert pipe.stream.take_left_out() == 0
+    dropped = pipe.stream.take_dropped_count()
+    assert dropped > 0
+    assert arrived == LINE * (count - dropped)
+    assert pipe.stream.take_dropped_count() == 0
     pipe.close()
 
 
--- a/tests/test_loop_socket.py
+++ b/tests/test_loop_socket.py
@@ -78,7 +78,7 @@
     """A peer that sends without end kept the loop from everything else."""
 
     async def scenario(ends):
-        count = 3 * _loop_socket._BURST
+        count = 3 * _loop_socket._MAX_BATCH_MESSAGES
         ends.send(*range(count))
         seen = []
         while len(ends.taken) < count:
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -47,7 +47,7 @@
         self.b.close()
 
     async def ask(self, msg=None, timeout_s=5.0):
-        return await self.a.ask(self.address, msg or Ack(), timeout_s)
+        return await self.a.request(self.address, msg or Ack(), timeout_s)
 
 
 async def echo(msg):
@@ -148,7 +148,7 @@
             def rubbish(identity, tag, answer):
                 pair.b._router.send([identity, tag, b"rubbish"])
 
-            pair.b._answer = rubbish
+            pair.b._reply = rubbish
             with pytest.raises(PeerUnreachableError) as caught:
                 await pair.ask()
             assert caught.value.ran == "unknown"
@@ -189,11 +189,11 @@
     async def scenario():
         async with Pair(echo) as pair:
             with pytest.raises(PeerUnreachableError):
-                await pair.a.ask("127.0.0.1:1", Ack(), 0.1)
+                await pair.a.request("127.0.0.1:1", Ack(), 0.1)
             pair.a.connect("127.0.0.1:1")
             with pytest.raises(PeerUnreachableError):
-                await pair.a.ask("127.0.0.1:1", Ack(), 0.1)
-            assert not pair.a._asked
+                await pair.a.request("127.0.0.1:1", Ack(), 0.1)
+            assert not pair.a._pending_requests
 
     asyncio.run(scenario())
 
