--- a/src/firhook/_instance_daemon.py
+++ b/src/firhook/_instance_daemon.py
@@ -48,12 +48,12 @@
 
 async def _run(settings: InstanceSettings, path: Path, early: EarlyStart | None) -> int:
     setup_logs(settings.zone, settings.name, stream=sys.stdout)
-    stop_requested = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, stop_requested.set)
+        loop.add_signal_handler(sig, stop_event.set)
     if early is not None and early.stop_requested:
-        stop_requested.set()
+        stop_event.set()
     changed = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, changed.set)
     async with new_session() as session:
@@ -72,10 +72,10 @@
         log("instance.started", incarnation=instance.incarnation)
         watch_task = asyncio.create_task(_watch_settings(path, settings, changed))
         crash_task = asyncio.create_task(instance.wait_until_stopped())
-        stop_task = asyncio.create_task(stop_requested.wait())
+        stop_task = asyncio.create_task(stop_event.wait())
         await asyncio.wait({crash_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
         watch_task.cancel()
-        if not stop_requested.is_set():
+        if not stop_event.is_set():
             error = str(instance.crash_reason) or repr(instance.crash_reason)
             log("instance.crashed", level="error", error=error)
             return EXIT_CRASHED
