--- a/src/firhook/__init__.py
+++ b/src/firhook/__init__.py
@@ -1,3 +1,3 @@
-"""firhook: a cluster scheduler for unlike workloads in one cell."""
+"""firhook: a cluster scheduler for different kinds of workloads in one cell."""
 
 __version__ = "0.1.0"
--- a/src/firhook/__main__.py
+++ b/src/firhook/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m firhook`` is the command-line tool."""
+"""Run the command-line tool with ``python -m firhook``."""
 
 from firhook.cli import main
 
--- a/src/firhook/_address.py
+++ b/src/firhook/_address.py
@@ -1,15 +1,15 @@
-"""Where something listens."""
+"""Network addresses."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return it as ``host:port``."""
+        """Return the address as ``host:port``."""
         return f"{self.host}:{self.port}"
--- a/src/firhook/_append_rate_limiter.py
+++ b/src/firhook/_append_rate_limiter.py
@@ -1,4 +1,4 @@
-"""This instance's part of the log's append rate, urgent records first."""
+"""Rate limit of an instance's appends to the log, with priority for urgent ones."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 
 
 class AppendRateLimiter:
-    """A token bucket over this instance's appends to all streams.
+    """A token bucket shared by this instance's appends to all streams.
 
-    The log takes several hundred appends a second for everyone together.
-    Without a bound, one instance with much to record would slow down the
-    withdrawals of keys and the renewals of leads of all the others; without
-    an order, its own snapshots would hold up its own withdrawals.
+    The log accepts several hundred appends per second from all instances
+    together.  Without a limit, one instance with many records would delay the key
+    withdrawals and lead renewals of all others; without priorities, its own
+    snapshots would delay its own withdrawals.
 
-    :param appends_per_s: appends a second, and as many at once after a pause.
+    :param appends_per_s: the rate, and the size of the burst after a pause.
     """
 
     def __init__(self, appends_per_s: float) -> None:
@@ -30,10 +30,10 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(self, is_urgent: Callable[[], bool]) -> None:
-        """Wait until the next append is within the rate.
+        """Wait until the rate permits another append.
 
-        :param is_urgent: asked each time an append becomes free, since something
-            urgent may have come to the stream while it waited.
+        :param is_urgent: called each time an append is permitted, since an urgent
+            record may have been added to the stream in the meantime.
         """
         fut = asyncio.get_running_loop().create_future()
         waiter = _Waiter(fut, is_urgent)
--- a/src/firhook/_bus.py
+++ b/src/firhook/_bus.py
@@ -1,4 +1,4 @@
-"""Typed events and queries between roles, which never import each other."""
+"""Typed events and queries between components that do not import each other."""
 
 from collections import defaultdict
 from collections.abc import Awaitable, Callable
@@ -10,26 +10,26 @@
 
 
 class Query(Generic[A]):
-    """Base of queries; the type argument is the type of the answer."""
+    """Base class of queries; the type argument is the type of the answer."""
 
 
 class Bus:
-    """Delivers events to their subscribers and queries to their one handler."""
+    """Delivers each event to its subscribers and each query to its only handler."""
 
     def __init__(self) -> None:
         self._subscribers: dict[type, list[Callable[[Any], None]]] = defaultdict(list)
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {}
 
     def subscribe(self, kind: type, handler: Callable[[Any], None]) -> None:
-        """Call ``handler`` for each event of the kind published from now on."""
+        """Call ``handler`` for each later event of type ``kind``."""
         self._subscribers[kind].append(handler)
 
     def publish(self, event: Any) -> None:
-        """Hand an event to its subscribers, at once and in order.
+        """Call an event's subscribers synchronously, in order of subscription.
 
-        A subscriber that raises must not keep the others from the event nor
-        end the publisher's loop, which would leave, for example, the journal
-        dead behind one bad record; its error is logged instead.
+        An exception in a subscriber is logged.  It must neither prevent delivery
+        to the other subscribers nor end the publisher's loop; otherwise one bad
+        record could, for example, stop the journal.
         """
         for handler in self._subscribers[type(event)]:
             try:
@@ -45,11 +45,14 @@
     def register_handler(
         self, kind: type, handler: Callable[[Any], Awaitable[Any]]
     ) -> None:
-        """Have ``handler`` answer the queries of the kind."""
+        """Register the only handler of queries of type ``kind``.
+
+        :raises ValueError: if there is one already.
+        """
         if kind in self._handlers:
             raise ValueError(f"{kind.__name__} already has a handler")
         self._handlers[kind] = handler
 
     async def ask(self, query: "Query[A]") -> A:
-        """Return the answer to a query; errors reach the asker."""
+        """Return the answer to a query; the handler's errors propagate."""
         return await self._handlers[type(query)](query)
--- a/src/firhook/_clock.py
+++ b/src/firhook/_clock.py
@@ -1,4 +1,4 @@
-"""The clocks that firhook goes by."""
+"""The clocks that firhook uses."""
 
 import time
 from collections.abc import Callable
@@ -13,25 +13,25 @@
 
 
 def boot_time() -> float:
-    """Return seconds since the machine started, suspensions included.
+    """Return seconds since the machine booted, including time suspended.
 
-    The monotonic clock leaves out the time in which a machine was suspended.
-    A lead that measured its lease by it would wake up and go on giving orders
-    with a lease that lapsed while it slept; the time of day, which does count
-    suspensions, may jump.
+    The monotonic clock does not advance while the machine is suspended.  A lead
+    that measured its lease with it would resume and keep sending orders although
+    its lease had expired during the suspension.  The wall clock does advance, but
+    may jump.
     """
     return _boot_clock()
 
 
 def unix_time() -> float:
-    """Return the time of day in seconds since 1970; it may jump."""
+    """Return the wall-clock time in seconds since the Unix epoch; it may jump."""
     return _unix_clock()
 
 
 def set_clocks(
     boot: Callable[[], float] | None = None, unix: Callable[[], float] | None = None
 ) -> None:
-    """Go by other clocks, for tests in virtual time; by the real ones if none."""
+    """Replace the clocks, for tests in virtual time; ``None`` restores the real one."""
     global _boot_clock, _unix_clock
     _boot_clock = boot or _read_boot_clock
     _unix_clock = unix or time.time
--- a/src/firhook/_codec.py
+++ b/src/firhook/_codec.py
@@ -1,8 +1,8 @@
 """Encoding of records for the log and of messages between instances.
 
-Records and messages are attrs classes.  msgspec encodes them; since it knows
-tagged unions only for its own structs, each class is registered here under a
-short stable tag and travels beside it.
+Records and messages are attrs classes, encoded by msgspec.  msgspec supports
+tagged unions only for its own structs, so each class is registered here, and
+its name is sent as a tag next to the encoded object.
 """
 
 from typing import Any, TypeVar
@@ -19,13 +19,13 @@
 
 
 def record(cls: T) -> T:
-    """Register an attrs class as a kind of record on the platform's log."""
+    """Register an attrs class as a record type of the platform's log."""
     _RECORDS[cls.__name__] = cls
     return cls
 
 
 def message(cls: T) -> T:
-    """Register an attrs class as a kind of message between instances."""
+    """Register an attrs class as a type of message between instances."""
     _MESSAGES[cls.__name__] = cls
     return cls
 
@@ -34,14 +34,14 @@
 class Envelope:
     """A record with its id.
 
-    The id is the pair of ``lane`` and ``seq``.  A lane is one run of one
-    instance; within a lane and a stream ``seq`` only rises.  A reader that
-    remembers the highest ``seq`` per lane therefore recognises a record that
-    was appended twice after a lost answer, and also one that arrives after
-    its sender gave it up and went on.
+    The id is the pair of ``lane`` and ``seq``.  A lane is one incarnation of one
+    instance; within a lane and a stream, ``seq`` increases monotonically.  A
+    reader that tracks the highest ``seq`` of each lane can therefore detect a
+    record that was appended again because the first response was lost, and one
+    that arrives after its sender abandoned it and appended the next.
 
     :param lane: the appending instance's name and incarnation.
-    :param seq: position in the lane, from 1.
+    :param seq: sequence number in the lane, from 1.
     :param body: the record.
     """
 
@@ -55,12 +55,12 @@
 
 
 def to_builtins(obj: Any) -> Any:
-    """Return attrs data as plain maps, lists and scalars."""
+    """Convert attrs objects to plain dicts, lists and scalars."""
     return msgspec.to_builtins(obj)
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Encode a record for the log, as JSON that operators can read."""
+    """Encode a record for the log, as JSON so that operators can read it."""
     return _json_encoder.encode(
         [type(envelope.body).__name__, envelope.lane, envelope.seq, envelope.body]
     )
@@ -69,8 +69,8 @@
 def decode_envelope(payload: bytes) -> Envelope:
     """Decode a record from the log.
 
-    :raises RecordMalformedError: if the payload is no known record; every reader
-        reaches this verdict alike, since it depends on the bytes alone.
+    :raises RecordMalformedError: if the payload is not a known record.  This
+        depends on the bytes alone, so all readers agree.
     """
     try:
         tag, lane, seq, raw = msgspec.json.decode(
@@ -90,7 +90,7 @@
 def decode_message(frame: bytes) -> Any:
     """Decode a message between instances.
 
-    :raises FrameMalformedError: if the frame is no known message.
+    :raises FrameMalformedError: if the frame is not a known message.
     """
     try:
         tag, raw = msgspec.msgpack.decode(frame, type=tuple[str, Any])
--- a/src/firhook/_early_start.py
+++ b/src/firhook/_early_start.py
@@ -1,4 +1,4 @@
-"""What an instance does before most of it is imported."""
+"""Startup steps that run before most of an instance's modules are imported."""
 
 import signal
 import sys
@@ -12,22 +12,22 @@
 
 
 class EarlyStart:
-    """Lets callers connect, and takes note of a request to stop.
+    """Opens the listening socket for callers and records a request to stop.
 
-    After a loss of power all callers come at once, and on a machine with half a
-    core the imports take most of a second.  Each would be turned away meanwhile,
-    and some would have no try left; connected, they wait and are served.  A process
-    that is told to stop in that time must not end by the signal, or it would cut
-    those who wait.
+    After a power failure all callers reconnect at once, and the imports take most
+    of a second on a machine with half a core.  Without a listening socket, callers
+    would be refused during that time, and some would run out of retries; once
+    connected, they wait and are served.  SIGTERM must not end the process during
+    the imports, because this would reset the waiting connections.
 
-    :ivar listener: the socket for callers; ``None`` if it could not be bound.
-    :ivar stop_requested: whether the process was told to stop.
+    :ivar listener: the socket for callers; ``None`` if it could not be opened.
+    :ivar stop_requested: whether the process has received SIGTERM.
     """
 
     def __init__(self, settings: Path) -> None:
         self.stop_requested = False
         signal.signal(signal.SIGTERM, self._on_signal)
-        # It tells that the settings changed, and they are not read yet.
+        # SIGHUP announces changed settings, which have not been read yet.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         self.listener = self._listen(settings)
 
@@ -42,6 +42,6 @@
         try:
             return open_listening_socket(*address)
         except AddressUnusableError as exc:
-            # Tried again, and told as the reason of a failed start, by who serves.
+            # The callers service tries again and reports a failure to start.
             print(exc, file=sys.stderr)
             return None
--- a/src/firhook/_endpoints.py
+++ b/src/firhook/_endpoints.py
@@ -1,17 +1,17 @@
-"""What the platform lists: entry instances, workers and runners."""
+"""The entry instances, workers and runners that the platform lists."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class Endpoint:
-    """An instance, worker or runner in the platform's lagging list.
+    """An instance, worker or runner in the platform's list, which lags.
 
     :param kind: ``entry``, ``runner`` or ``worker``.
-    :param service: the service a runner belongs to.
-    :param leaving: whether the platform is about to take it away.
-    :param slots: requests a runner handles at once.
-    :param connections: connections a runner accepts.
+    :param service: the service to which a runner belongs.
+    :param leaving: whether the platform is about to remove it.
+    :param slots: maximum number of requests that a runner handles at a time.
+    :param connections: maximum number of connections that a runner accepts.
     """
 
     name: str
--- a/src/firhook/_errors.py
+++ b/src/firhook/_errors.py
@@ -6,21 +6,21 @@
 
 
 def _export(cls: type) -> type:
-    """Add an error kind to the public names of :mod:`firhook.errors`."""
+    """Export an error class from :mod:`firhook.errors`."""
     __all__.append(cls.__name__)
     return cls
 
 
 @_export
 class FirhookError(Exception):
-    """Base of every error that firhook raises.
+    """Base class of every error that firhook raises.
 
-    :param detail: what happened, with the value that caused it.
-    :param retry_after_s: when to come back, in seconds; ``None`` if coming
-        back unchanged cannot help.
-    :param ran: whether the work asked for was run: ``no``, ``unknown`` or
-        ``yes``.  ``no`` is a promise that callers may act upon.
-    :param extra: further members of the problem document.
+    :param detail: what happened, including the value that caused it.
+    :param retry_after_s: how long to wait before a retry, in seconds; ``None``
+        if retrying the same request cannot succeed.
+    :param ran: whether the requested work ran: ``no``, ``unknown`` or ``yes``.
+        ``no`` is a guarantee on which callers may rely.
+    :param extra: additional members of the problem document.
     """
 
     code: ClassVar[str] = "internal"
@@ -63,10 +63,10 @@
 def _define_error(
     name: str, code: str, status: int, title: str, remedy: str, ran: str = "no"
 ) -> type[FirhookError]:
-    """Define one error kind.
+    """Create and export one error class.
 
-    The kinds differ only in these constants, so a table reads better than
-    thirty class bodies would.
+    The classes differ only in these constants, so a table of calls is easier
+    to read than one class body for each.
     """
     cls = type(
         name,
--- a/src/firhook/_instance.py
+++ b/src/firhook/_instance.py
@@ -1,4 +1,4 @@
-"""An instance on the platform: a tree of services that register themselves."""
+"""An instance on the platform, and the base class of its services."""
 
 import importlib
 import secrets
@@ -20,24 +20,24 @@
 
 @attrs.frozen(slots=True)
 class StopBegun:
-    """A graceful stop of this instance has begun."""
+    """Event: this instance has begun a graceful stop."""
 
 
 _SERVICES: dict[str, type["InstanceService"]] = {}
 
-#: In the order in which they start; they drain in the reverse order.
+#: In start order; the services drain in reverse order.
 SERVICE_MODULES = ("follower", "operator", "mesh", "lead", "callers", "metrics")
 
-#: An instance answers for keys only if it read the configuration so much less
-#: than the bound ago, which covers the way of the request and of the read, and
-#: clocks that differ by a little.
+#: Subtracted from the revocation bound when the configuration's age is checked.
+#: Covers the latency of the request and of the read, and small differences
+#: between clocks.
 FRESHNESS_MARGIN_S = 0.4
 
 C = TypeVar("C", bound=type["InstanceService"])
 
 
 def register_service(name: str) -> Callable[[C], C]:
-    """Register a service under a name; used as a class decorator."""
+    """Return a class decorator that registers a service under a name."""
 
     def decorate(cls: C) -> C:
         _SERVICES[name] = cls
@@ -48,10 +48,7 @@
 
 
 def load_services() -> dict[str, type["InstanceService"]]:
-    """Import the services that ship with firhook and return all registered.
-
-    They are returned in the order in which they start.
-    """
+    """Import firhook's services and return them by name, in start order."""
     for name in SERVICE_MODULES:
         importlib.import_module(f"firhook.services._{name}")
     return {name: _SERVICES[name] for name in SERVICE_MODULES}
@@ -61,8 +58,9 @@
 class ConfigView:
     """The configuration as this instance last read it.
 
-    :ivar read_at: when the newest reading was sent, on the boot clock.  All
-        that was confirmed to operators before then is in it.
+    :param revocation_s: seconds after which a withdrawn key must be refused.
+    :ivar read_at: boot-clock time at which the latest read was sent.  The
+        configuration contains every change acknowledged to operators before.
     """
 
     revocation_s: float
@@ -70,17 +68,17 @@
     read_at: float = float("-inf")
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether no key can have been withdrawn for too long unseen.
+        """Return whether the configuration is recent enough to check keys.
 
-        An instance that is cut off from the store goes on with the keys that
-        it knows.  Without this check it would run work for a key that was
-        withdrawn minutes ago, and nobody could tell from its answers.
+        An instance that cannot reach the store continues with the keys it knows.
+        Without this check it would run work for a key withdrawn minutes ago, and
+        its responses would not show that.
         """
         return now - self.read_at < self.revocation_s - FRESHNESS_MARGIN_S
 
 
 class InstanceService(Service, ABC):
-    """One concern of an instance, with its I/O."""
+    """Base class of the services of an instance."""
 
     abstract = True
     service_name = ""
@@ -97,21 +95,25 @@
 
     @abstractmethod
     def register_handlers(self) -> None:
-        """Subscribe to events and offer answers; called before any start."""
+        """Subscribe to events and register query handlers.
+
+        Called by the constructor, before any service starts.
+        """
 
     async def drain(self) -> None:
-        """Finish or hand back what this service holds, before it is stopped."""
+        """Finish or give up the work in progress before the service stops."""
 
 
 class Instance(Service):
-    """The root of the tree.
-
-    :param settings: what the platform tells this instance.
-    :param platform: for all calls that it makes.
-    :param services: the services by name; those that ship with firhook if none.
-    :param listener: the socket for callers, if it listens already.
-    :ivar incarnation: unique for each run of the process.
-    :ivar replica: the cell's records.
+    """The root service of an instance.
+
+    :param settings: the settings provided by the platform.
+    :param platform: the connections to the platform's services.
+    :param services: service classes by name; firhook's own by default.
+    :param listener: the listening socket for callers, if already open.
+    :ivar incarnation: id that is unique to each run of the process.
+    :ivar store: the connection to the platform's store.
+    :ivar replica: this instance's copy of the cell's records.
     :ivar config: the operators' configuration.
     :ivar stopping: whether a graceful stop has begun.
     """
@@ -139,11 +141,14 @@
         }
 
     def on_init_dependencies(self) -> list[Service]:
-        """Return the services, which start after the instance, in order."""
+        """Return the services, which start in order after the instance."""
         return list(self.services.values())
 
     async def drain(self) -> None:
-        """Bring every service to rest, so that stopping cuts nothing."""
+        """Drain all services in reverse start order.
+
+        Stopping then interrupts no work.
+        """
         self.stopping = True
         log("instance.draining")
         self.bus.publish(StopBegun())
--- a/src/firhook/_instance_daemon.py
+++ b/src/firhook/_instance_daemon.py
@@ -21,15 +21,17 @@
 
 EXIT_SETTINGS = 2
 EXIT_CRASHED = 1
-#: The settings file may change without a signal; it is compared so often.
+#: How often the settings file is read again, as it may change without a signal.
 _SETTINGS_POLL_S = 1.0
 
 
 def run_instance(check_only: bool, early: EarlyStart | None = None) -> int:
-    """Run an instance with the settings that the platform lays down.
+    """Run an instance and return the exit status.
 
-    :param check_only: only check the settings.
-    :param early: what was begun before this was imported.
+    The settings file is the one that the platform names in the environment.
+
+    :param check_only: check the settings without starting the instance.
+    :param early: the startup steps that ran before this module was imported.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -66,7 +68,8 @@
             await instance.start()
         except Exception as exc:
             log("instance.crashed", level="error", error=str(exc) or repr(exc))
-            # Services that began would report the closed session as their crash.
+            # Services that have started would otherwise report the closed session
+            # as the reason of their crash.
             await instance.stop()
             return EXIT_CRASHED
         log("instance.started", incarnation=instance.incarnation)
@@ -89,10 +92,10 @@
 async def _watch_settings(
     path: Path, settings: InstanceSettings, changed: asyncio.Event
 ) -> None:
-    """Say when the settings file changes, and whether it can still be read.
+    """Log changes of the settings file and whether it is still valid.
 
-    What an instance goes by while it runs, its addresses and bounds, is fixed
-    at its start; a change takes effect at the next one.
+    The addresses and bounds of a running instance are fixed; a change takes
+    effect at its next start.
     """
     current = settings
     while True:
--- a/src/firhook/_log_stream.py
+++ b/src/firhook/_log_stream.py
@@ -1,25 +1,24 @@
-"""A stream for logs that never blocks its writer."""
+"""A log stream that never blocks its writer."""
 
 import os
 import stat
 from collections import deque
 from typing import TextIO
 
-#: What waits for a reader that stalls.  A pipe holds 64 KiB more; at the usual
-#: 100 lines of 200 bytes a second this is some 13 seconds.
+#: Buffer for a reader that stalls.  A pipe holds another 64 KiB; at the usual 100
+#: lines of 200 bytes per second the buffer lasts some 13 seconds.
 MAX_PENDING_BYTES = 256 * 1024
 
 
 class NonBlockingStream:
-    """Writes lines to a pipe as far as its reader takes them.
+    """Writes lines to a pipe or socket without blocking.
 
-    Load: whoever collects the logs stalls, and the pipe fills up.  Harm: the next
-    line blocks the one loop in the middle of whatever it does.  The instance
-    answers nobody any more, and nothing tells why, since its lines are what is
-    stuck.  So what the pipe does not take waits here, up to a bound; lines beyond
-    it are left out and counted.
+    If the log collector stalls, the pipe fills up.  A blocking write would then
+    stop the event loop: the instance would answer no request, and the log could
+    not show why.  Output that the pipe does not accept is buffered here, up to
+    :data:`MAX_PENDING_BYTES`; further lines are dropped and counted.
 
-    :param stream: where lines go; a file or a terminal is written to as it is.
+    :param stream: the output; a file or a terminal is written to directly.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -32,14 +31,18 @@
             os.set_blocking(self._fd, False)
 
     def take_dropped_count(self) -> int:
-        """Return how many lines were left out, once there is room to say so."""
+        """Return the number of dropped lines and reset it.
+
+        Returns 0 while lines are pending, as a line that reports the number might
+        be dropped too.
+        """
         if self._pending:
             return 0
         count, self._dropped_count = self._dropped_count, 0
         return count
 
     def write(self, text: str) -> None:
-        """Write a line, or keep it for later, or leave it out."""
+        """Write a line, buffer it, or drop it if the buffer is full."""
         if self._fd is None:
             self._stream.write(text)
             return
@@ -53,7 +56,7 @@
         self._flush_pending(self._fd)
 
     def flush(self) -> None:
-        """Hand on what the reader takes now."""
+        """Write as much buffered output as the reader accepts now."""
         if self._fd is None:
             self._stream.flush()
         else:
@@ -67,7 +70,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read; there is nowhere to say so.
+                # The reader is gone, so the error cannot be reported.
                 written = len(line)
             self._pending_bytes -= written
             if written == len(line):
@@ -77,7 +80,7 @@
 
 
 def _pipe_descriptor(stream: TextIO) -> int | None:
-    """Return the descriptor of a stream that is a pipe or a socket."""
+    """Return the descriptor of a pipe or socket; ``None`` for other streams."""
     try:
         fd = stream.fileno()
         mode = os.fstat(fd).st_mode
--- a/src/firhook/_loop_socket.py
+++ b/src/firhook/_loop_socket.py
@@ -1,4 +1,4 @@
-"""A zmq socket that the event loop reads, several messages at a time."""
+"""A zmq socket that the event loop reads in batches of messages."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 
 from firhook.logs import log
 
-#: Messages taken before other work of the loop has its turn.
+#: Messages read before the event loop runs other work.
 _MAX_BATCH_MESSAGES = 100
 
 
 class LoopSocket:
-    """Hands the messages of a zmq socket to a function as they come.
+    """Calls a function for each message received on a zmq socket.
 
-    The sockets of :mod:`zmq.asyncio` take several turns of the loop for each
-    message, which is most of what a small message costs.
+    The sockets of :mod:`zmq.asyncio` need several iterations of the event loop
+    for each message, which is most of the cost of a small message.
 
-    :param sock: a socket of a plain context; it is closed with this one.
+    :param sock: a socket of a synchronous context; closed by :meth:`close`.
     :param on_message: called with the frames of each message.
     """
 
@@ -30,25 +30,26 @@
         self._reading = self._read_scheduled = False
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         self._reading = True
         self._loop.add_reader(self.sock.fileno(), self._read)
-        # What came before is not signalled any more.
+        # The descriptor is edge-triggered: messages that arrived earlier are not
+        # signalled again.
         self._schedule_read()
 
     def send(self, frames: list[bytes]) -> bool:
-        """Send a message; return whether it was taken.
+        """Send a message without blocking; return whether it was queued.
 
-        It is not taken if as many as the socket may hold wait for the peer, or
-        if the peer is not connected.
+        A message is not queued if the socket's send queue is full or the peer is
+        not connected.
         """
         try:
             self.sock.send_multipart(frames, zmq.NOBLOCK)
             taken = True
         except zmq.ZMQError:
             taken = False
-        # Trying to send takes the signal that a message came, which is given only
-        # once.
+        # An attempt to send clears the notification of a received message, which
+        # is not repeated.
         if self._reading and self.sock.getsockopt(zmq.EVENTS) & zmq.POLLIN:
             self._schedule_read()
         return taken
--- a/src/firhook/_mesh.py
+++ b/src/firhook/_mesh.py
@@ -1,8 +1,8 @@
 """Messages between instances over zmq with CURVE.
 
 Each instance binds one ROUTER socket and connects one DEALER socket to each
-peer.  All instances of a cell share one CURVE key pair from their settings,
-and a client that shows another public key is refused before it can send.
+peer.  All instances of a cell share one CURVE key pair.  A client with another
+public key is rejected during the handshake, before it can send a message.
 """
 
 import asyncio
@@ -31,44 +31,46 @@
 from firhook.logs import log
 from firhook.tasks import log_failure
 
-#: Larger frames are refused by libzmq, so that no peer can fill the memory.
+#: libzmq rejects larger frames, so that no peer can exhaust the memory.
 MAX_FRAME_BYTES = 4 << 20
-#: Messages that wait for a peer that is away; older gossip is of no use.
+#: Messages queued for an unreachable peer; older gossip would be useless.
 MAX_QUEUED_MESSAGES = 64
-#: Messages that are being answered at once.  A peer that sends without end is
-#: refused beyond them, or the answers in progress would fill the memory.
+#: Messages handled at a time.  Further ones are refused, so that a peer that
+#: sends without pause cannot exhaust the memory with unfinished handlers.
 MAX_CONCURRENT_REQUESTS = 1000
-#: A connection on which nothing came for so long is made anew.  One that went silent
-#: without a reset, as after a cut, would otherwise be waited on for many seconds.
+#: A connection on which nothing arrives for the timeout is reopened.  Otherwise
+#: the failure of one that ended without a reset, as in a network partition, would
+#: stay undetected for many seconds.
 _HEARTBEAT_INTERVAL_MS = 2000
 _HEARTBEAT_TIMEOUT_MS = 2500
-#: A peer without power does not refuse a connection; it is tried again soon, as it
-#: may be back within a second.
+#: A host without power does not refuse connections.  The attempt is repeated soon,
+#: because the host may be back within a second.
 _CONNECT_TIMEOUT_MS = 500
 ONE_WAY_TAG = b""
 _TAG_BYTES = 8
-#: For each message that is served.
+
 _log_unanswered = log_failure("peer.unanswered")
-#: Shorter frames gain nothing by compression.
+#: Compression does not make shorter frames smaller.
 COMPRESSION_THRESHOLD_BYTES = 300
-#: First byte of what zlib writes; no encoded message begins with it.
+#: The first byte of zlib output; no encoded message starts with it.
 _ZLIB_FIRST_BYTE = 0x78
 
 
 def pack_frame(msg: Any) -> bytes:
-    """Encode a message, compressed if that makes it shorter.
+    """Encode a message, and compress it if that makes it shorter.
 
-    Messages of many teams repeat the names of their fields and of the teams;
-    at the two-year size they would cost a node several times its budget.
+    Messages about many teams repeat field and team names.  Uncompressed, at the
+    size expected in two years, they would use several times a node's bandwidth
+    budget.
 
-    :raises FrameMalformedError: if it is over :data:`MAX_FRAME_BYTES`.
+    :raises FrameMalformedError: if the message exceeds :data:`MAX_FRAME_BYTES`.
     """
     frame = encode_message(msg)
     if len(frame) > MAX_FRAME_BYTES:
-        # The peer would cut the connection, and what else is on its way there
-        # would be lost with it.
+        # The peer would close the connection, and other messages in transit would
+        # be lost.
         raise FrameMalformedError(
-            f"a message of {len(frame)} bytes; {MAX_FRAME_BYTES} are allowed"
+            f"message of {len(frame)} bytes exceeds the limit of {MAX_FRAME_BYTES}"
         )
     if len(frame) < COMPRESSION_THRESHOLD_BYTES:
         return frame
@@ -76,11 +78,11 @@
 
 
 def unpack_frame(frame: bytes) -> Any:
-    """Decode what :func:`pack_frame` encoded.
+    """Decode a frame encoded by :func:`pack_frame`.
 
-    :raises FrameMalformedError: if it is no message, or would unpack to more
-        than :data:`MAX_FRAME_BYTES`, which a few kilobytes could otherwise fill
-        the memory with.
+    :raises FrameMalformedError: if the frame is not a known message, or would
+        decompress to more than :data:`MAX_FRAME_BYTES`.  Without this limit, a
+        frame of a few kilobytes could exhaust the memory.
     """
     if not frame or frame[0] != _ZLIB_FIRST_BYTE:
         return decode_message(frame)
@@ -91,21 +93,23 @@
         raise FrameMalformedError(f"compressed frame: {exc}") from exc
     if not unpacker.eof:
         raise FrameMalformedError(
-            f"compressed frame: cut short, or over {MAX_FRAME_BYTES} bytes"
+            f"compressed frame: truncated, or larger than {MAX_FRAME_BYTES} bytes"
         )
     return decode_message(plain)
 
 
 @attrs.define(slots=True)
 class MeshCounts:
-    """What went through the mesh since the start.
-
-    :ivar malformed: messages that could not be understood.
-    :ivar refused: messages answered with an error of ours.
-    :ivar failed: messages whose handler crashed.
-    :ivar overloaded: messages refused because too many were being served.
-    :ivar sent_by_kind: messages that were sent, by kind.
-    :ivar sent_bytes_by_kind: their bytes, without what the transport adds.
+    """Counters of the mesh's traffic since the start.
+
+    Bytes are those of the encoded messages, without transport overhead.
+
+    :ivar malformed: messages that could not be decoded.
+    :ivar refused: messages answered with a :class:`FirhookError`.
+    :ivar failed: messages whose handler raised another exception.
+    :ivar overloaded: messages refused because too many were being handled.
+    :ivar sent_by_kind: messages sent, by class name.
+    :ivar sent_bytes_by_kind: bytes sent, by class name of the message.
     """
 
     sent: int = 0
@@ -121,13 +125,13 @@
 
 
 class _CellKeyValidator:
-    """Lets in the cell's own public key only."""
+    """Credentials provider that accepts only the cell's own public key."""
 
     def __init__(self, public: str) -> None:
         self._public = public.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Return whether a client with this key may connect."""
+        """Return whether a client with this public key may connect."""
         return key == self._public
 
 
@@ -136,12 +140,12 @@
 
 
 class Mesh:
-    """Sockets to and from all peers.
+    """Exchanges messages with peers.
 
     :param public: the cell's CURVE public key, in Z85.
-    :param secret: its secret key.
-    :param handler: handles a message and returns the answer to it, if any; or an
-        awaitable of it, if the answer takes a while.
+    :param secret: the matching secret key, in Z85.
+    :param handler: called with each received message; returns the reply, an
+        awaitable of the reply, or ``None`` for no reply.
     """
 
     def __init__(
@@ -161,9 +165,9 @@
         self.counts = MeshCounts()
 
     def bind(self, address: Address) -> Address:
-        """Bind the server socket and return the address it got.
+        """Bind the server socket and return the bound address.
 
-        :raises AddressUnusableError: if it cannot be bound there.
+        :raises AddressUnusableError: if the address cannot be bound.
         """
         self._auth.start()
         self._auth.configure_curve_callback(
@@ -193,7 +197,7 @@
         sock.curve_secretkey = self._secret
 
     def connect(self, address: str) -> None:
-        """Connect to a peer, unless connected already."""
+        """Connect to a peer unless already connected."""
         if address in self._dealers:
             return
         dealer = self._sync_ctx.socket(zmq.DEALER)
@@ -207,34 +211,34 @@
         self._dealers[address].start()
 
     def disconnect(self, address: str) -> None:
-        """Forget a peer that the platform no longer lists."""
+        """Close the connection to a peer, if any."""
         dealer = self._dealers.pop(address, None)
         if dealer is not None:
             dealer.close()
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of the messages sent, without what the transport adds."""
+        """Bytes of the messages sent, without transport overhead."""
         return self.counts.sent_bytes
 
     @property
     def received_bytes(self) -> int:
-        """Bytes of the messages received, without what the transport adds."""
+        """Bytes of the messages received, without transport overhead."""
         return self.counts.received_bytes
 
     @property
     def addresses(self) -> set[str]:
-        """The peers connected to."""
+        """The addresses of the connected peers."""
         return set(self._dealers)
 
     def send(self, address: str, msg: Any) -> None:
-        """Send a one-way message; it is dropped if the peer is away."""
+        """Send a one-way message; it is dropped if the peer is unreachable."""
         self._send(address, ONE_WAY_TAG, msg, pack_frame(msg))
 
     def broadcast(self, msg: Any, addresses: Iterable[str] | None = None) -> int:
-        """Send a one-way message to peers and return its size in bytes.
+        """Send a one-way message to several peers and return its size in bytes.
 
-        :param addresses: of the peers; all that are connected to if ``None``.
+        :param addresses: the peers' addresses; ``None`` for all connected peers.
         """
         frame = pack_frame(msg)
         for address in self._dealers if addresses is None else addresses:
@@ -242,9 +246,10 @@
         return len(frame)
 
     async def request(self, address: str, msg: Any, timeout_s: float) -> Any:
-        """Send a message and return the answer.
+        """Send a message and return the reply.
 
-        :raises PeerUnreachableError: if none came in time, or it was an error.
+        :raises PeerUnreachableError: if there is no reply within ``timeout_s``
+            seconds, or if the reply is an error.
         """
         self._request_count += 1
         tag = self._request_count.to_bytes(8, "big")
@@ -257,7 +262,7 @@
                 answer = await fut
         except TimeoutError as exc:
             raise PeerUnreachableError(
-                f"{address}: no answer in {timeout_s:g} s"
+                f"{address}: no reply within {timeout_s:g} s"
             ) from exc
         finally:
             self._pending_requests.pop(tag, None)
@@ -273,7 +278,7 @@
         return True
 
     def _record_sent(self, msg: Any, frame: bytes) -> None:
-        """Take note of a message that a socket took."""
+        """Count a message that a socket accepted."""
         kind = type(msg).__name__
         self.counts.sent_bytes += len(frame)
         self.counts.sent += 1
@@ -288,19 +293,19 @@
         self.counts.received += 1
         fut = self._pending_requests.get(frames[0])
         if fut is None or fut.done():
-            # The asker gave up; the tag keeps this late answer from
-            # reaching whoever asks next.
+            # The request has timed out.  Tags are unique, so this late reply
+            # cannot reach a later request.
             return
         try:
             fut.set_result(unpack_frame(frames[1]))
         except FrameMalformedError as exc:
             self.counts.malformed += 1
-            # Not the asker's own message is at fault, and the peer may have
-            # done what it was asked.
+            # The request itself is not at fault, and the peer may have carried
+            # it out.
             fut.set_exception(PeerUnreachableError(exc.detail))
 
     async def run(self) -> None:
-        """Serve messages until cancelled."""
+        """Receive and handle messages until cancelled."""
         assert self._router is not None
         self._router.start()
         await asyncio.get_running_loop().create_future()
@@ -314,7 +319,7 @@
         self.counts.received += 1
         if len(self._handler_tasks) >= MAX_CONCURRENT_REQUESTS:
             self.counts.overloaded += 1
-            exc = OverloadedError("too many messages are being served")
+            exc = OverloadedError("too many messages are being handled")
             self._reply(identity, tag, _to_peer_error(exc))
             return
         try:
@@ -333,7 +338,9 @@
         self.counts.malformed += 1
         log("peer.malformed", level="warning", frames=len(frames))
         if len(frames) >= 2 and 0 < len(frames[1]) <= _TAG_BYTES:
-            exc = FrameMalformedError(f"{len(frames) - 1} frames; give a tag and one")
+            exc = FrameMalformedError(
+                f"{len(frames) - 1} frames instead of a tag and a message"
+            )
             self._reply(frames[0], frames[1], _to_peer_error(exc))
 
     async def _reply_when_done(
@@ -345,7 +352,7 @@
             self._reply(identity, tag, self._record_failure(exc))
 
     def _record_failure(self, exc: Exception) -> PeerError:
-        """Count and log why a message was not served; return what to answer."""
+        """Count and log a failure to handle a message; return the error reply."""
         if isinstance(exc, FrameMalformedError):
             self.counts.malformed += 1
             log("peer.malformed", level="warning", code=exc.code, detail=exc.detail)
--- a/src/firhook/_meters.py
+++ b/src/firhook/_meters.py
@@ -4,30 +4,30 @@
 
 from hdrh.histogram import HdrHistogram
 
-#: 0.1 ms to ten minutes, to two significant digits: about 10 KB each.
+#: 0.1 ms to ten minutes with two significant digits: about 10 KB per histogram.
 _LOW_US, _HIGH_US, _DIGITS = 100, 600_000_000, 2
-#: The label values of one name; further ones are counted under "other", so that
-#: a caller who makes up names cannot fill the memory.
+#: Maximum number of label values per metric.  Further values are counted under
+#: "other", so that a caller who invents names cannot exhaust the memory.
 MAX_LABELS = 40
 OTHER_LABEL = "other"
 
 
 class Meters:
-    """What an instance counts and histograms, by name and label."""
+    """The counters and latency histograms of an instance, by name and label."""
 
     def __init__(self) -> None:
         self.counters: dict[str, Counter[str]] = {}
         self.histograms: dict[str, dict[str, HdrHistogram]] = {}
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         counter = self.counters.setdefault(name, Counter())
         if label not in counter and len(counter) >= MAX_LABELS:
             label = OTHER_LABEL
         counter[label] += amount
 
     def record_duration(self, name: str, label: str, seconds: float) -> None:
-        """Record how long something took."""
+        """Record a duration in a histogram."""
         histograms = self.histograms.setdefault(name, {})
         if label not in histograms and len(histograms) >= MAX_LABELS:
             label = OTHER_LABEL
--- a/src/firhook/_peer_messages.py
+++ b/src/firhook/_peer_messages.py
@@ -8,7 +8,10 @@
 @message
 @attrs.frozen(slots=True)
 class PeerError:
-    """A refusal, with the code of the error."""
+    """An error reply.
+
+    :param code: code of the :class:`firhook.errors.FirhookError`, or ``internal``.
+    """
 
     code: str
     detail: str
@@ -16,7 +19,7 @@
 
 @attrs.frozen(slots=True)
 class WorkerTicket:
-    """The adviser's permission for one worker."""
+    """A ticket with which the adviser permits the use of one worker."""
 
     worker: str
     ticket: str
@@ -25,7 +28,10 @@
 @message
 @attrs.frozen(slots=True)
 class AdviceAsk:
-    """Ask the adviser, as this instance, about a step."""
+    """Request the adviser's answer for a step through the receiver.
+
+    :param timeout_s: how long the adviser may take, in seconds.
+    """
 
     step: str
     workers: tuple[str, ...]
@@ -35,7 +41,11 @@
 @message
 @attrs.frozen(slots=True)
 class AdviceReply:
-    """The adviser's answer; not ``answered`` if none came."""
+    """The adviser's answer.
+
+    :param answered: whether the adviser answered.
+    :param valid_s: how long the tickets are valid, in seconds.
+    """
 
     answered: bool
     tickets: tuple[WorkerTicket, ...] = ()
@@ -44,7 +54,7 @@
 
 @attrs.frozen(slots=True)
 class PushedRecord:
-    """A record of the cell's topic that was appended."""
+    """A record that was appended to the cell's topic."""
 
     key: str
     value: bytes | None
@@ -52,9 +62,9 @@
 
 @attrs.frozen(slots=True)
 class PushedBatch:
-    """Records of one partition that follow each other without a gap.
+    """Consecutive records of one partition.
 
-    :param offset: of the first.
+    :param offset: the first record's offset.
     """
 
     partition: int
@@ -65,10 +75,10 @@
 @message
 @attrs.frozen(slots=True)
 class RecordsPush:
-    """Records that were just appended, for the replicas of peers.
+    """Newly appended records, for the replicas of peers.
 
-    :param standby: whether the receiver is next in line for the lead, and is told
-        every record whole.
+    :param standby: whether the receiver is a likely successor of the lead, which
+        receives every record in full instead of its digest.
     """
 
     batches: tuple[PushedBatch, ...]
@@ -77,9 +87,9 @@
 
 @attrs.frozen(slots=True)
 class DigestRow:
-    """What callers may ask about one record.
+    """The digest of one record: the part that callers may query.
 
-    :param offset: of the record.
+    :param offset: the record's offset.
     """
 
     offset: int
@@ -89,9 +99,11 @@
 
 @attrs.frozen(slots=True)
 class DigestBatch:
-    """What callers may ask about records that follow each other without a gap.
+    """Digests of consecutive records of one partition.
 
-    :param count: of the records; those without a row tell callers nothing new.
+    :param offset: the first record's offset.
+    :param count: the number of records.  Records without a row change nothing
+        that callers may query.
     """
 
     partition: int
@@ -103,9 +115,9 @@
 @message
 @attrs.frozen(slots=True)
 class DigestPush:
-    """What callers may ask about the records that were just appended.
+    """Digests of newly appended records.
 
-    :param relay_to: the peers to which the receiver is to pass it on.
+    :param relay_to: names of the peers to which the receiver forwards them.
     """
 
     batches: tuple[DigestBatch, ...]
@@ -115,15 +127,15 @@
 @message
 @attrs.frozen(slots=True)
 class PassedOn:
-    """What an instance was to pass on was sent to the others."""
+    """Acknowledges that the receiver has forwarded a message to its ``relay_to``."""
 
 
 @message
 @attrs.frozen(slots=True)
 class CopyAsk:
-    """Ask an instance for what callers may ask about a partition's records.
+    """Request a page of a partition's digests from an instance.
 
-    :param after: the key after which to go on; empty for the first.
+    :param after: the last key of the previous page; empty for the first page.
     """
 
     partition: int
@@ -133,11 +145,12 @@
 @message
 @attrs.frozen(slots=True)
 class CopyReply:
-    """Some rows of a partition, in the order of their keys.
+    """A page of a partition's digests, ordered by key.
 
-    :param known: whether the instance holds all of it.
-    :param end: an offset before which all records are accounted for.
-    :param has_more: whether rows follow.
+    :param known: whether the instance holds a recent copy of the whole partition;
+        otherwise the page is empty.
+    :param end: an offset; the page reflects every record before it.
+    :param has_more: whether there are further pages.
     """
 
     known: bool
@@ -149,10 +162,10 @@
 @message
 @attrs.frozen(slots=True)
 class LeadAlive:
-    """The lead says that it leads.
+    """The lead's heartbeat.
 
-    :param newest: the version of the newest record that it has written.
-    :param relay_to: the peers to which the receiver is to pass it on.
+    :param newest: version of the newest record that the lead has written.
+    :param relay_to: names of the peers to which the receiver forwards it.
     """
 
     epoch: int
@@ -164,7 +177,7 @@
 @message
 @attrs.frozen(slots=True)
 class LeadOffer:
-    """Ask an instance to take the cell over from the lead that asks."""
+    """The lead's request that the receiver take over the cell."""
 
     epoch: int
 
@@ -172,7 +185,10 @@
 @message
 @attrs.frozen(slots=True)
 class LeadOfferReply:
-    """Whether the instance takes the cell over now."""
+    """Reply to an offer of the lead.
+
+    :param taken: whether the instance takes over the cell now.
+    """
 
     taken: bool
 
@@ -180,7 +196,10 @@
 @message
 @attrs.frozen(slots=True)
 class StrongerHere:
-    """Tell the lead that a much stronger instance is ready to lead."""
+    """Notifies the lead that a much stronger instance is ready to lead.
+
+    :param name: the stronger instance.
+    """
 
     name: str
 
@@ -188,9 +207,11 @@
 @message
 @attrs.frozen(slots=True)
 class AppendAsk:
-    """Ask an instance to append a record, for one that the store turns away.
+    """Request that the receiver append a record for the sender.
+
+    Sent by an instance that cannot reach the store or whose own appends wait.
 
-    :ivar within_s: how long the asker waits for the answer.
+    :ivar within_s: how long the sender waits for the reply, in seconds.
     """
 
     record: PushedRecord
@@ -200,9 +221,12 @@
 @message
 @attrs.frozen(slots=True)
 class AppendReply:
-    """Where the record lies now; not ``taken`` if it certainly was not appended.
+    """Reply to a request to append a record.
 
-    :ivar took_s: how long the append took, with the wait for those before it.
+    :ivar taken: whether the record was appended.  If false, it was certainly not.
+    :ivar offset: the record's offset.
+    :ivar took_s: how long the append took in seconds, including the wait for
+        earlier appends.
     """
 
     taken: bool
@@ -213,9 +237,9 @@
 @message
 @attrs.frozen(slots=True)
 class ConfigAsk:
-    """Ask an instance for the configuration as it last read it.
+    """Request the configuration as the receiver last read it.
 
-    :param version: the version that the asking instance has.
+    :param version: the version that the sender has.
     """
 
     version: int
@@ -226,8 +250,9 @@
 class ConfigReply:
     """The configuration as an instance last read it.
 
-    :param age_s: how long ago that reading was sent.
-    :param raw: as operators wrote it; empty if the version is not newer.
+    :param age_s: seconds since that read was sent.
+    :param raw: the operators' original text; empty if it is not newer than the
+        requested version.
     """
 
     age_s: float
@@ -237,9 +262,9 @@
 @message
 @attrs.frozen(slots=True)
 class PendingAsk:
-    """Ask an instance how many jobs of a queue wait for their first start.
+    """Request the number of a queue's jobs that wait for their first start.
 
-    :param queue: its address.
+    :param queue: the queue's address.
     """
 
     queue: str
@@ -248,9 +273,9 @@
 @message
 @attrs.frozen(slots=True)
 class PendingReply:
-    """How many jobs of a queue wait.
+    """The number of a queue's waiting jobs.
 
-    :param age_s: how old the replica is that was counted.
+    :param age_s: age in seconds of the replica in which they were counted.
     """
 
     count: int
@@ -260,7 +285,7 @@
 @message
 @attrs.frozen(slots=True)
 class JobAsk:
-    """Ask an instance where a job stands."""
+    """Request the status of a job."""
 
     job_id: str
 
@@ -268,10 +293,11 @@
 @message
 @attrs.frozen(slots=True)
 class JobReply:
-    """Where a job stands; not ``found`` if there certainly is no such job.
+    """The status of a job.
 
+    :param found: whether the job exists.  If false, it certainly does not.
     :param status: a :class:`firhook.cell.JobStatus`.
-    :param queue: the address of its queue.
+    :param queue: the address of the job's queue.
     """
 
     found: bool
--- a/src/firhook/_sockets.py
+++ b/src/firhook/_sockets.py
@@ -1,21 +1,21 @@
-"""Listening sockets, without what is needed to serve them."""
+"""Listening sockets, without the imports needed to serve them."""
 
 import socket
 
 from firhook.errors import AddressUnusableError
 
-#: Connections that may wait to be accepted; a burst beyond it is retried by
-#: the callers' kernels after a second.
+#: Maximum number of connections waiting to be accepted.  Beyond it, the callers'
+#: kernels retry after a second.
 BACKLOG = 512
 
 
 def open_listening_socket(host: str, port: int) -> socket.socket:
-    """Return a socket that listens, not blocking.
+    """Open a non-blocking listening socket.
 
-    Two processes that start together can both bind a port on which nobody
-    listens yet; the second one's listening fails then.
+    Two processes that start at the same time can both bind a port while neither
+    listens on it; the second call to ``listen`` then fails.
 
-    :raises AddressUnusableError: if another process has the port, or this host
+    :raises AddressUnusableError: if another process uses the port, or this host
         does not have the address.
     """
     sock = socket.socket()
--- a/src/firhook/_tasks.py
+++ b/src/firhook/_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for."""
+"""Helpers for tasks that are not awaited."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,13 +10,15 @@
 def log_failure(
     event: str, *, level: str = "error", **fields: object
 ) -> Callable[[asyncio.Future[Any]], None]:
-    """Return a callback for a task's end that logs why it failed, if it did.
+    """Return a done callback that logs the exception of a failed task.
 
-    The loop itself speaks of such a failure only once the task is forgotten, and
-    not at all if whoever shielded or gathered it has left.
+    The event loop reports such an exception only when the task is garbage
+    collected, and not at all if the task was shielded or gathered by one that was
+    cancelled.
 
-    :param event: stable dotted name.
-    :param fields: further members of the line.
+    :param event: stable dotted name of the log event.
+    :param level: name of a standard logging level.
+    :param fields: additional fields of the log line.
     """
 
     def log_if_failed(task: asyncio.Future[Any]) -> None:
--- a/src/firhook/address.py
+++ b/src/firhook/address.py
@@ -1,4 +1,4 @@
-"""Where something listens."""
+"""Network addresses."""
 
 from firhook._address import Address
 
--- a/src/firhook/clock.py
+++ b/src/firhook/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that firhook goes by."""
+"""The clocks that firhook uses."""
 
 from firhook._clock import boot_time, set_clocks, unix_time
 
--- a/src/firhook/daemon.py
+++ b/src/firhook/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``firhookd``: one runs on every entry instance."""
+"""The daemon ``firhookd``, which runs on every entry instance."""
 
 import os
 import sys
@@ -10,8 +10,8 @@
 def main() -> None:
     """Run the daemon.
 
-    On the users' platform it is started without words on its command line.  What
-    only others need is not imported then, as a start takes that much longer.
+    The users' platform starts it without command-line arguments.  The modules
+    that only other deployments need are not imported then, to shorten startup.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if len(sys.argv) == 1 and path:
--- a/src/firhook/instance.py
+++ b/src/firhook/instance.py
@@ -1,4 +1,4 @@
-"""An instance on the platform: a tree of services that register themselves."""
+"""An instance on the platform, and the base class of its services."""
 
 from firhook._instance import (
     ConfigView,
--- a/src/firhook/logs.py
+++ b/src/firhook/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, each with a stable event name."""
+"""Structured logs: one JSON object per line, with a stable event name."""
 
 import logging
 import sys
@@ -9,8 +9,8 @@
 
 from firhook._log_stream import NonBlockingStream
 
-#: Events alone.  mode logs under the names of its services' modules, that each
-#: starts and stops, which says nothing that the events do not say.
+#: The only logger set to the configured level.  mode logs the start and stop of
+#: each service under the names of their modules, which repeats the events.
 _LOGGER = logging.getLogger("firhook.events")
 _stream: NonBlockingStream | None = None
 
@@ -18,10 +18,11 @@
 def setup_logs(
     zone: str, instance: str, level: str = "info", stream: TextIO | None = None
 ) -> None:
-    """Send all logs to standard error, or to a stream, as JSON lines.
+    """Write all logs as JSON lines to ``stream``, by default standard error.
 
-    :param zone: availability zone, put on every line.
-    :param instance: the instance's name, put on every line.
+    :param zone: availability zone, added to every line.
+    :param instance: the instance's name, added to every line.
+    :param level: the lowest level of events that are logged.
     """
     global _stream
     _stream = NonBlockingStream(stream or sys.stderr)
@@ -41,17 +42,17 @@
     _LOGGER.setLevel(level.upper())
 
 
-#: Lines of one event in a second.  A cell that starts and ends 100 tasks a second
-#: stays below it; a loop of failures at one per call does not.
+#: Limit per event.  A cell that starts and ends 100 tasks per second stays below
+#: it; a failure that repeats at every call does not.
 MAX_LINES_PER_SECOND = 400
 
 
 class _EventRateLimiter:
-    """Bounds the lines of each event, and counts what was left out.
+    """Limits the lines per second of each event and counts the dropped ones.
 
-    Load: something fails at every call, thousands of times a second.  Harm: each
-    line costs tens of microseconds of the one loop, which then serves nobody, and
-    fills the collector's disks with the same line.
+    A failure at every call can occur thousands of times per second.  Each line
+    takes tens of microseconds of the event loop, which would leave no time for
+    requests, and the same line would fill the log collector's disks.
     """
 
     def __init__(self) -> None:
@@ -59,7 +60,10 @@
         self._line_counts: dict[str, int] = {}
 
     def allows(self, event: str, now: float) -> bool:
-        """Return whether a line may be written; say first what was left out."""
+        """Return whether a line may be written.
+
+        Logs the number of dropped lines of a past second first.
+        """
         if int(now) != self._second:
             dropped = {
                 name: count - MAX_LINES_PER_SECOND
@@ -81,7 +85,8 @@
     """Log an event.
 
     :param event: stable dotted name such as ``config.applied``.
-    :param fields: further members; ``code`` and ``request_id`` where known.
+    :param level: name of a standard logging level.
+    :param fields: additional fields; ``code`` and ``request_id`` where known.
     """
     number = logging.getLevelName(level.upper())
     if _LOGGER.isEnabledFor(number) and _rate_limiter.allows(event, time.monotonic()):
@@ -89,9 +94,10 @@
 
 
 def flush_logs() -> None:
-    """Hand on what a reader that stalled did not take, and say what it missed.
+    """Write buffered output and report the lines that were dropped.
 
-    To be called now and then: with nothing to log, nothing else would do it.
+    Must be called periodically, since otherwise only the next logged line writes
+    what a stalled reader did not accept.
     """
     if _stream is None:
         return
--- a/src/firhook/tasks.py
+++ b/src/firhook/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for."""
+"""Helpers for tasks that are not awaited."""
 
 from firhook._tasks import log_failure
 
