--- a/src/firhook/_mesh.py
+++ b/src/firhook/_mesh.py
@@ -259,16 +259,16 @@
             if not self._send(address, tag, msg, pack_frame(msg)):
                 raise PeerUnreachableError(f"{address}: not connected", ran="no")
             async with asyncio.timeout(timeout_s):
-                answer = await fut
+                reply = await fut
         except TimeoutError as exc:
             raise PeerUnreachableError(
                 f"{address}: no reply within {timeout_s:g} s"
             ) from exc
         finally:
             self._pending_requests.pop(tag, None)
-        if isinstance(answer, PeerError):
-            raise PeerUnreachableError(f"{address}: {answer.code}: {answer.detail}")
-        return answer
+        if isinstance(reply, PeerError):
+            raise PeerUnreachableError(f"{address}: {reply.code}: {reply.detail}")
+        return reply
 
     def _send(self, address: str, tag: bytes, msg: Any, frame: bytes) -> bool:
         dealer = self._dealers.get(address)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the whole suite: Hypothesis runs derandomized in CI."""
+"""Configuration of the test suite: Hypothesis profiles and known failures."""
 
 import os
 from pathlib import Path
@@ -20,13 +20,13 @@
 
 
 def known_red() -> list[str]:
-    """Return the lines of KNOWN-RED.txt; each starts with a test's id."""
+    """Return the entries of KNOWN-RED.txt; each starts with a test id."""
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
     return [line for line in lines if line.strip() and not line.startswith("#")]
 
 
 def pytest_collection_modifyitems(config, items):
-    """Pass in CI over the tests that KNOWN-RED.txt lists, and over no others."""
+    """Skip in CI exactly the tests that KNOWN-RED.txt lists."""
     lines = known_red()
     if len(lines) > 3:
         raise pytest.UsageError("KNOWN-RED.txt lists more than three tests")
@@ -37,6 +37,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the known red tests with every run."""
+    """Print the entries of KNOWN-RED.txt after every run."""
     for line in known_red():
         terminalreporter.write_line(f"KNOWN RED: {line}")
--- a/tests/failures/test_ports.py
+++ b/tests/failures/test_ports.py
@@ -1,4 +1,4 @@
-"""Processes that want a port which another process has."""
+"""Processes that need a port which another process uses."""
 
 import asyncio
 import socket
@@ -13,16 +13,16 @@
 from standins.model import HttpModel, Process, ReservedPorts, _ports
 
 
-def test_port_reserved_for_a_process_not_yet_listening_is_not_given_again(monkeypatch):
-    """Two instances were given one port while the first was still starting."""
+def test_reserved_port_is_not_reserved_again_before_its_process_listens(monkeypatch):
+    """Two instances must not get the same port while the first is still starting."""
     monkeypatch.setattr(_ports, "_LISTENING_PORTS", range(31000, 31004))
     first, second = ReservedPorts(), ReservedPorts()
     try:
-        taken = [*first.take(1), *second.take(1), *first.take(1)]
-        assert len(set(taken)) == 3
+        ports = [*first.take(1), *second.take(1), *first.take(1)]
+        assert len(set(ports)) == 3
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(("127.0.0.1", taken[0]))
+            sock.bind(("127.0.0.1", ports[0]))
             sock.listen()
     finally:
         first.close()
@@ -30,10 +30,10 @@
 
 
 @pytest.mark.parametrize("listener", ["callers", "probe", "peers"])
-def test_taken_port_is_named_as_the_only_reason_of_a_failed_start(tmp_path, listener):
-    """The log told of closed sessions and not of the port that was taken."""
+def test_port_in_use_is_logged_as_the_only_reason_of_a_failed_start(tmp_path, listener):
+    """The log must name the port in use, not the sessions closed as a result."""
 
-    async def play():
+    async def scenario():
         model, reserved = HttpModel(), ReservedPorts()
         await model.start()
         ports = reserved.take(3)
@@ -54,15 +54,18 @@
         assert f"127.0.0.1:{port}: Address already in use" in errors[-1]["error"]
         assert not any("Session is closed" in str(line) for line in errors)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_two_that_bind_the_metrics_port_at_once_both_serve(
+def test_instance_serves_if_another_takes_the_metrics_port_at_the_same_time(
     tmp_path, monkeypatch, caplog
 ):
-    """Of two instances of a host that started together, one ended."""
+    """Two instances on one host start at the same time and bind the metrics port.
 
-    async def play():
+    The one whose ``listen`` fails must log this and serve without metrics.
+    """
+
+    async def scenario():
         model, reserved = HttpModel(), ReservedPorts()
         await model.start()
         ports = reserved.take(3)
@@ -72,8 +75,8 @@
             other.bind(("127.0.0.1", 0))
             monkeypatch.setattr(_metrics, "METRICS_PORT", other.getsockname()[1])
 
-            class Second(socket.socket):
-                """A socket that listens where the other one just began to."""
+            class LateSocket(socket.socket):
+                """A socket whose address another one listens on just before it does."""
 
                 def listen(self, *backlog):
                     if self.getsockname() == other.getsockname():
@@ -83,7 +86,7 @@
             async with new_session() as session:
                 instance = Instance(settings, HttpConnections(settings, session))
                 with monkeypatch.context() as patch:
-                    patch.setattr(socket, "socket", Second)
+                    patch.setattr(socket, "socket", LateSocket)
                     await instance.start()
                 url = f"http://127.0.0.1:{ports[1]}/-/readiness"
                 async with aiohttp.ClientSession() as http, http.get(url) as resp:
@@ -93,6 +96,6 @@
         await model.stop()
         return settings.ip, _metrics.METRICS_PORT
 
-    ip, port = asyncio.run(play())
-    [told] = [r for r in caplog.records if r.message == "metrics.unavailable"]
-    assert told.error.startswith(f"{ip}:{port}: Address already in use")
+    ip, port = asyncio.run(scenario())
+    [line] = [r for r in caplog.records if r.message == "metrics.unavailable"]
+    assert line.error.startswith(f"{ip}:{port}: Address already in use")
--- a/tests/test_borders.py
+++ b/tests/test_borders.py
@@ -1,11 +1,11 @@
-"""The platform's names stay in the adapter."""
+"""Only the adapter uses the platform's names."""
 
 import re
 from pathlib import Path
 
 SRC = Path(__file__).parent.parent / "src" / "firhook"
-#: Names that only the platform uses; firhook has its own for what they hold.
-FOREIGN = re.compile(
+#: Names of the platform's interface; firhook uses its own names elsewhere.
+PLATFORM_NAMES = re.compile(
     r"\b(fencing_token|ack_cursor|last_checkpoint|run-start|run-stop|millicpus|"
     r"task_memory_mb|target_duration_ms|path_prefix|upper_limit|api_keys|"
     r"max_hold_ms|member_id|log-append|log-read|log-newest|keyed\.servers|keyed\.op|"
@@ -14,11 +14,11 @@
 )
 
 
-def test_only_the_adapter_knows_the_platforms_names():
+def test_platform_names_occur_only_in_the_adapter():
     found = [
         f"{path.relative_to(SRC)}: {match.group()}"
         for path in SRC.rglob("*.py")
         if path.parent.name != "platform"
-        for match in FOREIGN.finditer(path.read_text(encoding="utf-8"))
+        for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
     ]
     assert found == []
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Records and messages survive their encoding; rubbish gets a typed error."""
+"""Round trips of records and messages, and typed errors for malformed input."""
 
 import pytest
 from hypothesis import given
@@ -28,12 +28,12 @@
         JobAccepted(JobSpec("a", "t", deadline_s=3.0), "ikeja"),
     ],
 )
-def test_record_survives_the_log(body):
+def test_record_round_trip(body):
     envelope = Envelope("i#1", 7, body)
     assert decode_envelope(encode_envelope(envelope)) == envelope
 
 
-def test_message_survives_the_wire():
+def test_message_round_trip():
     msg = GrantAsk("i#1", 1, 2, 0.5, (TeamRoom("t", 3, 1),))
     assert decode_message(encode_message(msg)) == msg
 
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Logs whose reader stalls."""
+"""Log output to a reader that stalls or is gone."""
 
 import os
 
@@ -8,53 +8,53 @@
 
 
 class Pipe:
-    """A pipe, and the stream that writes to it."""
+    """A pipe and a stream that writes to it."""
 
     def __init__(self):
-        self.reading, writing = os.pipe()
-        self.file = os.fdopen(writing, "w")
+        self.read_fd, write_fd = os.pipe()
+        self.file = os.fdopen(write_fd, "w")
         self.stream = NonBlockingStream(self.file)
 
     def read(self):
-        os.set_blocking(self.reading, False)
-        found = b""
+        os.set_blocking(self.read_fd, False)
+        data = b""
         while True:
             try:
-                found += os.read(self.reading, 1 << 20)
+                data += os.read(self.read_fd, 1 << 20)
             except BlockingIOError:
-                return found.decode()
+                return data.decode()
 
     def close(self):
-        os.close(self.reading)
+        os.close(self.read_fd)
         self.file.close()
 
 
-def test_reader_that_stalls_costs_lines_and_not_the_writer():
-    """The collector of the logs hangs while an instance goes on logging.
+def test_stalled_reader_loses_lines_without_blocking_writer():
+    """The log collector stalls while an instance continues to log.
 
-    The instance must not hang with it; what was left out is counted, and what
-    was kept arrives whole and in order.
+    The instance must not block.  Dropped lines are counted; all others arrive
+    complete and in order.
     """
     pipe = Pipe()
     count = 10 * MAX_PENDING_BYTES // len(LINE)
     for _ in range(count):
         pipe.stream.write(LINE)
     assert pipe.stream.take_dropped_count() == 0
-    arrived = pipe.read()
+    received = pipe.read()
     pipe.stream.flush()
     while more := pipe.read():
-        arrived += more
+        received += more
         pipe.stream.flush()
     dropped = pipe.stream.take_dropped_count()
     assert dropped > 0
-    assert arrived == LINE * (count - dropped)
+    assert received == LINE * (count - dropped)
     assert pipe.stream.take_dropped_count() == 0
     pipe.close()
 
 
-def test_reader_that_is_gone_does_not_end_the_writer():
+def test_closed_reader_does_not_stop_writer():
     pipe = Pipe()
-    os.close(pipe.reading)
+    os.close(pipe.read_fd)
     pipe.stream.write(LINE)
     pipe.stream.flush()
     pipe.file.close()
--- a/tests/test_loop_socket.py
+++ b/tests/test_loop_socket.py
@@ -1,4 +1,4 @@
-"""Messages of a zmq socket are all taken, in turns with other work."""
+"""The event loop reads all messages of a zmq socket without blocking other work."""
 
 import asyncio
 import time
@@ -10,11 +10,11 @@
 from firhook._loop_socket import LoopSocket
 
 
-class Ends:
-    """A socket on the loop, and a plain one that is connected to it."""
+class ConnectedSockets:
+    """A socket read by the event loop, connected to a synchronous one."""
 
     def __init__(self, on_message=None):
-        self.taken = []
+        self.received = []
         self.ctx = zmq.Context()
         self.peer = self.ctx.socket(zmq.DEALER)
         self.peer.rcvhwm = 1
@@ -23,11 +23,11 @@
         sock.sndhwm = 1
         sock.linger = 0
         sock.connect(f"tcp://127.0.0.1:{port}")
-        self.end = LoopSocket(sock, on_message or self.take)
-        self.end.start()
+        self.loop_socket = LoopSocket(sock, on_message or self.record)
+        self.loop_socket.start()
 
-    def take(self, frames):
-        self.taken.append(int(frames[0]))
+    def record(self, frames):
+        self.received.append(int(frames[0]))
 
     def send(self, *numbers):
         for number in numbers:
@@ -35,88 +35,88 @@
         time.sleep(0.05)
 
     def close(self):
-        self.end.close()
+        self.loop_socket.close()
         self.peer.close(linger=0)
         self.ctx.term()
 
 
 @pytest.fixture
-def play():
-    """Run a scenario with both ends."""
+def run_scenario():
+    """Return a function that runs a scenario with connected sockets."""
 
     def run(scenario, on_message=None):
         async def main():
-            ends = Ends(on_message)
+            sockets = ConnectedSockets(on_message)
             try:
                 await asyncio.sleep(0.05)
-                await asyncio.wait_for(scenario(ends), 5.0)
+                await asyncio.wait_for(scenario(sockets), 5.0)
             finally:
-                ends.close()
+                sockets.close()
 
         asyncio.run(main())
 
     return run
 
 
-async def until_taken(ends, count):
-    while len(ends.taken) < count:
+async def wait_for_messages(sockets, count):
+    while len(sockets.received) < count:
         await asyncio.sleep(0.01)
 
 
-def test_message_that_came_while_another_was_sent_is_taken(play):
-    """Sending takes the only signal that a message waits, which then stayed unread."""
+def test_message_that_arrived_before_a_send_is_received(run_scenario):
+    """A send clears the only notification of a waiting message; it must still be read."""
 
-    async def scenario(ends):
-        ends.send(1)
-        assert ends.end.send([b"x"])
-        await until_taken(ends, 1)
+    async def scenario(sockets):
+        sockets.send(1)
+        assert sockets.loop_socket.send([b"x"])
+        await wait_for_messages(sockets, 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_long_burst_is_taken_in_order_and_leaves_turns_to_other_work(play):
-    """A peer that sends without end kept the loop from everything else."""
+def test_long_burst_is_received_in_order_and_yields_to_other_work(run_scenario):
+    """A peer that sends without pause must not block all other work of the loop."""
 
-    async def scenario(ends):
+    async def scenario(sockets):
         count = 3 * _loop_socket._MAX_BATCH_MESSAGES
-        ends.send(*range(count))
-        seen = []
-        while len(ends.taken) < count:
+        sockets.send(*range(count))
+        counts = []
+        while len(sockets.received) < count:
             await asyncio.sleep(0)
-            seen.append(len(ends.taken))
-        assert ends.taken == list(range(count))
-        assert any(0 < taken < count for taken in seen)
+            counts.append(len(sockets.received))
+        assert sockets.received == list(range(count))
+        assert any(0 < received < count for received in counts)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_message_whose_handler_fails_does_not_hold_up_those_behind_it(play):
-    """An error of one handler left the rest of a burst unread."""
-    taken = []
+def test_failed_handler_does_not_block_later_messages(run_scenario):
+    """An error in the handler must not leave the rest of a burst unread."""
+    received = []
 
     def on_message(frames):
         if frames[0] == b"0":
             raise ValueError("broken")
-        taken.append(int(frames[0]))
+        received.append(int(frames[0]))
 
-    async def scenario(ends):
-        ends.send(0, 1, 2)
-        while len(taken) < 2:
+    async def scenario(sockets):
+        sockets.send(0, 1, 2)
+        while len(received) < 2:
             await asyncio.sleep(0.01)
 
-    play(scenario, on_message)
+    run_scenario(scenario, on_message)
 
 
-def test_message_that_came_while_another_was_refused_is_taken(play):
-    """A message that cannot be sent takes the only signal just as one that is."""
+def test_message_that_arrived_before_a_refused_send_is_received(run_scenario):
+    """A send that fails clears the only notification, as a successful one does."""
 
-    async def scenario(ends):
-        full = 0
-        while full < 5:
-            full = 0 if ends.end.send([bytes(1 << 20)]) else full + 1
+    async def scenario(sockets):
+        refusals = 0
+        while refusals < 5:
+            refusals = 0 if sockets.loop_socket.send([bytes(1 << 20)]) else refusals + 1
             await asyncio.sleep(0.02)
-        ends.send(1)
-        assert not ends.end.send([b"x"])
-        await until_taken(ends, 1)
+        sockets.send(1)
+        assert not sockets.loop_socket.send([b"x"])
+        await wait_for_messages(sockets, 1)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages name every option and every error as the code has them."""
+"""The operators' pages list every option and every error as the code defines them."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def table_rows(page: str) -> dict[str, list[str]]:
-    """Return the table rows whose first cell is code, by that cell."""
+    """Return the table rows whose first cell is code, keyed by that cell."""
     rows = {}
     for line in (DOCS / "operators" / page).read_text(encoding="utf-8").splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
@@ -34,7 +34,7 @@
         assert f"| `{option.name}` |" in found[option.section]
 
 
-def test_errors_page_has_every_code_with_its_status_and_promise():
+def test_errors_page_has_every_code_with_its_status_and_default_ran():
     kinds = {getattr(errors, name) for name in errors.__all__}
     expected = {k.code: [str(k.status), k.default_ran] for k in kinds}
     members = {
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Failures of tasks that nobody waits for are told by a line of the log."""
+"""Failures of tasks that are not awaited are logged."""
 
 import asyncio
 import gc
@@ -8,20 +8,20 @@
 from firhook.tasks import log_failure
 
 
-def lines(caplog, event):
+def log_lines(caplog, event):
     return [record for record in caplog.records if record.message == event]
 
 
 def test_only_a_failure_is_logged(caplog):
-    async def end():
+    async def succeed():
         return 1
 
     async def fail():
         raise ValueError("on purpose")
 
     async def scenario():
-        works = [end(), fail(), asyncio.sleep(9)]
-        tasks = [asyncio.create_task(work) for work in works]
+        coros = [succeed(), fail(), asyncio.sleep(9)]
+        tasks = [asyncio.create_task(coro) for coro in coros]
         for task in tasks:
             task.add_done_callback(log_failure("x.failed", worker="w1"))
         await asyncio.sleep(0)
@@ -29,16 +29,16 @@
         await asyncio.wait(tasks)
 
     asyncio.run(scenario())
-    [line] = lines(caplog, "x.failed")
+    [line] = log_lines(caplog, "x.failed")
     assert line.levelname == "ERROR"
     assert line.worker == "w1"
     assert "on purpose" in line.error
 
 
-def test_wave_that_fails_after_its_callers_left_is_logged(caplog):
-    """Callers give up while their cancellations are on their way to the log.
+def test_failure_after_all_callers_were_cancelled_is_logged(caplog):
+    """The callers are cancelled while their record is being appended to the log.
 
-    asyncio takes the failure of what was shielded and says nothing of it.
+    asyncio does not report the exception of a shielded task then.
     """
 
     async def send(names):
@@ -46,14 +46,14 @@
 
     async def scenario():
         folder = Folder(send)
-        asking = asyncio.create_task(folder.add("a/1"))
+        request = asyncio.create_task(folder.add("a/1"))
         await asyncio.sleep(0)
         wave = folder._wave
-        asking.cancel()
-        await asyncio.wait({asking, wave})
+        request.cancel()
+        await asyncio.wait({request, wave})
         del wave
         gc.collect()
 
     asyncio.run(scenario())
-    [line] = lines(caplog, "wave.failed")
+    [line] = log_lines(caplog, "wave.failed")
     assert "LogUnavailableError" in line.error
