--- a/tests/test_loop_socket.py
+++ b/tests/test_loop_socket.py
@@ -64,7 +64,7 @@
 
 
 def test_message_that_arrived_before_a_send_is_received(run_scenario):
-    """A send clears the only notification of a waiting message; it must still be read."""
+    """A send clears the only notification of a message that must still be read."""
 
     async def scenario(sockets):
         sockets.send(1)
