--- a/src/firhook/cell/_config.py
+++ b/src/firhook/cell/_config.py
@@ -98,7 +98,7 @@
 class Pool:
     """A pool of workers.
 
-    :param guards_capacity: whether its workers refuse what does not fit.
+    :param enforces_capacity: whether its workers refuse what does not fit.
     :param standby: whether its machines are off.
     """
 
--- a/src/firhook/cell/_job_table.py
+++ b/src/firhook/cell/_job_table.py
@@ -27,7 +27,7 @@
 from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
 
 #: A worker's progress is known well enough to go by from so many percent on.
-_TELLING_PERCENT = 5.0
+_MIN_MEASURED_PERCENT = 5.0
 #: An order that got no answer may be carried out up to 12 s later.
 MAX_ORDER_DELAY_S = 12.5
 #: That a job began waits for so long to be stored together with others.  Callers'
@@ -35,7 +35,7 @@
 BEGUN_STORE_DELAY_S = 0.25
 #: Workers that the adviser is asked about when a job's chain is estimated; the
 #: objectives of jobs allow for one call about so many.
-_ADVISED_WORKERS = 30
+_ADVICE_WORKERS = 30
 
 
 @attrs.define(slots=True, eq=False)
@@ -48,8 +48,8 @@
     :ivar unanswered_starts: starts that were sent and got no answer; each may yet be
         carried out, seconds later.
     :ivar sent_at: when the last start was sent.
-    :ivar settled_at: a look that was sent later than this and does not list the
-        run proves that it is not there and will not come.
+    :ivar absence_conclusive_after: a look that was sent later than this and does
+        not list the run proves that it is not there and will not come.
     :ivar ticket: the adviser's permission, if its queue needs one.
     :ivar stop_reason: why it is to be stopped; empty if it is not.
     """
@@ -58,7 +58,7 @@
     number: int
     worker: str
     incarnation: int
-    assigned_at: float
+    started_at: float
     stored: bool = False
     confirmed: bool = False
     unanswered_starts: int = 0
@@ -92,12 +92,12 @@
         Estimates are off by up to 90%, so that the worker's own word on the
         progress goes first as soon as there is enough of it.
         """
-        made = self.percent - self.first_percent
-        if self.first_percent >= 0 and made >= _TELLING_PERCENT:
-            per_percent = (self.percent_at - self.first_percent_at) / made
-            left = (100.0 - self.percent) * per_percent
-            return max(left - (now - self.percent_at), 0.0)
-        return max(self.task.step.spec.estimate_s - (now - self.assigned_at), 0.05)
+        gained = self.percent - self.first_percent
+        if self.first_percent >= 0 and gained >= _MIN_MEASURED_PERCENT:
+            per_percent = (self.percent_at - self.first_percent_at) / gained
+            remaining = (100.0 - self.percent) * per_percent
+            return max(remaining - (now - self.percent_at), 0.0)
+        return max(self.task.step.spec.estimate_s - (now - self.started_at), 0.05)
 
 
 @attrs.define(slots=True, eq=False)
@@ -144,7 +144,7 @@
 class Step:
     """A step of one occurrence of a job.
 
-    :param tail_s: the estimated work from its start to the end of the job, by
+    :param critical_path_s: the estimated work from its start to the end of the job, by
         the longest chain.
     :ivar ready_at: when its turn came; ``None`` if it has not.
     :ivar idle: the tasks that wait for a worker, by index.
@@ -237,7 +237,7 @@
     def critical_paths_s(self) -> list[float]:
         """Return for each step the estimated work from its start to the end."""
         advice = self.queue.advice
-        advice_s = advice.answer_s(_ADVISED_WORKERS) if advice else 0.0
+        advice_s = advice.answer_s(_ADVICE_WORKERS) if advice else 0.0
         return critical_paths_s(self.accepted.spec.steps, advice_s)
 
     def runs(self) -> Iterator[Run]:
@@ -277,15 +277,17 @@
 
 def critical_paths_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
     """Return for each step the estimated work from its start to the job's end."""
-    tails = [0.0] * len(job_steps)
+    paths_s = [0.0] * len(job_steps)
     for number in range(len(job_steps) - 1, -1, -1):
         after = (
-            tails[later]
+            paths_s[later]
             for later in range(number + 1, len(job_steps))
             if number in job_steps[later].after
         )
-        tails[number] = job_steps[number].estimate_s + advice_s + max(after, default=0)
-    return tails
+        paths_s[number] = (
+            job_steps[number].estimate_s + advice_s + max(after, default=0)
+        )
+    return paths_s
 
 
 class JobTable:
@@ -311,8 +313,8 @@
         self.voided: list[tuple[Run, str]] = []
         self._dirty: dict[str, Job] = {}
         # When each job began of which that is not stored, the oldest first.
-        self._begun_at: dict[str, float] = {}
-        self._timed: dict[str, Job] = {}
+        self._unstored_begins: dict[str, float] = {}
+        self._periodic_jobs: dict[str, Job] = {}
 
     # Jobs come and change.
 
@@ -345,20 +347,20 @@
         if state is not None:
             self._restore(job, state, now)
         if job.status.ended:
-            self._forget_if_over(job)
+            self._delete_if_finished(job)
             return job
         if accepted.spec.periodic:
-            self._timed[job.id] = job
+            self._periodic_jobs[job.id] = job
             self._add_due(job, now, unix_now)
         else:
             self._add_occurrence(job, 0, now)
         for step in job.steps.values():
-            self._review(step, now)
+            self._update_step(step, now)
         return job
 
     def tick(self, now: float, unix_now: float) -> None:
         """Begin the occurrences that are due by now."""
-        for job in list(self._timed.values()):
+        for job in list(self._periodic_jobs.values()):
             self._add_due(job, now, unix_now)
 
     def next_due(self) -> float | None:
@@ -366,7 +368,7 @@
         return min(
             (
                 job.accepted.spec.due(job.next_occurrence)
-                for job in self._timed.values()
+                for job in self._periodic_jobs.values()
             ),
             default=None,
         )
@@ -380,32 +382,32 @@
             job.due_at[job.next_occurrence] = now - min(unix_now - due, 60.0)
             self._add_occurrence(job, job.next_occurrence, now)
             job.next_occurrence += 1
-        self._timed.pop(job.id, None)
+        self._periodic_jobs.pop(job.id, None)
 
     def _add_occurrence(self, job: Job, occurrence: int, now: float) -> None:
-        tails = job.critical_paths_s()
+        paths_s = job.critical_paths_s()
         for number, spec in enumerate(job.accepted.spec.steps):
             if (occurrence, number) in job.steps:
                 continue
             step = Step(
-                job, occurrence, number, spec, tails[number], remaining=spec.count
+                job, occurrence, number, spec, paths_s[number], remaining=spec.count
             )
             step.tasks = [Task(step, index) for index in range(spec.count)]
             job.steps[occurrence, number] = step
         for number in range(len(job.accepted.spec.steps)):
-            self._review(job.steps[occurrence, number], now)
+            self._update_step(job.steps[occurrence, number], now)
 
     def _restore(self, job: Job, state: JobState, now: float) -> None:
         job.status = JobStatus(state.status)
         job.ended_at = state.ended_at
         job.first_occurrence = job.next_occurrence = state.first_occurrence
-        kept = {(s.occurrence, s.number): s for s in state.steps}
-        for occurrence in sorted({o for o, _ in kept}):
+        stored_steps = {(s.occurrence, s.number): s for s in state.steps}
+        for occurrence in sorted({o for o, _ in stored_steps}):
             if occurrence >= job.next_occurrence:
                 job.next_occurrence = occurrence + 1
             job.due_at.setdefault(occurrence, job.accepted_at)
             self._add_occurrence(job, occurrence, now)
-        for key, stored in kept.items():
+        for key, stored in stored_steps.items():
             step = job.steps.get(key)
             if step is not None:
                 self._restore_step(step, stored, state, now)
@@ -413,19 +415,19 @@
     def _restore_step(
         self, step: Step, stored: StepState, state: JobState, now: float
     ) -> None:
-        for task, old in zip(step.tasks, stored.tasks, strict=False):
-            if old is None:
+        for task, stored_task in zip(step.tasks, stored.tasks, strict=False):
+            if stored_task is None:
                 continue
-            task.done, task.last_run = old.done, old.last_run
-            task.failures = old.failures
-            task.update_checkpoint(old.checkpoint)
-            for row in old.runs:
+            task.done, task.last_run = stored_task.done, stored_task.last_run
+            task.failures = stored_task.failures
+            task.update_checkpoint(stored_task.checkpoint)
+            for row in stored_task.runs:
                 worker = state.workers[row.worker]
                 run = Run(task, row.number, worker.name, worker.incarnation, now)
                 # What the old lead sent is void at a worker once it has seen
                 # the new lead's fencing token, so that any look settles it.
                 run.stored, run.absence_conclusive_after = True, -math.inf
-                self._enter(run)
+                self._add_run(run)
                 if step.job.status.ended or task.done:
                     self.stop(run, "job_ended")
         step.remaining = sum(not task.done for task in step.tasks)
@@ -438,12 +440,12 @@
 
     # Steps.
 
-    def _review(self, step: Step, now: float) -> None:
+    def _update_step(self, step: Step, now: float) -> None:
         """Bring what is idle and whether its turn has come up to date."""
         if step.job.status.ended:
             self.open_steps.pop(step.name, None)
             return
-        if step.ready_at is None and self._turn_has_come(step):
+        if step.ready_at is None and self._predecessors_done(step):
             step.ready_at = now
         step.idle = {t.index: t for t in step.tasks if not t.done and not t.runs}
         if step.spec.gang and len(step.idle) < step.spec.count:
@@ -453,10 +455,10 @@
         else:
             self.open_steps.pop(step.name, None)
 
-    def _turn_has_come(self, step: Step) -> bool:
+    def _predecessors_done(self, step: Step) -> bool:
         return all(
-            step.job.steps[step.occurrence, earlier].remaining == 0
-            for earlier in step.spec.after
+            step.job.steps[step.occurrence, predecessor].remaining == 0
+            for predecessor in step.spec.after
         )
 
     def allow_duplicate(self, task: Task) -> None:
@@ -474,7 +476,7 @@
     ) -> list[Run]:
         """Assign tasks to workers; the members of a gang get one number.
 
-        The job counts as begun only by :meth:`note_begun`.
+        The job counts as begun only by :meth:`mark_begun`.
 
         :param tasks: each with its worker's name and life.
         """
@@ -485,7 +487,7 @@
             number = shared if step.spec.gang else task.last_run + 1
             task.last_run = number
             run = Run(task, number, worker, incarnation, now)
-            self._enter(run)
+            self._add_run(run)
             runs.append(run)
             step.idle.pop(task.index, None)
         if not step.idle:
@@ -494,7 +496,7 @@
         self.planned += runs
         return runs
 
-    def _enter(self, run: Run) -> None:
+    def _add_run(self, run: Run) -> None:
         run.task.runs.append(run)
         spec = run.task.step.spec
         team = run.task.step.job.team
@@ -503,7 +505,7 @@
         self.worker_usage[run.worker] = used.add(spec.reserved)
         self.team_usage[team] = self.team_usage.get(team, NO_RESOURCES).add(spec.need)
 
-    def _leave(self, run: Run) -> None:
+    def _remove_run(self, run: Run) -> None:
         run.task.runs.remove(run)
         spec = run.task.step.spec
         team = run.task.step.job.team
@@ -519,44 +521,44 @@
             return
         step = run.task.step
         self.voided.append((run, reason))
-        self._leave(run)
+        self._remove_run(run)
         if step.spec.gang and not run.task.done:
             self.stop_gang(step, run.number)
-        self._after_leaving(step, now)
+        self._on_run_removed(step, now)
 
     def end(
         self, run: Run, end: RunEnd, checkpoint: str, now: float, unix: float
     ) -> None:
         """Take note of how a run ended."""
         task, step = run.task, run.task.step
-        self._leave(run)
+        self._remove_run(run)
         self.ended_runs.append((run, end))
         if checkpoint:
             task.update_checkpoint(checkpoint)
         if step.spec.long_running:
-            self._after_leaving(step, now)
+            self._on_run_removed(step, now)
             return
         if end is RunEnd.DONE:
-            self._done(run, unix)
+            self._complete_task(run, unix)
         elif end is RunEnd.FAILED:
-            self._failed(task, unix)
+            self._record_failure(task, unix)
         if step.spec.gang and not task.done:
             self.stop_gang(step, run.number)
-        self._after_leaving(step, now)
+        self._on_run_removed(step, now)
 
-    def _after_leaving(self, step: Step, now: float) -> None:
+    def _on_run_removed(self, step: Step, now: float) -> None:
         self._dirty[step.job.id] = step.job
-        self._review(step, now)
+        self._update_step(step, now)
         if step.remaining == 0:
-            self._review_followers(step, now)
-        self._forget_if_over(step.job)
+            self._update_successors(step, now)
+        self._delete_if_finished(step.job)
 
-    def _review_followers(self, step: Step, now: float) -> None:
+    def _update_successors(self, step: Step, now: float) -> None:
         for (occurrence, _), later in step.job.steps.items():
             if occurrence == step.occurrence and step.number in later.spec.after:
-                self._review(later, now)
+                self._update_step(later, now)
 
-    def _done(self, run: Run, unix_now: float) -> None:
+    def _complete_task(self, run: Run, unix_now: float) -> None:
         step = run.task.step
         # One member's end stands for the whole gang.
         tasks = step.tasks if step.spec.gang else [run.task]
@@ -586,7 +588,7 @@
             for n in numbers
         )
 
-    def _failed(self, task: Task, unix_now: float) -> None:
+    def _record_failure(self, task: Task, unix_now: float) -> None:
         step = task.step
         # A gang fails as one.
         for member in step.tasks if step.spec.gang else [task]:
@@ -605,7 +607,7 @@
             return
         job.status, job.ended_at = status, unix_now
         self._dirty[job.id] = job
-        self._timed.pop(job.id, None)
+        self._periodic_jobs.pop(job.id, None)
         for step in job.steps.values():
             step.idle = {}
             self.open_steps.pop(step.name, None)
@@ -613,11 +615,11 @@
             # A gang that is done needs no stop: its members end together.
             if not run.task.done:
                 self.stop(run, "job_ended")
-        self._forget_if_over(job)
+        self._delete_if_finished(job)
 
-    def _forget_if_over(self, job: Job) -> None:
+    def _delete_if_finished(self, job: Job) -> None:
         if job.status.ended and not any(job.runs()):
-            self._timed.pop(job.id, None)
+            self._periodic_jobs.pop(job.id, None)
             self.jobs.pop(job.id, None)
 
     def stop(self, run: Run, reason: str) -> None:
@@ -633,10 +635,10 @@
         """Take note that a worker began a task of a job; that holds for good."""
         if job.status == JobStatus.QUEUED:
             job.status = JobStatus.RUNNING
-            self._begun_at[job.id] = now
+            self._unstored_begins[job.id] = now
 
     def apply_poll_reply(
-        self, worker: str, look: PollReply, sent_at: float, now: float, unix_now: float
+        self, worker: str, reply: PollReply, sent_at: float, now: float, unix_now: float
     ) -> list[tuple[str, int]]:
         """Take in what a worker lists.
 
@@ -644,24 +646,24 @@
         :return: runs that go on there and that nobody wants.
         """
         runs = self.worker_runs.get(worker, {})
-        listed = {(row.task, row.run): row for row in look.running}
-        ended = {(row.task, row.run): row for row in look.ended}
+        listed = {(row.task, row.run): row for row in reply.running}
+        ended = {(row.task, row.run): row for row in reply.ended}
         # Runs that were given up, and that the worker began all the same.
         for task, _ in (listed.keys() | ended.keys()) - runs.keys():
             job = self.jobs.get(task.partition(".")[0])
             if job is not None:
                 self.mark_begun(job, now)
         for run in list(runs.values()):
-            if run.key in ended and run.incarnation <= look.incarnation:
+            if run.key in ended and run.incarnation <= reply.incarnation:
                 # However it ended: what a worker never began, it does not list.
                 self.mark_begun(run.task.step.job, now)
                 self._apply_end(run, ended[run.key], now, unix_now)
             elif run.key in listed:
-                run.incarnation = look.incarnation
+                run.incarnation = reply.incarnation
                 self.mark_begun(run.task.step.job, now)
                 run.update_progress(listed[run.key], now)
             else:
-                self._apply_absence(run, look, sent_at, now)
+                self._apply_absence(run, reply, sent_at, now)
         return [key for key in listed if key not in runs and key not in ended]
 
     def _apply_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
@@ -671,14 +673,14 @@
         self.end(run, row.end, row.checkpoint, now, unix_now)
 
     def _apply_absence(
-        self, run: Run, look: PollReply, sent_at: float, now: float
+        self, run: Run, reply: PollReply, sent_at: float, now: float
     ) -> None:
         if not run.stored or run not in run.task.runs:
             return
-        if look.incarnation > run.incarnation:
+        if reply.incarnation > run.incarnation:
             if run.unanswered_starts:
                 # An order that was not answered may reach the new life too.
-                run.incarnation = look.incarnation
+                run.incarnation = reply.incarnation
                 self.stop(run, "worker_restarted")
                 return
             self.void(run, "worker_restarted", now)
@@ -705,15 +707,17 @@
         """Return the jobs to store: those that changed since the last call.
 
         A job of which no more is new than that it began waits for another change
-        of it, until the oldest such job has waited for :data:`BEGUN_WAIT_S`.
+        of it, until the oldest such job has waited for :data:`BEGUN_STORE_DELAY_S`.
         """
         dirty, self._dirty = self._dirty, {}
         for job_id in dirty:
-            self._begun_at.pop(job_id, None)
-        oldest = next(iter(self._begun_at.values()), math.inf)
+            self._unstored_begins.pop(job_id, None)
+        oldest = next(iter(self._unstored_begins.values()), math.inf)
         if now - oldest >= BEGUN_STORE_DELAY_S:
-            dirty.update((job_id, self.jobs[job_id]) for job_id in self._begun_at)
-            self._begun_at = {}
+            dirty.update(
+                (job_id, self.jobs[job_id]) for job_id in self._unstored_begins
+            )
+            self._unstored_begins = {}
         return list(dirty.values())
 
     def take_planned(self) -> list[Run]:
@@ -723,5 +727,5 @@
 
     def take_to_stop(self) -> list[Run]:
         """Return the runs to stop, added since the last call."""
-        wanted, self.to_stop = self.to_stop, []
-        return wanted
+        runs, self.to_stop = self.to_stop, []
+        return runs
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -226,14 +226,14 @@
     :raises RecordMalformedError: if it is no state.
     """
     try:
-        row = _RAW_ROW.decode(raw)
+        row = _RAW_ROW_DECODER.decode(raw)
         # Rows may end early, where what follows has its default.
         row += [msgspec.Raw(default) for default in _STATE_DEFAULTS[len(row) :]]
         return StateSummary(
-            JobStatus(_INT.decode(row[0])),
-            _FLOAT.decode(row[1]),
-            not _RAW_ROW.decode(row[3]),
-            _INT.decode(row[5]),
+            JobStatus(_INT_DECODER.decode(row[0])),
+            _FLOAT_DECODER.decode(row[1]),
+            not _RAW_ROW_DECODER.decode(row[3]),
+            _INT_DECODER.decode(row[5]),
             raw,
         )
     except (msgspec.MsgspecError, IndexError, ValueError) as exc:
@@ -254,8 +254,8 @@
     :raises RecordMalformedError: if it is no accepted job.
     """
     try:
-        row = _RAW_ROW.decode(raw)
-        row[4] = _NO_SPEC
+        row = _RAW_ROW_DECODER.decode(raw)
+        row[4] = _EMPTY_SPEC
         return msgspec.msgpack.encode(row)
     except (msgspec.MsgspecError, IndexError) as exc:
         raise RecordMalformedError(f"AcceptedJob: {exc}") from exc
@@ -271,10 +271,10 @@
     return b"\x01" if value is True else encode_record(value)
 
 
-_NO_SPEC = msgspec.Raw(msgspec.msgpack.encode(["", []]))
-_RAW_ROW = msgspec.msgpack.Decoder(list[msgspec.Raw])
-_INT = msgspec.msgpack.Decoder(int)
-_FLOAT = msgspec.msgpack.Decoder(float)
+_EMPTY_SPEC = msgspec.Raw(msgspec.msgpack.encode(["", []]))
+_RAW_ROW_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_INT_DECODER = msgspec.msgpack.Decoder(int)
+_FLOAT_DECODER = msgspec.msgpack.Decoder(float)
 #: The fields of a state that a row may leave out, encoded; the status has none.
 _STATE_DEFAULTS = tuple(
     msgspec.msgpack.encode(default) for default in (None, 0.0, (), (), 0, 0)
@@ -283,7 +283,7 @@
 
 def encode_record(obj: Any) -> bytes:
     """Encode an attrs object as a row."""
-    return msgspec.msgpack.encode(_row_maker(type(obj))(obj))
+    return msgspec.msgpack.encode(_row_encoder(type(obj))(obj))
 
 
 def decode_record(cls: type[T], raw: bytes) -> T:
@@ -292,7 +292,7 @@
     :raises RecordMalformedError: if it is no row of that class.
     """
     try:
-        return _object_maker(cls)(msgspec.msgpack.decode(raw))
+        return _row_decoder(cls)(msgspec.msgpack.decode(raw))
     except (msgspec.MsgspecError, TypeError, ValueError, IndexError) as exc:
         raise RecordMalformedError(f"{cls.__name__}: {exc}") from exc
 
@@ -300,7 +300,7 @@
 # The types of a class's fields are looked at once, when its first record is
 # encoded or decoded.  Looking at them for each value took nine tenths of the time.
 
-Maker = Callable[[Any], Any]
+Converter = Callable[[Any], Any]
 
 
 def _field_types(cls: type) -> dict[str, Any]:
@@ -308,55 +308,55 @@
     return {f.name: hints[f.name] for f in attrs.fields(cls)}
 
 
-def _optional_kind(kind: Any) -> Any:
+def _optional_type(cls: Any) -> Any:
     """Return what a value is if it is not ``None``; ``None`` if it must be."""
-    if get_origin(kind) not in (Union, types.UnionType):
+    if get_origin(cls) not in (Union, types.UnionType):
         return None
-    return next(k for k in get_args(kind) if k is not type(None))
+    return next(k for k in get_args(cls) if k is not type(None))
 
 
 @cache
-def _row_maker(kind: Any) -> Maker:
+def _row_encoder(cls: Any) -> Converter:
     """Return what makes rows of values of a type."""
-    if attrs.has(kind):
-        fields = [(name, _row_maker(k)) for name, k in _field_types(kind).items()]
-        return lambda obj: [make(getattr(obj, name)) for name, make in fields]
-    origin = get_origin(kind)
+    if attrs.has(cls):
+        fields = [(name, _row_encoder(k)) for name, k in _field_types(cls).items()]
+        return lambda obj: [convert(getattr(obj, name)) for name, convert in fields]
+    origin = get_origin(cls)
     if origin is tuple:
-        item = _row_maker(get_args(kind)[0])
+        item = _row_encoder(get_args(cls)[0])
         return lambda values: [item(value) for value in values]
     if origin is frozenset:
         return sorted
-    inner = _optional_kind(kind)
+    inner = _optional_type(cls)
     if inner is not None:
-        some = _row_maker(inner)
-        return lambda value: None if value is None else some(value)
+        convert_value = _row_encoder(inner)
+        return lambda value: None if value is None else convert_value(value)
     return lambda value: value
 
 
 @cache
-def _object_maker(kind: Any) -> Maker:
+def _row_decoder(cls: Any) -> Converter:
     """Return what makes values of a type of rows."""
-    if attrs.has(kind):
-        makers = [_object_maker(k) for k in _field_types(kind).values()]
+    if attrs.has(cls):
+        decoders = [_row_decoder(k) for k in _field_types(cls).values()]
         # Rows of a newer version may be longer; what they add is unknown here.
-        return lambda row: kind(
-            *(make(value) for make, value in zip(makers, row, strict=False))
+        return lambda row: cls(
+            *(convert(value) for convert, value in zip(decoders, row, strict=False))
         )
-    origin = get_origin(kind)
+    origin = get_origin(cls)
     if origin is tuple:
-        item = _object_maker(get_args(kind)[0])
+        item = _row_decoder(get_args(cls)[0])
         return lambda row: tuple(item(value) for value in row)
-    inner = _optional_kind(kind)
+    inner = _optional_type(cls)
     if inner is not None:
-        some = _object_maker(inner)
-        return lambda value: None if value is None else some(value)
-    if kind is float:
+        convert_value = _row_decoder(inner)
+        return lambda value: None if value is None else convert_value(value)
+    if cls is float:
         return float
-    return lambda value: _checked(kind, value)
+    return lambda value: _check_type(cls, value)
 
 
-def _checked(kind: type, value: Any) -> Any:
-    if not isinstance(value, kind):
-        raise TypeError(f"{value!r} is not {kind.__name__}")
+def _check_type(cls: type, value: Any) -> Any:
+    if not isinstance(value, cls):
+        raise TypeError(f"{value!r} is not {cls.__name__}")
     return value
--- a/src/firhook/cell/_replica.py
+++ b/src/firhook/cell/_replica.py
@@ -26,7 +26,7 @@
 _JOB_PREFIXES = (JOB_PREFIX, CANCEL_PREFIX, STATE_PREFIX)
 #: Dropped keys whose offsets are kept of a partition; the lead drops some hundred
 #: a second at most, and a partition is read from its start in less than a minute.
-_DROPS_KEPT = 20_000
+_MAX_TOMBSTONES = 20_000
 
 
 @attrs.define(slots=True, eq=False)
@@ -66,51 +66,51 @@
 class _Partition:
     """What is known of one partition of the topic.
 
-    :ivar held: offset and value of each key that has one.
-    :ivar dropped: offsets at which keys were dropped, the oldest entry first.
-    :ivar complete_to: no record before it is news.
+    :ivar entries: offset and value of each key that has one.
+    :ivar tombstones: offsets at which keys were dropped, the oldest entry first.
+    :ivar complete_until: no record before it is news.
     """
 
-    held: dict[str, tuple[int, Any]] = attrs.field(factory=dict)
-    dropped: dict[str, int] = attrs.field(factory=dict)
-    complete_to: int = 0
+    entries: dict[str, tuple[int, Any]] = attrs.field(factory=dict)
+    tombstones: dict[str, int] = attrs.field(factory=dict)
+    complete_until: int = 0
 
-    def is_news(self, offset: int, key: str) -> bool:
+    def is_newer(self, offset: int, key: str) -> bool:
         """Return whether a record may say more than what is known."""
-        if key in self.held and offset == self.held[key][0]:
+        if key in self.entries and offset == self.entries[key][0]:
             # The whole of what is held as a digest.
             return True
-        if not self.is_kept(offset, key):
+        if not self.is_undeleted(offset, key):
             return False
-        return key not in self.held or offset > self.held[key][0]
+        return key not in self.entries or offset > self.entries[key][0]
 
-    def is_kept(self, offset: int, key: str) -> bool:
+    def is_undeleted(self, offset: int, key: str) -> bool:
         """Return whether a key was neither dropped nor listed after a record."""
-        return offset >= self.complete_to and offset >= self.dropped.get(key, -1)
+        return offset >= self.complete_until and offset >= self.tombstones.get(key, -1)
 
-    def keep(self, offset: int, key: str, value: Any) -> None:
+    def store(self, offset: int, key: str, value: Any) -> None:
         """Keep a key's value; ``None`` drops it."""
-        self.dropped.pop(key, None)
+        self.tombstones.pop(key, None)
         if value is not None:
-            self.held[key] = (offset, value)
+            self.entries[key] = (offset, value)
             return
-        self.held.pop(key, None)
-        self.dropped[key] = offset
-        if len(self.dropped) > _DROPS_KEPT:
-            del self.dropped[next(iter(self.dropped))]
+        self.entries.pop(key, None)
+        self.tombstones[key] = offset
+        if len(self.tombstones) > _MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
 
     def drop_unlisted(self, listed: set[str], end: int) -> list[str]:
         """Drop the keys that are not listed; return them."""
-        gone = [
+        deleted = [
             key
-            for key, (offset, _) in self.held.items()
+            for key, (offset, _) in self.entries.items()
             if offset < end and key not in listed
         ]
-        for key in gone:
-            del self.held[key]
-        self.complete_to = max(self.complete_to, end)
-        self.dropped = {k: o for k, o in self.dropped.items() if o >= end}
-        return gone
+        for key in deleted:
+            del self.entries[key]
+        self.complete_until = max(self.complete_until, end)
+        self.tombstones = {k: o for k, o in self.tombstones.items() if o >= end}
+        return deleted
 
 
 class Replica:
@@ -149,27 +149,27 @@
         part = self._partitions.setdefault(partition, _Partition())
         prefix, slash, name = key.partition("/")
         prefix += slash
-        news = part.is_news(offset, key)
-        if not news and not (prefix == JOB_PREFIX and part.is_kept(offset, key)):
+        newer = part.is_newer(offset, key)
+        if not newer and not (prefix == JOB_PREFIX and part.is_undeleted(offset, key)):
             return None
         decoded = _decode(prefix, value) if value else None
-        if prefix == JOB_PREFIX and self._is_rival(part, key, decoded):
+        if prefix == JOB_PREFIX and self._has_other_owner(part, key, decoded):
             # The store keeps the newest; of two owners' the earliest holds.
-            known_at, known = part.held[key]
-            self._note_owners(name, [known, decoded])
-            part.keep(max(known_at, offset), key, _earliest([known, decoded]))
-        elif news:
-            part.keep(offset, key, decoded)
-        return self._show(key, prefix, name, decoded)
+            known_at, known = part.entries[key]
+            self._record_owners(name, [known, decoded])
+            part.store(max(known_at, offset), key, _earliest([known, decoded]))
+        elif newer:
+            part.store(offset, key, decoded)
+        return self._update_view(key, prefix, name, decoded)
 
     @staticmethod
-    def _is_rival(part: _Partition, key: str, job: AcceptedJob | None) -> bool:
+    def _has_other_owner(part: _Partition, key: str, job: AcceptedJob | None) -> bool:
         """Return whether a partition holds a submission by another owner."""
-        if job is None or key not in part.held:
+        if job is None or key not in part.entries:
             return False
-        return part.held[key][1].owner != job.owner
+        return part.entries[key][1].owner != job.owner
 
-    def _note_owners(self, job_id: str, values: list[AcceptedJob]) -> None:
+    def _record_owners(self, job_id: str, values: list[AcceptedJob]) -> None:
         """Remember who submitted an id, if they are several."""
         owners = {value.owner for value in values}
         if len(owners) > 1:
@@ -186,47 +186,53 @@
         changed = []
         for key in part.drop_unlisted(listed, end):
             prefix, slash, name = key.partition("/")
-            changed.append(self._show(key, prefix + slash, name))
+            changed.append(self._update_view(key, prefix + slash, name))
         return [job_id for job_id in changed if job_id is not None]
 
     def is_known_state(self, partition: int, key: str, state: StateSummary) -> bool:
         """Return whether a partition's state of a job tells callers the same."""
         part = self._partitions.get(partition)
-        if part is None or key not in part.held:
+        if part is None or key not in part.entries:
             return False
-        held = part.held[key][1]
-        return (held.status, held.has_no_steps) == (state.status, state.has_no_steps)
+        known = part.entries[key][1]
+        return (known.status, known.has_no_steps) == (state.status, state.has_no_steps)
 
-    def page(self, partition: int, after: str, most: int) -> list[tuple[int, str, Any]]:
+    def page(
+        self, partition: int, after: str, limit: int
+    ) -> list[tuple[int, str, Any]]:
         """Return offset, key and value of so many keys of a partition.
 
         :param after: the key after which to begin, in the order of keys.
         """
         part = self._partitions.get(partition)
-        held = part.held if part is not None else {}
-        keys = heapq.nsmallest(most, (key for key in held if key > after))
-        return [(held[key][0], key, held[key][1]) for key in keys]
+        entries = part.entries if part is not None else {}
+        keys = heapq.nsmallest(limit, (key for key in entries if key > after))
+        return [(entries[key][0], key, entries[key][1]) for key in keys]
 
     def partitions_of(self, key: str) -> list[int]:
         """Return the partitions that hold a value of a key, the newest version last."""
-        held = [
-            (getattr(part.held[key][1], "version", 0), number)
+        holding = [
+            (getattr(part.entries[key][1], "version", 0), number)
             for number, part in self._partitions.items()
-            if key in part.held
+            if key in part.entries
         ]
-        return [number for _, number in sorted(held)]
+        return [number for _, number in sorted(holding)]
 
-    def _show(self, key: str, prefix: str, name: str, latest: Any = None) -> str | None:
+    def _update_view(
+        self, key: str, prefix: str, name: str, latest: Any = None
+    ) -> str | None:
         """Have readers see what the partitions hold of a key.
 
         :param prefix: of the key, with its slash if it has one; the name follows.
         :param latest: the value applied just now, if any.
         """
         values = [
-            part.held[key][1] for part in self._partitions.values() if key in part.held
+            part.entries[key][1]
+            for part in self._partitions.values()
+            if key in part.entries
         ]
         if prefix in _JOB_PREFIXES:
-            self._show_job(prefix, name, values)
+            self._update_job_view(prefix, name, values)
             return name
         if prefix == PEER_PREFIX:
             if not values:
@@ -239,12 +245,12 @@
             self.mesh_keys = latest or values[0]
         return None
 
-    def _show_job(self, prefix: str, job_id: str, values: list[Any]) -> None:
+    def _update_job_view(self, prefix: str, job_id: str, values: list[Any]) -> None:
         job = self.jobs.get(job_id) or JobView()
         if prefix == JOB_PREFIX:
             job.accepted = _earliest(values)
             if len(values) > 1:
-                self._note_owners(job_id, values)
+                self._record_owners(job_id, values)
         elif prefix == STATE_PREFIX:
             job.state = _first(values, lambda v: -v.version)
         else:
--- a/src/firhook/cell/_resources.py
+++ b/src/firhook/cell/_resources.py
@@ -36,9 +36,9 @@
             and self.accelerators >= other.accelerators
         )
 
-    def count_fitting(self, need: "Resources", most: int) -> int:
+    def count_fitting(self, need: "Resources", limit: int) -> int:
         """Return how many times a need fits, ``most`` at the most."""
-        count = most
+        count = limit
         if need.cpu_m > 0:
             count = min(count, self.cpu_m // need.cpu_m)
         if need.memory_mb > 0:
--- a/src/firhook/cell/_spec.py
+++ b/src/firhook/cell/_spec.py
@@ -19,7 +19,7 @@
     :param data_rack: the rack on which the tasks are not slowed down.
     :param per_worker: the most tasks of the step on one worker; 0 for any.
     :param duplicates: whether copies of a task may run at the same time.
-    :param lasting: whether the tasks run until the job is cancelled.
+    :param long_running: whether the tasks run until the job is cancelled.
     :param image: what the tasks run; those of one image behave alike.
     :param target_s: what the tail of a serving task's answers must stay below.
     :param fills: whether the tasks live on the processor time that others leave,
--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -46,8 +46,8 @@
         # It may be about to end; percentages are rounded.
         return now - run.percent_at > 2 * limit_s(run)
     if run.percent <= 0:
-        return now - run.assigned_at > _fresh_limit_s(run)
-    return now - max(run.percent_at, run.assigned_at) > limit_s(run)
+        return now - run.started_at > _fresh_limit_s(run)
+    return now - max(run.percent_at, run.started_at) > limit_s(run)
 
 
 def limit_s(run: Run) -> float:
--- a/src/firhook/services/_orders.py
+++ b/src/firhook/services/_orders.py
@@ -230,8 +230,8 @@
     def _note_started(self, run: Run, began: float) -> None:
         run.confirmed = True
         now = boot_time()
-        self._term.tickets.note_start(now - run.assigned_at)
-        run.assigned_at = now
+        self._term.tickets.note_start(now - run.started_at)
+        run.started_at = now
         self._term.book.mark_begun(run.task.step.job, now)
         self._meters.time("start", "", now - began)
         log(
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -408,10 +408,10 @@
             worker=link.name,
             end=end.value,
             gang=step.spec.gang,
-            ran_ms=round((now - run.assigned_at) * 1000),
+            ran_ms=round((now - run.started_at) * 1000),
         )
         if end is RunEnd.DONE:
-            self.speeds.note(step.name, link.name, now - run.assigned_at)
+            self.speeds.note(step.name, link.name, now - run.started_at)
         if step.remaining == 0:
             self.speeds.close(step.name)
         if link.health.note(step.job.id, end, now):
--- a/tests/cell/test_replica_drops.py
+++ b/tests/cell/test_replica_drops.py
@@ -94,11 +94,11 @@
     replica = Replica()
     for i in range(50_000):
         replica.apply(i, f"job/{i}", None, 1)
-    kept = replica._partitions[1].dropped
+    kept = replica._partitions[1].tombstones
     assert len(kept) == 20_000
     assert min(kept.values()) == 30_000
     replica.drop_unlisted(1, set(), 50_000)
-    assert not replica._partitions[1].dropped
+    assert not replica._partitions[1].tombstones
 
 
 def test_lead_of_an_older_epoch_on_another_partition_does_not_replace_the_newest():
--- a/tests/decide/test_speeds.py
+++ b/tests/decide/test_speeds.py
@@ -78,7 +78,7 @@
 
 def test_what_moved_before_does_not_hide_that_a_worker_stands_still_now():
     before, fresh = a_run(0, 60, 1.0), a_run(0, 0, 1.5)
-    fresh.assigned_at = 1.2
+    fresh.started_at = 1.2
     assert standing_still([before, fresh], 2.1) == []
     assert standing_still([before, fresh], 2.4) == [fresh]
 
