--- a/src/firhook/cell/__init__.py
+++ b/src/firhook/cell/__init__.py
@@ -1,4 +1,4 @@
-"""The cell: its configuration, jobs, workers and state, without I/O."""
+"""The configuration, jobs, workers and stored state of a cell, without I/O."""
 
 from firhook.cell._config import (
     AdvicePolicy,
--- a/src/firhook/cell/_config.py
+++ b/src/firhook/cell/_config.py
@@ -1,4 +1,4 @@
-"""What operators have configured: queues, teams and pools of workers."""
+"""The operators' configuration: queues, teams and pools of workers."""
 
 import hashlib
 from functools import cached_property
@@ -9,21 +9,20 @@
 
 
 def key_digest(key: str) -> bytes:
-    """Return what is kept of a team's key.
+    """Return the digest of a team's key, by which the key is recognized.
 
-    Keys themselves are never kept, so that neither a core dump nor a log line
-    can give one away.
+    Only digests are kept, so neither a core dump nor a log line can disclose a key.
     """
     return hashlib.sha256(key.encode()).digest()
 
 
 @attrs.frozen(slots=True)
 class AdvicePolicy:
-    """How the adviser answers which workers may run a step of a queue.
+    """Timing of the adviser, which decides which workers may run a queue's steps.
 
-    :param base_s: seconds that an answer takes at least.
-    :param per_worker_s: seconds more for each worker that is asked about.
-    :param valid_s: seconds for which the tickets of an answer are good.
+    :param base_s: shortest duration of an answer, in seconds.
+    :param per_worker_s: additional seconds for each worker in the request.
+    :param valid_s: validity of the tickets in an answer, in seconds.
     """
 
     base_s: float
@@ -31,7 +30,7 @@
     valid_s: float
 
     def answer_s(self, workers: int) -> float:
-        """Return how long an answer about so many workers takes."""
+        """Return the duration of an answer about a number of workers, in seconds."""
         return self.base_s + self.per_worker_s * workers
 
 
@@ -40,12 +39,14 @@
     """A queue of jobs, which callers address by host and path.
 
     :param pool: the pool whose workers run its tasks.
-    :param priority: 0 goes first and may preempt others.
+    :param host: host that callers send requests to.
+    :param prefix: prefix of the paths that belong to the queue.
+    :param priority: 0 is the highest and may preempt others.
     :param max_attempts: failed attempts after which a task fails its job.
-    :param slack_factor: the objective allows so many times the job's work.
-    :param target_s: the objective allows so many seconds more.
+    :param slack_factor: factor of the job's estimated duration in its objective.
+    :param target_s: seconds that the objective adds to that product.
     :param anonymous: whether callers need no key.
-    :param advice: how the adviser answers, or ``None`` if all workers may.
+    :param advice: the adviser's timing; ``None`` if all workers may run the tasks.
     """
 
     name: str
@@ -65,16 +66,20 @@
         return self.host + self.prefix
 
     def owner(self, team: str) -> tuple[str, str]:
-        """Return whose a job is that a team submits here: all callers' if anonymous."""
+        """Return the owner of a job that a team submits to this queue.
+
+        The team is empty if the queue is anonymous: all callers own its jobs.
+        """
         return self.address, "" if self.anonymous else team
 
 
 @attrs.frozen(slots=True)
 class Team:
-    """A team: its keys, its share when all is full, and its limit.
+    """A team: its keys, its share of a saturated cell, and its limit.
 
     :param key_digests: digests of its keys.
-    :param limit: the most that it may have running; 0 means no limit.
+    :param weight: its relative share of a saturated cell.
+    :param limit: limit on the resources of its runs; an amount of 0 means no limit.
     """
 
     name: str
@@ -83,7 +88,7 @@
     limit: Resources = NO_RESOURCES
 
     def permits(self, running: Resources) -> bool:
-        """Return whether the team may have so much running."""
+        """Return whether an amount of running resources is within the limit."""
         return (
             (not self.limit.cpu_m or running.cpu_m <= self.limit.cpu_m)
             and (not self.limit.memory_mb or running.memory_mb <= self.limit.memory_mb)
@@ -98,8 +103,8 @@
 class Pool:
     """A pool of workers.
 
-    :param enforces_capacity: whether its workers refuse what does not fit.
-    :param standby: whether its machines are off.
+    :param enforces_capacity: whether its workers refuse tasks that do not fit.
+    :param standby: whether its machines are switched off.
     """
 
     name: str
@@ -109,9 +114,9 @@
 
 @attrs.frozen
 class CellConfig:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
-    :param max_body_bytes: the largest body that callers may send.
+    :param max_body_bytes: size of the largest body that callers may send.
     """
 
     version: int
@@ -147,12 +152,12 @@
         return {pool.name: pool for pool in self.pools}
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of the path on the host."""
+        """Return the host's queue with the longest matching prefix, if any."""
         for queue in self._by_host.get(host.lower(), ()):
             if path.startswith(queue.prefix):
                 return queue
         return None
 
     def team_for(self, key: str) -> Team | None:
-        """Return the team that a key belongs to."""
+        """Return the team that a key belongs to; ``None`` if the key is unknown."""
         return self._by_digest.get(key_digest(key))
--- a/src/firhook/cell/_job_table.py
+++ b/src/firhook/cell/_job_table.py
@@ -1,10 +1,10 @@
-"""What the lead knows of the cell's jobs, tasks and runs.
+"""The lead's in-memory state of the cell's jobs, steps, tasks and runs.
 
-The book is the lead's memory.  It is built from the records when an instance
-takes the lead, and every change to it is stored before it has an effect
-outside: an assignment before the start is sent, an end before the worker is
-told to forget it.  That a job began has no effect outside but what callers are
-told, so that it may be stored a little later, with other changes.
+An instance that becomes lead rebuilds the table from the stored records.  Each
+change is stored before it has an external effect: an assignment before the start
+order is sent, and the end of a run before it is acknowledged to the worker, which
+then deletes it.  The change of a job's status to running affects only the answers
+to callers, so it may be stored a little later, together with other changes.
 """
 
 import math
@@ -26,15 +26,16 @@
 from firhook.cell._spec import StepSpec
 from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
 
-#: A worker's progress is known well enough to go by from so many percent on.
+#: Progress, in percentage points, from which a run's measured speed is used.
 _MIN_MEASURED_PERCENT = 5.0
-#: An order that got no answer may be carried out up to 12 s later.
+#: A worker may still carry out an unanswered order up to 12 s after it was sent.
 MAX_ORDER_DELAY_S = 12.5
-#: That a job began waits for so long to be stored together with others.  Callers'
-#: count of waiting jobs may be 2 s old, and an append for each start is spared.
+#: Longest time that a job's change to running waits to be stored with other
+#: changes, which saves an append for each start.  The count of waiting jobs that
+#: callers get may be 2 s old.
 BEGUN_STORE_DELAY_S = 0.25
-#: Workers that the adviser is asked about when a job's chain is estimated; the
-#: objectives of jobs allow for one call about so many.
+#: Workers in the adviser call that the critical path, and so a job's objective,
+#: includes for each step.
 _ADVICE_WORKERS = 30
 
 
@@ -42,16 +43,19 @@
 class Run:
     """One start of a task on one worker.
 
-    :param incarnation: the life of the worker that it was ordered at or seen on.
-    :ivar stored: whether its assignment is on the log; nothing is sent before.
-    :ivar confirmed: whether the worker said that it runs.
-    :ivar unanswered_starts: starts that were sent and got no answer; each may yet be
-        carried out, seconds later.
-    :ivar sent_at: when the last start was sent.
-    :ivar absence_conclusive_after: a look that was sent later than this and does
-        not list the run proves that it is not there and will not come.
-    :ivar ticket: the adviser's permission, if its queue needs one.
-    :ivar stop_reason: why it is to be stopped; empty if it is not.
+    :param incarnation: the worker's incarnation that the start was sent to, or that
+        last listed the run.
+    :param started_at: when the run was assigned; once the start order was answered,
+        when that answer arrived.
+    :ivar stored: whether the assignment is on the log; orders are sent only then.
+    :ivar confirmed: whether the worker has listed the run.
+    :ivar unanswered_starts: number of start orders without an answer; the worker may
+        still carry out each of them seconds later.
+    :ivar sent_at: when the last start order was sent.
+    :ivar absence_conclusive_after: if a poll sent after this time does not list the
+        run, it neither runs nor will start.
+    :ivar ticket: the adviser's ticket, if the queue requires one.
+    :ivar stop_reason: why the run is to be stopped; empty if it is not.
     """
 
     task: "Task"
@@ -73,11 +77,11 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Its task's name and its number, by which workers know it."""
+        """The task's name and the run's number, which identify it to workers."""
         return (self.task.name, self.number)
 
     def update_progress(self, row: RunningRow, now: float) -> None:
-        """Take in what the worker says of it."""
+        """Record the progress and the checkpoint that the worker reports."""
         self.confirmed = True
         if row.checkpoint:
             self.task.update_checkpoint(row.checkpoint)
@@ -87,10 +91,10 @@
             self.percent, self.percent_at = row.percent, now
 
     def remaining_s(self, now: float) -> float:
-        """Return about how long it will go on.
+        """Return an estimate of the remaining duration, in seconds.
 
-        Estimates are off by up to 90%, so that the worker's own word on the
-        progress goes first as soon as there is enough of it.
+        Callers' estimates are off by up to 90%, so the speed that the worker reports
+        takes precedence as soon as enough progress was measured.
         """
         gained = self.percent - self.first_percent
         if self.first_percent >= 0 and gained >= _MIN_MEASURED_PERCENT:
@@ -114,11 +118,11 @@
 
     @property
     def name(self) -> str:
-        """Its name on the workers' interface."""
+        """The task's name in the workers' interface."""
         return f"{self.step.name}.{self.index}"
 
     def update_checkpoint(self, checkpoint: str) -> None:
-        """Keep the newest checkpoint; a gang shares one."""
+        """Keep the newest checkpoint; the members of a gang share one."""
         if not self.step.spec.checkpoints:
             return
         if self.step.spec.gang:
@@ -127,7 +131,11 @@
             self.checkpoint = checkpoint
 
     def to_state(self, workers: dict[tuple[str, int], int]) -> TaskState | None:
-        """Return what is stored of it; ``None`` if it was not begun."""
+        """Return the record of the task; ``None`` if it was never assigned.
+
+        :param workers: index of each worker incarnation in the job's record;
+            those of this task's runs are added.
+        """
         if not self.last_run and not self.done:
             return None
         rows = tuple(
@@ -144,12 +152,12 @@
 class Step:
     """A step of one occurrence of a job.
 
-    :param critical_path_s: the estimated work from its start to the end of the job, by
-        the longest chain.
-    :ivar ready_at: when its turn came; ``None`` if it has not.
-    :ivar idle: the tasks that wait for a worker, by index.
-    :ivar remaining: the tasks that are not done.
-    :ivar checkpoint: the newest checkpoint of a gang, good for each member.
+    :param critical_path_s: estimated duration of the longest chain of steps from this
+        one to the end of the job.
+    :ivar ready_at: when all steps that it depends on were done; ``None`` before.
+    :ivar idle: tasks that wait for a worker, by index.
+    :ivar remaining: number of tasks that are not done.
+    :ivar checkpoint: newest checkpoint of a gang, valid for each member.
     """
 
     job: "Job"
@@ -165,40 +173,47 @@
 
     @property
     def name(self) -> str:
-        """Its name towards the adviser."""
+        """The step's name in requests to the adviser."""
         return f"{self.job.id}.{self.occurrence}.{self.number}"
 
     @property
     def started(self) -> bool:
-        """Whether any of its tasks ever ran or was assigned."""
+        """Whether any of its tasks was ever assigned."""
         return any(task.last_run for task in self.tasks)
 
     def runs(self) -> Iterator[Run]:
-        """Return the runs that may be going on."""
+        """Yield the runs that may still be executing."""
         for task in self.tasks:
             yield from task.runs
 
     def start_checkpoint(self, task: Task) -> str:
-        """Return the checkpoint that a run of the task resumes from."""
+        """Return the checkpoint that the task's next run resumes from."""
         return self.checkpoint if self.spec.gang else task.checkpoint
 
     def latest_start(self) -> float:
-        """Return when it must start for the job to meet its objective."""
+        """Return the latest start time at which the job still meets its objective."""
         return self.job.objective_at(self.occurrence) - self.critical_path_s
 
     def to_state(self, workers: dict[tuple[str, int], int]) -> StepState:
-        """Return what is stored of it."""
+        """Return the record of the step; see :meth:`Task.to_state`."""
         rows = tuple(task.to_state(workers) for task in self.tasks)
         return StepState(self.occurrence, self.number, rows)
 
 
 @attrs.define(slots=True, eq=False)
 class Job:
-    """A job.
+    """A job with the state of its steps.
 
+    :param queue: current configuration of its queue, or the last one if the queue
+        was removed.
     :param accepted_at: on the lead's boot clock.
-    :param queue: its queue as it is configured now, or was last.
-    :ivar status: queued until a worker has said that it began a task of it.
+    :ivar status: queued until a worker reports the first run of one of its tasks.
+    :ivar ended_at: seconds since 1970; 0 if the job has not ended.
+    :ivar steps: steps by occurrence and number.
+    :ivar next_occurrence: first occurrence that has not been released.
+    :ivar first_occurrence: first occurrence that is not done.
+    :ivar due_at: release time of each occurrence, on the boot clock.
+    :ivar critical_path_s: estimated duration of the job's longest chain of steps.
     """
 
     accepted: AcceptedJob
@@ -215,41 +230,44 @@
 
     @property
     def id(self) -> str:
-        """Its id, chosen by the caller."""
+        """The job's id, chosen by the caller."""
         return self.accepted.id
 
     @property
     def team(self) -> str:
-        """The team that it belongs to."""
+        """Name of the team that submitted the job."""
         return self.accepted.team
 
     def released_at(self, occurrence: int) -> float:
-        """Return when an occurrence was due or accepted, on the boot clock."""
+        """Return when an occurrence was due, on the boot clock.
+
+        For a job that is not periodic this is when it was accepted.
+        """
         return self.due_at.get(occurrence, self.accepted_at)
 
     def objective_at(self, occurrence: int) -> float:
-        """Return until when an occurrence should be done, on the boot clock."""
+        """Return when an occurrence should be done at the latest, on the boot clock."""
         start = self.released_at(occurrence)
         return (
             start + self.queue.slack_factor * self.critical_path_s + self.queue.target_s
         )
 
     def critical_paths_s(self) -> list[float]:
-        """Return for each step the estimated work from its start to the end."""
+        """Return each step's critical path to the end of the job, in seconds."""
         advice = self.queue.advice
         advice_s = advice.answer_s(_ADVICE_WORKERS) if advice else 0.0
         return critical_paths_s(self.accepted.spec.steps, advice_s)
 
     def runs(self) -> Iterator[Run]:
-        """Return the runs that may be going on."""
+        """Yield the runs that may still be executing."""
         for step in self.steps.values():
             yield from step.runs()
 
     def to_state(self, version: int = 0) -> JobState:
-        """Return what is stored of it.
+        """Return the record of the job.
 
-        Of a job that ended only the steps are kept that still have runs, which
-        a successor has to go on stopping.
+        For a job that ended, it contains only the steps that still have runs: the
+        next lead has to continue stopping them.
         """
         workers: dict[tuple[str, int], int] = {}
         steps = tuple(
@@ -276,7 +294,10 @@
 
 
 def critical_paths_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
-    """Return for each step the estimated work from its start to the job's end."""
+    """Return each step's critical path to the end of the job, in seconds.
+
+    :param advice_s: duration of the adviser call that each step needs.
+    """
     paths_s = [0.0] * len(job_steps)
     for number in range(len(job_steps) - 1, -1, -1):
         after = (
@@ -291,13 +312,18 @@
 
 
 class JobTable:
-    """The jobs that are not over, with their tasks and runs.
-
-    :ivar open_steps: the steps whose turn has come and that have idle tasks.
-    :ivar planned: runs that were assigned since :meth:`take_planned`.
-    :ivar to_stop: runs that are to be stopped, since :meth:`take_to_stop`.
-    :ivar ended_runs: the ends that were taken note of, for the owner to log and clear.
-    :ivar voided: likewise the runs that are certainly over, each with the reason.
+    """The jobs that have not ended or still have runs, with their tasks and runs.
+
+    :ivar jobs: jobs by id.
+    :ivar open_steps: ready steps that have idle tasks, by name.
+    :ivar worker_runs: runs by worker and by :attr:`Run.key`.
+    :ivar worker_usage: resources that the runs reserve on each worker.
+    :ivar team_usage: resources that the runs of each team need.
+    :ivar planned: runs assigned since the last :meth:`take_planned`.
+    :ivar to_stop: runs to stop, added since the last :meth:`take_to_stop`.
+    :ivar ended_runs: reported ends, which the owner logs and clears.
+    :ivar voided: runs that were voided, each with the reason; the owner logs and
+        clears them.
     """
 
     def __init__(self, config: CellConfig) -> None:
@@ -312,14 +338,14 @@
         self.ended_runs: list[tuple[Run, RunEnd]] = []
         self.voided: list[tuple[Run, str]] = []
         self._dirty: dict[str, Job] = {}
-        # When each job began of which that is not stored, the oldest first.
+        # When each job whose change to running is not stored began, oldest first.
         self._unstored_begins: dict[str, float] = {}
         self._periodic_jobs: dict[str, Job] = {}
 
-    # Jobs come and change.
+    # Jobs.
 
     def set_config(self, config: CellConfig) -> None:
-        """Go by another version of the configuration."""
+        """Apply another version of the configuration."""
         self.config = config
         for job in self.jobs.values():
             job.queue = config.by_address.get(job.queue.address, job.queue)
@@ -331,15 +357,18 @@
         now: float,
         unix_now: float,
     ) -> Job | None:
-        """Add a job, as it was accepted or as it was stored.
+        """Add a job that was accepted, or restore it from its stored state.
 
+        :param state: the stored state; ``None`` if there is none.
         :param now: on the boot clock.
-        :return: ``None`` if it was there already.
+        :param unix_now: seconds since 1970.
+        :return: ``None`` if the job is in the table already.
         """
         if accepted.id in self.jobs:
             return None
         queue = self.config.by_address.get(accepted.queue.address, accepted.queue)
-        # The time of day may have jumped between the two clocks.
+        # The wall clock may have jumped since the job was accepted, or differ from
+        # that of the accepting instance, so its age is bounded.
         age_s = min(max(unix_now - accepted.accepted_at, 0.0), 60.0)
         job = Job(accepted, queue, now - age_s)
         job.critical_path_s = max(job.critical_paths_s(), default=0.0)
@@ -359,7 +388,7 @@
         return job
 
     def tick(self, now: float, unix_now: float) -> None:
-        """Begin the occurrences that are due by now."""
+        """Release the occurrences that are due."""
         for job in list(self._periodic_jobs.values()):
             self._add_due(job, now, unix_now)
 
@@ -424,8 +453,8 @@
             for row in stored_task.runs:
                 worker = state.workers[row.worker]
                 run = Run(task, row.number, worker.name, worker.incarnation, now)
-                # What the old lead sent is void at a worker once it has seen
-                # the new lead's fencing token, so that any look settles it.
+                # A worker that has seen this lead's fencing token ignores orders
+                # of earlier leads, so the first poll shows whether the run exists.
                 run.stored, run.absence_conclusive_after = True, -math.inf
                 self._add_run(run)
                 if step.job.status.ended or task.done:
@@ -433,7 +462,7 @@
         step.remaining = sum(not task.done for task in step.tasks)
 
     def cancel(self, job_id: str, unix_now: float) -> None:
-        """Cancel a job, if it is not over."""
+        """Cancel a job, unless it has ended."""
         job = self.jobs.get(job_id)
         if job is not None and not job.status.ended:
             self._end_job(job, JobStatus.CANCELLED, unix_now)
@@ -441,7 +470,7 @@
     # Steps.
 
     def _update_step(self, step: Step, now: float) -> None:
-        """Bring what is idle and whether its turn has come up to date."""
+        """Update the step's idle tasks and whether it is ready."""
         if step.job.status.ended:
             self.open_steps.pop(step.name, None)
             return
@@ -462,23 +491,23 @@
         )
 
     def allow_duplicate(self, task: Task) -> None:
-        """Let a task that may run twice start elsewhere, beside its runs."""
+        """Let a task start on another worker beside its runs, if it may run twice."""
         step = task.step
         if step.spec.duplicates and not task.done and not step.job.status.ended:
             step.idle[task.index] = task
             if step.ready_at is not None:
                 self.open_steps[step.name] = step
 
-    # Runs begin and end.
+    # Runs.
 
     def plan(
         self, step: Step, tasks: Iterable[tuple[Task, str, int]], now: float
     ) -> list[Run]:
-        """Assign tasks to workers; the members of a gang get one number.
+        """Assign tasks to workers; the members of a gang get the same run number.
 
-        The job counts as begun only by :meth:`mark_begun`.
+        The job stays queued until :meth:`mark_begun`.
 
-        :param tasks: each with its worker's name and life.
+        :param tasks: each with the name and the incarnation of its worker.
         """
         chosen = list(tasks)
         shared = max(task.last_run for task, _, _ in chosen) + 1
@@ -516,7 +545,7 @@
         self.team_usage[team] = self.team_usage[team].subtract(spec.need)
 
     def void(self, run: Run, reason: str, now: float) -> None:
-        """Take note that a run certainly is not going on and never will."""
+        """Remove a run that is known neither to run nor to start later."""
         if run not in run.task.runs:
             return
         step = run.task.step
@@ -529,7 +558,11 @@
     def end(
         self, run: Run, end: RunEnd, checkpoint: str, now: float, unix: float
     ) -> None:
-        """Take note of how a run ended."""
+        """Record how a run ended and remove it.
+
+        :param now: on the boot clock.
+        :param unix: seconds since 1970.
+        """
         task, step = run.task, run.task.step
         self._remove_run(run)
         self.ended_runs.append((run, end))
@@ -560,7 +593,7 @@
 
     def _complete_task(self, run: Run, unix_now: float) -> None:
         step = run.task.step
-        # One member's end stands for the whole gang.
+        # A gang is done as soon as one member reports that it is.
         tasks = step.tasks if step.spec.gang else [run.task]
         for task in tasks:
             if task.done:
@@ -590,14 +623,14 @@
 
     def _record_failure(self, task: Task, unix_now: float) -> None:
         step = task.step
-        # A gang fails as one.
+        # A failure of one member counts for the whole gang.
         for member in step.tasks if step.spec.gang else [task]:
             member.failures += 1
         if task.failures >= step.job.queue.max_attempts and not task.done:
             self._end_job(step.job, JobStatus.FAILED, unix_now)
 
     def stop_gang(self, step: Step, number: int) -> None:
-        """Stop what is left of a gang's run; its members cannot end done."""
+        """Stop the other members of a gang's run, which can no longer complete."""
         for run in step.runs():
             if run.number == number:
                 self.stop(run, "gang_broken")
@@ -612,7 +645,7 @@
             step.idle = {}
             self.open_steps.pop(step.name, None)
         for run in list(job.runs()):
-            # A gang that is done needs no stop: its members end together.
+            # The members of a gang that is done end together without being stopped.
             if not run.task.done:
                 self.stop(run, "job_ended")
         self._delete_if_finished(job)
@@ -623,16 +656,19 @@
             self.jobs.pop(job.id, None)
 
     def stop(self, run: Run, reason: str) -> None:
-        """Have a run stopped, unless it is to be already."""
+        """Schedule a run to be stopped, unless it already is."""
         if run.stop_reason:
             return
         run.stop_reason = reason
         self.to_stop.append(run)
 
-    # What workers say.
+    # Reports of workers.
 
     def mark_begun(self, job: Job, now: float) -> None:
-        """Take note that a worker began a task of a job; that holds for good."""
+        """Record that a worker began a task of a job.
+
+        The status never returns to queued.
+        """
         if job.status == JobStatus.QUEUED:
             job.status = JobStatus.RUNNING
             self._unstored_begins[job.id] = now
@@ -640,22 +676,22 @@
     def apply_poll_reply(
         self, worker: str, reply: PollReply, sent_at: float, now: float, unix_now: float
     ) -> list[tuple[str, int]]:
-        """Take in what a worker lists.
+        """Apply a worker's reply to a poll.
 
-        :param sent_at: when the look was sent, on the boot clock.
-        :return: runs that go on there and that nobody wants.
+        :param sent_at: when the poll was sent, on the boot clock.
+        :return: keys of the orphaned runs that the worker lists as running.
         """
         runs = self.worker_runs.get(worker, {})
         listed = {(row.task, row.run): row for row in reply.running}
         ended = {(row.task, row.run): row for row in reply.ended}
-        # Runs that were given up, and that the worker began all the same.
+        # The worker began runs that were voided before; their jobs count as begun.
         for task, _ in (listed.keys() | ended.keys()) - runs.keys():
             job = self.jobs.get(task.partition(".")[0])
             if job is not None:
                 self.mark_begun(job, now)
         for run in list(runs.values()):
             if run.key in ended and run.incarnation <= reply.incarnation:
-                # However it ended: what a worker never began, it does not list.
+                # A worker lists only runs that it began, however they ended.
                 self.mark_begun(run.task.step.job, now)
                 self._apply_end(run, ended[run.key], now, unix_now)
             elif run.key in listed:
@@ -668,7 +704,7 @@
 
     def _apply_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
         if run not in run.task.runs:
-            # An end before it in the same list has taken this run with it.
+            # The end of another run in the same reply has removed this one.
             return
         self.end(run, row.end, row.checkpoint, now, unix_now)
 
@@ -679,7 +715,7 @@
             return
         if reply.incarnation > run.incarnation:
             if run.unanswered_starts:
-                # An order that was not answered may reach the new life too.
+                # The unanswered order may still reach the new incarnation.
                 run.incarnation = reply.incarnation
                 self.stop(run, "worker_restarted")
                 return
@@ -688,12 +724,12 @@
             self.void(run, "not_there", now)
 
     def expire_lease(self, worker: str, now: float) -> None:
-        """Take note that whatever ran on a worker has lost its lease.
+        """Void the runs on a worker whose lease has expired.
 
-        A start that got no answer is waited for longer.  It may be carried out
-        seconds later; a worker that did not restart refuses it then, since the
-        lease in it has ended, but on one that did, whose clock is another, the
-        task would run beside its next run.
+        Runs with a recent unanswered start are kept for :data:`MAX_ORDER_DELAY_S`,
+        because the order may be carried out seconds later.  A worker that did not
+        restart then refuses it, since the lease in the order has expired.  A worker
+        that did restart has another clock and would run the task beside its next run.
         """
         for run in list(self.worker_runs.get(worker, {}).values()):
             if run.unanswered_starts and now - run.sent_at < MAX_ORDER_DELAY_S:
@@ -701,13 +737,13 @@
             if run.stored:
                 self.void(run, "lease_lapsed", now)
 
-    # What is to be stored and sent.
+    # Changes to store and orders to send.
 
     def take_dirty(self, now: float) -> list[Job]:
-        """Return the jobs to store: those that changed since the last call.
+        """Return the jobs that changed since the last call and are to be stored.
 
-        A job of which no more is new than that it began waits for another change
-        of it, until the oldest such job has waited for :data:`BEGUN_STORE_DELAY_S`.
+        A job that only changed to running waits for another change of its own, until
+        the oldest such job has waited for :data:`BEGUN_STORE_DELAY_S`.
         """
         dirty, self._dirty = self._dirty, {}
         for job_id in dirty:
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -1,12 +1,12 @@
-"""The records of a cell's topic, and how they are encoded.
+"""The records of a cell's topic, and their encoding.
 
-Each record is the whole new value of its key, so that a reader needs only the
-newest record of each key, in any order.  Callers' instances write what they
-accepted and cancelled; only the lead writes the state of jobs.
+Each record contains the full new value of its key, so a reader needs only the newest
+record of each key, in any order.  The instances that serve callers write the jobs that
+they accept and cancel; only the lead writes the state of jobs.
 
-Values are encoded as rows, without the names of fields: every instance reads
-every record, and the names would be most of the bytes.  A new field goes last
-and has a default, so that instances of two versions read each other's records.
+Values are encoded as rows without field names: every instance reads every record, and
+the names would be most of the bytes.  A new field is added last and has a default, so
+that instances of different versions can read each other's records.
 """
 
 import enum
@@ -30,16 +30,18 @@
 PEER_PREFIX = "peer/"
 LEAD_KEY = "lead"
 MESH_KEY = "mesh"
-#: The keys between these two, in the order of their bytes, are of instances.
+#: The keys of instances lie between these two in byte order.
 INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE = LEAD_KEY, STATE_PREFIX
 
-
-#: States that a lead may write; versions begin anew with each epoch.
+#: Versions reserved for the records that one lead writes in its epoch.
 VERSIONS_PER_EPOCH = 10**9
 
 
 def state_version(epoch: int, count: int) -> int:
-    """Return the version of a lead's state, above that of every lead before."""
+    """Return the version of a record, higher than any of an earlier epoch.
+
+    :param count: number of the record among those of this epoch.
+    """
     return epoch * VERSIONS_PER_EPOCH + count
 
 
@@ -49,10 +51,10 @@
 
 
 class JobStatus(enum.IntEnum):
-    """Where a job stands; the numbers are on the log.
+    """The status of a job; the numbers are stored in records.
 
-    A job is queued until a worker has said that it began one of its tasks, and
-    running from then on, whatever becomes of that task.
+    A job is queued until a worker reports that it began one of its tasks.  It is
+    running from then on, whatever happens to that task.
     """
 
     QUEUED = 0
@@ -63,16 +65,16 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it never changes again."""
+        """Whether the status is final."""
         return self >= JobStatus.COMPLETED
 
 
 @attrs.frozen(slots=True)
 class AcceptedJob:
-    """A job that was accepted, as the accepting instance wrote it.
+    """An accepted job, as the accepting instance wrote it.
 
-    :param queue: the queue as it was configured then; a queue that is taken
-        away later leaves its jobs with these values.
+    :param queue: the queue as it was configured then.  These values apply if the queue
+        is later removed.
     :param accepted_at: seconds since 1970 by the accepting instance's clock.
     """
 
@@ -84,18 +86,18 @@
 
     @property
     def owner(self) -> tuple[str, str]:
-        """Whose job it is, by queue and team."""
+        """The address of the queue and the team that own the job."""
         return self.queue.owner(self.team)
 
     @property
     def is_digest(self) -> bool:
-        """Whether it lacks what the job runs; a job has a step at least."""
+        """Whether the job's specification was left out; a full job has steps."""
         return not self.spec.steps
 
 
 @attrs.frozen(slots=True)
 class RunState:
-    """A run that may be going on.
+    """A run that may still be executing.
 
     :param worker: index into the workers of the job's state.
     """
@@ -106,7 +108,11 @@
 
 @attrs.frozen(slots=True)
 class TaskState:
-    """A task that was begun."""
+    """A task that was assigned at least once.
+
+    :param last_run: number of its newest run.
+    :param failures: number of failed runs.
+    """
 
     done: bool = False
     last_run: int = 0
@@ -117,7 +123,10 @@
 
 @attrs.frozen(slots=True)
 class StepState:
-    """The tasks of a step of one occurrence, by index; ``None``: not begun."""
+    """The state of a step in one occurrence of its job.
+
+    :param tasks: its tasks by index; ``None`` for those that were never assigned.
+    """
 
     occurrence: int
     number: int
@@ -126,7 +135,7 @@
 
 @attrs.frozen(slots=True)
 class WorkerIncarnation:
-    """One life of a worker."""
+    """One incarnation of a worker."""
 
     name: str
     incarnation: int
@@ -134,13 +143,13 @@
 
 @attrs.frozen(slots=True)
 class JobState:
-    """How far a job is.
+    """The progress of a job, as the lead stores it.
 
-    :param ended_at: seconds since 1970 when it ended; 0 if it has not.
+    :param ended_at: seconds since 1970 when the job ended; 0 if it has not.
+    :param workers: the worker incarnations that its runs refer to.
     :param first_occurrence: all occurrences before this one are done.
-    :param version: of two states of one job the one with the higher version is
-        the newer, whichever partition they are on; it holds the lead's epoch and
-        a count.
+    :param version: combines the lead's epoch and a count.  Of two states of a job, the
+        one with the higher version is the newer, whichever partitions they are on.
     """
 
     status: int
@@ -153,13 +162,13 @@
 
 @attrs.frozen(slots=True)
 class PeerRecord:
-    """An instance, for the others to find.
+    """The registration of an instance, by which the others find it.
 
     :param incarnation: unique for each run of the process.
     :param address: where it listens for its peers.
-    :param strength: its processors, in cores.
-    :param catching_up: whether it has not read the cell's records to their end yet; its
-        link may be full of them.
+    :param strength: its processor capacity, in cores.
+    :param catching_up: whether it has not yet read the cell's records to their end;
+        these records may saturate its network link.
     """
 
     name: str
@@ -174,8 +183,8 @@
 class LeadRecord:
     """The instance that leads the cell, for operators and for its peers.
 
-    :param version: like that of a job's state; a lead that has nothing else to
-        write writes this record again, which tells that it lives.
+    :param version: like that of a job's state.  A lead that has nothing else to write
+        writes this record again as a heartbeat.
     """
 
     name: str
@@ -194,16 +203,17 @@
 
 @attrs.frozen(slots=True)
 class StateSummary:
-    """The state of a job as it lies on the log, read as far as callers need it.
+    """The part of a job's stored state that is needed to answer callers.
 
-    Load: the lead writes a job's state anew with each start and each end, 500
-    times a second in a cell of 176 workers, and every instance gets all of them.
-    Harm: decoded whole they took half a core on each of 33 instances, where the
-    weakest have half a core; an answer to a caller waited behind them.  Only a
-    new lead needs the tasks.
+    The lead writes a job's state with each start and each end of a run, 500 times a
+    second in a cell of 176 workers, and every instance receives all of them.  Full
+    decoding took half a core on each of 33 instances, and the weakest instances have
+    only half a core, so answers to callers were delayed.  Only a new lead needs the
+    tasks, which :meth:`decode` returns.
 
-    :param has_no_steps: whether nothing of the job is left to stop.
-    :param raw: the state as it was read, which may be a digest.
+    :param has_no_steps: whether the state lists no steps; if the job has ended, none of
+        its runs remains to be stopped.
+    :param raw: the encoded state, which may be a digest.
     """
 
     status: JobStatus
@@ -213,21 +223,21 @@
     raw: bytes
 
     def decode(self) -> JobState:
-        """Return all of it.
+        """Decode the full state.
 
-        :raises RecordMalformedError: if it cannot be read.
+        :raises RecordMalformedError: if the record is malformed or a digest.
         """
         return decode_record(JobState, self.raw)
 
 
 def decode_state_summary(raw: bytes) -> StateSummary:
-    """Read of a job's state what callers are told.
+    """Decode the part of a job's state that is needed to answer callers.
 
-    :raises RecordMalformedError: if it is no state.
+    :raises RecordMalformedError: if the bytes are not a state.
     """
     try:
         row = _RAW_ROW_DECODER.decode(raw)
-        # Rows may end early, where what follows has its default.
+        # A row written by an older version lacks the newest fields.
         row += [msgspec.Raw(default) for default in _STATE_DEFAULTS[len(row) :]]
         return StateSummary(
             JobStatus(_INT_DECODER.decode(row[0])),
@@ -241,7 +251,7 @@
 
 
 def digest_state(state: StateSummary) -> bytes:
-    """Return a state without the tasks; its whole cannot be read any more."""
+    """Encode a state without its tasks; the digest cannot be decoded in full."""
     steps = [] if state.has_no_steps else [None]
     return msgspec.msgpack.encode(
         [int(state.status), state.ended_at, None, steps, 0, state.version]
@@ -249,9 +259,9 @@
 
 
 def digest_job(raw: bytes) -> bytes:
-    """Return an accepted job without what it runs.
+    """Return an encoded accepted job without its specification.
 
-    :raises RecordMalformedError: if it is no accepted job.
+    :raises RecordMalformedError: if the bytes are not an accepted job.
     """
     try:
         row = _RAW_ROW_DECODER.decode(raw)
@@ -262,12 +272,12 @@
 
 
 def digest_value(value: Any) -> bytes:
-    """Return what is told of a record's value that was read."""
+    """Return the encoded digest of a record's decoded value."""
     if isinstance(value, StateSummary):
         return digest_state(value)
     if isinstance(value, AcceptedJob):
         return encode_record(attrs.evolve(value, spec=JobSpec("", ())))
-    # Of most keys it matters only that they are there.
+    # ``True`` stands for the value of a key of which only the existence matters.
     return b"\x01" if value is True else encode_record(value)
 
 
@@ -275,7 +285,7 @@
 _RAW_ROW_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
 _INT_DECODER = msgspec.msgpack.Decoder(int)
 _FLOAT_DECODER = msgspec.msgpack.Decoder(float)
-#: The fields of a state that a row may leave out, encoded; the status has none.
+#: The encoded default of each field of a state, by index.  The status has no default.
 _STATE_DEFAULTS = tuple(
     msgspec.msgpack.encode(default) for default in (None, 0.0, (), (), 0, 0)
 )
@@ -289,7 +299,7 @@
 def decode_record(cls: type[T], raw: bytes) -> T:
     """Decode a row.
 
-    :raises RecordMalformedError: if it is no row of that class.
+    :raises RecordMalformedError: if the bytes are not a row of that class.
     """
     try:
         return _row_decoder(cls)(msgspec.msgpack.decode(raw))
@@ -297,8 +307,8 @@
         raise RecordMalformedError(f"{cls.__name__}: {exc}") from exc
 
 
-# The types of a class's fields are looked at once, when its first record is
-# encoded or decoded.  Looking at them for each value took nine tenths of the time.
+# The field types of a class are inspected once, when its first record is encoded or
+# decoded.  Inspecting them for each value took nine tenths of the time.
 
 Converter = Callable[[Any], Any]
 
@@ -309,7 +319,7 @@
 
 
 def _optional_type(cls: Any) -> Any:
-    """Return what a value is if it is not ``None``; ``None`` if it must be."""
+    """Return the type ``T`` of ``T | None``; ``None`` for any other type."""
     if get_origin(cls) not in (Union, types.UnionType):
         return None
     return next(k for k in get_args(cls) if k is not type(None))
@@ -317,7 +327,7 @@
 
 @cache
 def _row_encoder(cls: Any) -> Converter:
-    """Return what makes rows of values of a type."""
+    """Return a function that converts values of a type to rows."""
     if attrs.has(cls):
         fields = [(name, _row_encoder(k)) for name, k in _field_types(cls).items()]
         return lambda obj: [convert(getattr(obj, name)) for name, convert in fields]
@@ -336,10 +346,10 @@
 
 @cache
 def _row_decoder(cls: Any) -> Converter:
-    """Return what makes values of a type of rows."""
+    """Return a function that converts rows to values of a type."""
     if attrs.has(cls):
         decoders = [_row_decoder(k) for k in _field_types(cls).values()]
-        # Rows of a newer version may be longer; what they add is unknown here.
+        # A row written by a newer version may have more fields, which are ignored.
         return lambda row: cls(
             *(convert(value) for convert, value in zip(decoders, row, strict=False))
         )
--- a/src/firhook/cell/_replica.py
+++ b/src/firhook/cell/_replica.py
@@ -1,4 +1,4 @@
-"""What every instance keeps of the cell's topic."""
+"""An instance's replica of the records in the cell's topic."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -24,18 +24,20 @@
 )
 
 _JOB_PREFIXES = (JOB_PREFIX, CANCEL_PREFIX, STATE_PREFIX)
-#: Dropped keys whose offsets are kept of a partition; the lead drops some hundred
-#: a second at most, and a partition is read from its start in less than a minute.
+#: Tombstones kept per partition.  The lead deletes at most some hundred keys a second,
+#: and a partition is read from its start in less than a minute.
 _MAX_TOMBSTONES = 20_000
 
 
 @attrs.define(slots=True, eq=False)
 class JobView:
-    """A job as an instance sees it.
+    """What an instance knows about a job.
 
-    :ivar accepted: ``None`` as long as only its cancelling is known.
-    :ivar state: what the lead wrote last; ``None`` before it wrote anything.
-    :ivar owners: all who submitted the id, if they are several.
+    :ivar accepted: the accepted job; ``None`` while only a cancellation or a state is
+        known.
+    :ivar owners: all owners that submitted the id, if there are several.
+    :ivar cancelled: whether a cancellation is recorded.
+    :ivar state: the newest state written by a lead; ``None`` before the first.
     """
 
     accepted: AcceptedJob | None = None
@@ -44,17 +46,17 @@
     state: StateSummary | None = None
 
     def is_rejected(self, owner: tuple[str, str]) -> bool:
-        """Return whether a submission of this owner came to nothing."""
+        """Return whether this owner's submission lost to that of another owner."""
         if self.accepted is None or self.accepted.owner == owner:
             return False
         return owner in self.owners
 
     @property
     def status(self) -> JobStatus:
-        """Where the job stands.
+        """The job's status.
 
-        What the lead wrote goes first: a job that ended before its cancelling
-        arrived stays as it ended.
+        The lead's record takes precedence over a cancellation: a job that ended
+        before its cancellation arrived keeps the status with which it ended.
         """
         status = self.state.status if self.state else JobStatus.QUEUED
         if self.cancelled and not status.ended:
@@ -64,11 +66,11 @@
 
 @attrs.define(slots=True, eq=False)
 class _Partition:
-    """What is known of one partition of the topic.
+    """The newest records of one partition of the topic.
 
-    :ivar entries: offset and value of each key that has one.
-    :ivar tombstones: offsets at which keys were dropped, the oldest entry first.
-    :ivar complete_until: no record before it is news.
+    :ivar entries: offset and value of each key that has a value.
+    :ivar tombstones: offsets at which keys were deleted, the oldest entry first.
+    :ivar complete_until: offset before which no record is new.
     """
 
     entries: dict[str, tuple[int, Any]] = attrs.field(factory=dict)
@@ -76,20 +78,20 @@
     complete_until: int = 0
 
     def is_newer(self, offset: int, key: str) -> bool:
-        """Return whether a record may say more than what is known."""
+        """Return whether a record may add to what is known of its key."""
         if key in self.entries and offset == self.entries[key][0]:
-            # The whole of what is held as a digest.
+            # It may be the full record of a digest that was applied before.
             return True
         if not self.is_undeleted(offset, key):
             return False
         return key not in self.entries or offset > self.entries[key][0]
 
     def is_undeleted(self, offset: int, key: str) -> bool:
-        """Return whether a key was neither dropped nor listed after a record."""
+        """Return whether no later deletion or listing of a key supersedes a record."""
         return offset >= self.complete_until and offset >= self.tombstones.get(key, -1)
 
     def store(self, offset: int, key: str, value: Any) -> None:
-        """Keep a key's value; ``None`` drops it."""
+        """Store a key's value; ``None`` deletes the key."""
         self.tombstones.pop(key, None)
         if value is not None:
             self.entries[key] = (offset, value)
@@ -100,7 +102,11 @@
             del self.tombstones[next(iter(self.tombstones))]
 
     def drop_unlisted(self, listed: set[str], end: int) -> list[str]:
-        """Drop the keys that are not listed; return them."""
+        """Delete and return the keys that are not listed.
+
+        :param listed: the keys that the store has a value of.
+        :param end: offset before which these keys account for all records.
+        """
         deleted = [
             key
             for key, (offset, _) in self.entries.items()
@@ -114,13 +120,17 @@
 
 
 class Replica:
-    """The newest value of each key, and what follows from them.
+    """The newest value of each key, and the jobs and instances that they describe.
 
-    Records may be applied in any order, since of two with one key on a partition
-    the one with the higher offset holds.  A replica can thus be rebuilt from pages that
-    were read while others wrote, which are no snapshot, and then read on.
+    Records may be applied in any order: of two records of a key on one partition, the
+    one with the higher offset is valid.  A replica can therefore be rebuilt from pages
+    that were read during concurrent writes, which are not a consistent snapshot, and
+    then continue with the records that follow.
 
     :ivar jobs: jobs by id.
+    :ivar peers: instances by name.
+    :ivar lead: the lead with the highest epoch; ``None`` if none is recorded.
+    :ivar mesh_keys: the key pair of the cell's mesh; ``None`` before it is known.
     """
 
     def __init__(self) -> None:
@@ -135,16 +145,15 @@
     ) -> str | None:
         """Apply a record, and return the id of the job that it changed, if any.
 
-        A key's records may lie on several partitions, if one of these could not be
-        written for a while; it is gone once none of them has a value of it.
-        Cancellations say the same wherever they lie; of submissions the earliest
-        holds, of peers what was applied last, and states and leads tell which of two
-        is the newer.
+        The records of a key may be on several partitions, if one of these could not be
+        written for a while.  The key is deleted once no partition has a value of it.
+        If several have one, the earliest submission is valid, the peer record that was
+        applied last, and the state or lead record with the newest version.
+        Cancellations are all equal.
 
-        :param value: ``None`` if the key was dropped.
-        :raises RecordMalformedError: if it cannot be read; the key keeps its
-            older value, and every instance, reading the same bytes, comes to the
-            same.
+        :param value: ``None`` if the record deletes the key.
+        :raises RecordMalformedError: if the value cannot be decoded.  The key keeps its
+            older value, as it does on every instance, since all read the same bytes.
         """
         part = self._partitions.setdefault(partition, _Partition())
         prefix, slash, name = key.partition("/")
@@ -154,7 +163,7 @@
             return None
         decoded = _decode(prefix, value) if value else None
         if prefix == JOB_PREFIX and self._has_other_owner(part, key, decoded):
-            # The store keeps the newest; of two owners' the earliest holds.
+            # The store keeps the newest record, but the earliest submission is valid.
             known_at, known = part.entries[key]
             self._record_owners(name, [known, decoded])
             part.store(max(known_at, offset), key, _earliest([known, decoded]))
@@ -164,23 +173,24 @@
 
     @staticmethod
     def _has_other_owner(part: _Partition, key: str, job: AcceptedJob | None) -> bool:
-        """Return whether a partition holds a submission by another owner."""
+        """Return whether a partition has a submission of the key by another owner."""
         if job is None or key not in part.entries:
             return False
         return part.entries[key][1].owner != job.owner
 
     def _record_owners(self, job_id: str, values: list[AcceptedJob]) -> None:
-        """Remember who submitted an id, if they are several."""
+        """Record the owners that submitted a job id, if there are several."""
         owners = {value.owner for value in values}
         if len(owners) > 1:
             job = self.jobs.setdefault(job_id, JobView())
             job.owners |= owners
 
     def drop_unlisted(self, partition: int, listed: set[str], end: int) -> list[str]:
-        """Drop what a partition holds no more; return the ids of the jobs changed.
+        """Delete the keys that a partition no longer has.
 
         :param listed: the keys that the store has a value of.
-        :param end: an offset before which all records are accounted for by them.
+        :param end: offset before which these keys account for all records.
+        :return: the ids of the jobs that changed.
         """
         part = self._partitions.setdefault(partition, _Partition())
         changed = []
@@ -190,7 +200,10 @@
         return [job_id for job_id in changed if job_id is not None]
 
     def is_known_state(self, partition: int, key: str, state: StateSummary) -> bool:
-        """Return whether a partition's state of a job tells callers the same."""
+        """Return whether a state is equal, for callers, to the one already known.
+
+        The known state must be on the same partition.
+        """
         part = self._partitions.get(partition)
         if part is None or key not in part.entries:
             return False
@@ -200,9 +213,10 @@
     def page(
         self, partition: int, after: str, limit: int
     ) -> list[tuple[int, str, Any]]:
-        """Return offset, key and value of so many keys of a partition.
+        """Return offset, key and value of the next keys of a partition.
 
-        :param after: the key after which to begin, in the order of keys.
+        :param after: the key after which the page begins, in the order of keys.
+        :param limit: largest number of keys to return.
         """
         part = self._partitions.get(partition)
         entries = part.entries if part is not None else {}
@@ -210,7 +224,7 @@
         return [(entries[key][0], key, entries[key][1]) for key in keys]
 
     def partitions_of(self, key: str) -> list[int]:
-        """Return the partitions that hold a value of a key, the newest version last."""
+        """Return the partitions that have a value of a key, the newest version last."""
         holding = [
             (getattr(part.entries[key][1], "version", 0), number)
             for number, part in self._partitions.items()
@@ -221,10 +235,12 @@
     def _update_view(
         self, key: str, prefix: str, name: str, latest: Any = None
     ) -> str | None:
-        """Have readers see what the partitions hold of a key.
+        """Update the public attributes from the values that the partitions have.
 
-        :param prefix: of the key, with its slash if it has one; the name follows.
-        :param latest: the value applied just now, if any.
+        :param prefix: the key up to its slash, which is included if there is one.
+        :param name: the rest of the key.
+        :param latest: the value that was just applied, if any.
+        :return: the id of the job that the key belongs to, if any.
         """
         values = [
             part.entries[key][1]
@@ -261,14 +277,14 @@
             self.jobs[job_id] = job
 
     def find(self, job_id: str) -> JobView | None:
-        """Return an accepted job."""
+        """Return an accepted job; ``None`` if there is none with this id."""
         job = self.jobs.get(job_id)
         return job if job is not None and job.accepted is not None else None
 
     def unfinished_jobs(self) -> Iterator[tuple[str, JobView]]:
-        """Return the accepted jobs that may still have something to do.
+        """Yield the accepted jobs that the lead still has to handle.
 
-        A job that ended may have runs left that are being stopped.
+        These include jobs that ended but have runs that are being stopped.
         """
         for job_id, job in self.jobs.items():
             if job.accepted is None:
@@ -277,7 +293,7 @@
                 yield job_id, job
 
     def pending_count(self, address: str) -> int:
-        """Return how many jobs of a queue wait for a worker to begin a task.
+        """Return the number of a queue's jobs of which no task has begun.
 
         :param address: host and path of the queue.
         """
@@ -290,29 +306,32 @@
 
 
 def _earliest(values: list[AcceptedJob]) -> AcceptedJob | None:
-    """Return the submission of an id that holds: the same at every instance."""
+    """Return the valid submission of a job id, the same one on every instance."""
     return _first(values, lambda v: (v.accepted_at, v.owner))
 
 
 def _newest_peer(applied: PeerRecord, values: list[PeerRecord]) -> PeerRecord:
-    """Return the record of an instance that holds.
+    """Return the newest record of an instance.
+
+    An instance registers when it starts, and again once it has read all records.  The
+    two records may be on two partitions and be applied in any order; the one that is
+    no longer catching up is the newer.
 
-    Its two records may lie on two partitions, and be applied in any order; the one
-    that it wrote once it had read everything is the later one.
+    :param applied: the record that was applied last.
     """
     later = (v for v in values if v.incarnation == applied.incarnation)
     return next((v for v in later if not v.catching_up), applied)
 
 
 def _first(values: list[Any], rank: Callable[[Any], Any]) -> Any:
-    """Return the value of the lowest rank; ``None`` if there is none."""
+    """Return the value with the lowest rank; ``None`` if there are no values."""
     if len(values) == 1:
         return values[0]
     return min(values, key=rank, default=None)
 
 
 def _decode(prefix: str, value: bytes) -> Any:
-    """Return what a record says; of most keys that is only that they are there."""
+    """Decode a record's value; ``True`` if only the existence of its key matters."""
     if prefix == JOB_PREFIX:
         return decode_record(AcceptedJob, value)
     if prefix == STATE_PREFIX:
--- a/src/firhook/cell/_resources.py
+++ b/src/firhook/cell/_resources.py
@@ -7,9 +7,9 @@
 class Resources:
     """What a task needs, a worker has, or a team may use.
 
-    :param cpu_m: processors, in thousandths of a core.
+    :param cpu_m: processor capacity, in thousandths of a core.
     :param memory_mb: memory, in megabytes.
-    :param accelerators: accelerators.
+    :param accelerators: number of accelerators.
     """
 
     cpu_m: int = 0
@@ -17,7 +17,7 @@
     accelerators: int = 0
 
     def add(self, other: "Resources", times: int = 1) -> "Resources":
-        """Return the sum of this and ``times`` another."""
+        """Return the sum of this and ``times`` the other."""
         return Resources(
             self.cpu_m + other.cpu_m * times,
             self.memory_mb + other.memory_mb * times,
@@ -25,11 +25,11 @@
         )
 
     def subtract(self, other: "Resources", times: int = 1) -> "Resources":
-        """Return this less ``times`` another."""
+        """Return this minus ``times`` the other."""
         return self.add(other, -times)
 
     def covers(self, other: "Resources") -> bool:
-        """Return whether this is at least another in every amount."""
+        """Return whether every amount is at least that of the other."""
         return (
             self.cpu_m >= other.cpu_m
             and self.memory_mb >= other.memory_mb
@@ -37,7 +37,10 @@
         )
 
     def count_fitting(self, need: "Resources", limit: int) -> int:
-        """Return how many times a need fits, ``most`` at the most."""
+        """Return how many times a need fits into this.
+
+        :param limit: largest count to return.
+        """
         count = limit
         if need.cpu_m > 0:
             count = min(count, self.cpu_m // need.cpu_m)
--- a/src/firhook/cell/_spec.py
+++ b/src/firhook/cell/_spec.py
@@ -1,4 +1,4 @@
-"""Jobs as callers submit them."""
+"""Specifications of jobs, as callers submit them."""
 
 import attrs
 
@@ -7,25 +7,26 @@
 
 @attrs.frozen(slots=True)
 class StepSpec:
-    """A step of a job: a number of like tasks.
+    """A step of a job: a number of identical tasks.
 
-    :param need: what each task needs.
-    :param estimate_s: the caller's rough guess at a task's duration.
-    :param after: numbers of the earlier steps that must be done before.
+    :param count: number of tasks.
+    :param need: resources that each task needs.
+    :param estimate_s: the caller's rough estimate of a task's duration, in seconds.
+    :param after: numbers of the earlier steps that must be done first.
     :param checkpoints: whether the tasks save their progress.
-    :param gang: whether the tasks only work all at once.
-    :param same_rack: whether they are slower when spread over racks.
-    :param label: a label that the worker must have; empty for any.
-    :param data_rack: the rack on which the tasks are not slowed down.
-    :param per_worker: the most tasks of the step on one worker; 0 for any.
+    :param gang: whether the tasks make progress only if all of them run.
+    :param same_rack: whether the tasks are slower when spread over racks.
+    :param label: label that the worker must have; empty if any worker will do.
+    :param data_rack: the rack on which the tasks are not slowed down; may be empty.
+    :param per_worker: largest number of the step's tasks on one worker; 0 for no limit.
     :param duplicates: whether copies of a task may run at the same time.
     :param long_running: whether the tasks run until the job is cancelled.
-    :param image: what the tasks run; those of one image behave alike.
-    :param target_s: what the tail of a serving task's answers must stay below.
-    :param fills: whether the tasks live on the processor time that others leave,
-        so that their processors do not count against the worker.
-    :param max_unavailable: the most lasting tasks that the scheduler may have
-        away from work at the same time.
+    :param image: what the tasks run; tasks of one image behave alike.
+    :param target_s: limit on the tail latency of a serving task, in seconds.
+    :param fills: whether the tasks use only processor time that others leave idle, so
+        that their need for processors does not count against the worker's capacity.
+    :param max_unavailable: largest number of long-running tasks that the scheduler may
+        interrupt at the same time.
     """
 
     count: int
@@ -47,7 +48,7 @@
 
     @property
     def reserved(self) -> Resources:
-        """What each task takes from a worker's room."""
+        """The part of a worker's capacity that each task reserves."""
         if not self.fills:
             return self.need
         return attrs.evolve(self.need, cpu_m=0)
@@ -55,12 +56,14 @@
 
 @attrs.frozen(slots=True)
 class JobSpec:
-    """What a job runs.
+    """What a job runs, and when.
 
-    :param text: what workers are told to run, opaque to the scheduler.
+    :param text: what workers receive to run; opaque to the scheduler.
+    :param steps: its steps, in an order in which each follows those it depends on.
     :param first_due: when the first occurrence is due, in seconds since 1970.
     :param interval_s: seconds from one occurrence to the next.
-    :param occurrences: how often the steps run; 0 for once and at once.
+    :param occurrences: number of times that the steps run at set times; 0 if they run
+        once, as soon as possible.
     """
 
     text: str
@@ -71,9 +74,12 @@
 
     @property
     def periodic(self) -> bool:
-        """Whether its occurrences are due at set times."""
+        """Whether the job's occurrences are due at set times."""
         return self.occurrences > 0
 
     def due(self, occurrence: int) -> float:
-        """Return when an occurrence is due, in seconds since 1970."""
+        """Return when an occurrence is due, in seconds since 1970.
+
+        The result is 0 for a job that is not periodic.
+        """
         return self.first_due + occurrence * self.interval_s if self.periodic else 0.0
--- a/src/firhook/cell/_workers.py
+++ b/src/firhook/cell/_workers.py
@@ -1,4 +1,4 @@
-"""Workers as they present themselves, and what they answer."""
+"""Registrations and replies of workers and of the adviser, and orders to workers."""
 
 import enum
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen(slots=True)
 class WorkerEntry:
-    """A worker as it registered itself.
-
-    :param name: its id, which a later life of it may bear again.
-    :param incarnation: when it started, in Unix milliseconds; tells its lives apart.
-    :param address: ``host:port`` of its interface.
-    :param rack: the label that names its rack.
-    :param draining: whether it is about to leave and takes no new work.
-    :param leaves_in_s: seconds that are left at least while it drains.
+    """A worker's registration.
+
+    :param name: the worker's id, which a later incarnation may use again.
+    :param incarnation: when the worker started, in Unix milliseconds.
+    :param address: ``host:port`` of the worker's interface.
+    :param rack: value of the label that names the worker's rack.
+    :param draining: whether the worker is about to leave and takes no new work.
+    :param leaves_in_s: minimum time until a draining worker leaves, in seconds.
     """
 
     name: str
@@ -41,7 +41,7 @@
     LEASE_EXPIRED = "lapsed"
     #: Another member of its gang ended.
     GANG_BROKEN = "broken"
-    #: The other members of its gang did not come in time.
+    #: The other members of its gang did not start in time.
     GANG_TIMED_OUT = "alone"
 
 
@@ -49,9 +49,10 @@
 class RunningRow:
     """A run that a worker lists as running.
 
-    :param checkpoint: its newest checkpoint, or an empty text.
-    :param percent: how much of its work is done.
-    :param load: the tail in ms for a serving task, else thousandths of a core.
+    :param checkpoint: the run's newest checkpoint; empty if it has none.
+    :param percent: completed part of the work, in percent.
+    :param load: tail latency in milliseconds for a serving task; processor use in
+        thousandths of a core for any other.
     """
 
     task: str
@@ -65,7 +66,8 @@
 class EndedRow:
     """A run that a worker lists as ended.
 
-    :param number: counts the ends of this life of the worker, from 1.
+    :param number: number of the end, counted from 1 in each incarnation of the worker.
+    :param checkpoint: the run's newest checkpoint; empty if it has none.
     """
 
     number: int
@@ -77,10 +79,12 @@
 
 @attrs.frozen(slots=True)
 class PollReply:
-    """A worker's answer to a look at it.
+    """A worker's reply to a poll.
 
-    :param incarnation: the life of the worker that answered.
-    :param clock_s: its own steady clock, in seconds.
+    :param incarnation: the incarnation of the worker that replied.
+    :param clock_s: the worker's monotonic clock, in seconds.
+    :param running: the runs that the worker executes.
+    :param ended: the ends that were not acknowledged yet.
     """
 
     incarnation: int
@@ -90,29 +94,29 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order to a worker."""
+    """The outcome of an order to a worker."""
 
-    #: It was carried out, now or before.
+    #: The worker has carried out the order, now or earlier.
     APPLIED = "taken"
-    #: A higher fencing token has been seen there.
+    #: The worker has seen a higher fencing token.
     FENCED = "fenced"
-    #: The run ended or was stopped there, or a later one was.
+    #: This run of the task, or a later one, has ended or was stopped.
     SUPERSEDED = "old"
     #: The deadline in the order had passed.
     EXPIRED = "late"
-    #: It does not fit.
+    #: The run does not fit into the worker's free capacity.
     NO_CAPACITY = "room"
-    #: The ticket was missing, wrong or out of date.
+    #: The ticket was missing, invalid or expired.
     NO_TICKET = "ticket"
-    #: The worker is unwell and has done nothing.
+    #: The worker is impaired and has not carried out the order.
     BUSY = "busy"
-    #: The worker cannot make sense of it, and has done nothing.
+    #: The worker rejected the order as malformed and has not carried it out.
     INVALID = "invalid"
-    #: Another life of the worker is at the address.
+    #: Another incarnation of the worker is at the address.
     WRONG_INCARNATION = "wrong_life"
-    #: Nothing was sent.
+    #: The order was not sent.
     NOT_SENT = "not_sent"
-    #: No answer: it may have been carried out, or may yet be.
+    #: The order was not answered; it may have been carried out, or may be later.
     UNKNOWN = "unknown"
 
 
@@ -120,8 +124,8 @@
 class OrderAnswer:
     """A worker's answer to an order.
 
-    :param incarnation: the life of the worker that answered; 0 if none did.
-    :param clock_s: its own clock in seconds, if it answered.
+    :param incarnation: the incarnation of the worker that answered; 0 if none did.
+    :param clock_s: the worker's monotonic clock, in seconds; ``None`` if not answered.
     """
 
     outcome: OrderOutcome
@@ -133,10 +137,12 @@
 class StartOrder:
     """An order to start a run.
 
-    :param text: what to run.
-    :param lease_until_s: on the worker's clock, until when all that runs on it
-        may go on.
-    :param ticket: the adviser's ticket, or an empty text.
+    :param text: what to run; opaque to the scheduler.
+    :param fence: fencing token of the lead.
+    :param lease_until_s: end of the worker's lease, on the worker's clock; all its runs
+        must have stopped by then.
+    :param checkpoint: checkpoint to resume from; empty if there is none.
+    :param ticket: the adviser's ticket; empty if none is needed.
     """
 
     task: str
@@ -150,9 +156,10 @@
 
 @attrs.frozen(slots=True)
 class Advice:
-    """The adviser's answer: tickets by worker.
+    """The adviser's answer.
 
-    :param valid_s: seconds for which the tickets are good.
+    :param tickets: tickets by worker.
+    :param valid_s: validity of the tickets, in seconds.
     """
 
     tickets: dict[str, str]
--- a/src/firhook/cell/job_table.py
+++ b/src/firhook/cell/job_table.py
@@ -1,4 +1,4 @@
-"""What the lead knows of the cell's jobs, tasks and runs."""
+"""The lead's in-memory state of the cell's jobs, tasks and runs."""
 
 from firhook.cell._job_table import (
     BEGUN_STORE_DELAY_S,
--- a/src/firhook/cell/records.py
+++ b/src/firhook/cell/records.py
@@ -1,4 +1,4 @@
-"""The records of a cell's topic: their keys and how they are encoded."""
+"""The records of a cell's topic, with their keys and their encoding."""
 
 from firhook.cell._records import (
     CANCEL_PREFIX,
