--- a/tests/cell/test_digests.py
+++ b/tests/cell/test_digests.py
@@ -49,24 +49,24 @@
     return PushedBatch(partition, offset, rows)
 
 
-def test_digest_of_a_job_tells_whose_it_is_and_not_what_it_runs():
+def test_job_digest_has_the_owner_but_not_the_specification():
     digest = digest_job(encode_record(JOB))
-    read = decode_record(AcceptedJob, digest)
-    assert (read.owner, read.accepted_at) == (JOB.owner, JOB.accepted_at)
-    assert read.is_digest and not JOB.is_digest
+    decoded = decode_record(AcceptedJob, digest)
+    assert (decoded.owner, decoded.accepted_at) == (JOB.owner, JOB.accepted_at)
+    assert decoded.is_digest and not JOB.is_digest
     assert len(digest) < 150
 
 
 @pytest.mark.parametrize("tasks", [1, 120])
-def test_digest_of_a_state_does_not_grow_with_the_tasks_of_its_job(tasks):
+def test_state_digest_does_not_grow_with_the_number_of_tasks(tasks):
     state = decode_state_summary(encode_record(_state(tasks)))
     digest = digest_state(state)
-    read = decode_state_summary(digest)
-    assert attrs.evolve(read, raw=b"") == attrs.evolve(state, raw=b"")
+    decoded = decode_state_summary(digest)
+    assert attrs.evolve(decoded, raw=b"") == attrs.evolve(state, raw=b"")
     assert len(digest) < 32
 
 
-def test_digest_of_a_state_is_not_taken_for_the_whole_of_it():
+def test_state_digest_cannot_be_decoded_as_a_full_state():
     """A lead that went by it would start tasks beside those that run."""
     digest = decode_state_summary(
         digest_state(decode_state_summary(encode_record(_state(3))))
@@ -75,7 +75,7 @@
         digest.decode()
 
 
-def test_digest_leaves_out_states_that_tell_callers_nothing_new():
+def test_digest_omits_states_with_nothing_new_for_callers():
     replica = Replica()
     key = "state/" + JOB.id
     replica.apply(0, key, encode_record(_state(3)))
@@ -85,7 +85,7 @@
     assert [row.offset for row in digest.rows] == [2]
 
 
-def test_state_on_another_partition_is_always_told():
+def test_digest_keeps_a_state_on_another_partition():
     """Instances must know on which partitions a key lies, to drop it from all."""
     replica = Replica()
     key = "state/" + JOB.id
@@ -94,20 +94,20 @@
     assert len(digest.rows) == 1
 
 
-def test_what_cannot_be_read_is_told_as_it_is():
+def test_digest_keeps_a_malformed_record_unchanged():
     batch = PushedBatch(0, 5, (PushedRecord("state/1", b"\xc1"),))
     digest = digest_of(Replica(), batch)
     assert [(row.key, row.value) for row in digest.rows] == [("state/1", b"\xc1")]
 
 
-def test_record_that_is_read_whole_replaces_its_digest():
+def test_full_record_replaces_its_digest():
     """A copy accounts for all records before its end; the whole of them, read later,
     was taken for old, and a new lead knew of no job.
     """
-    replica, key, whole = Replica(), "job/" + JOB.id, encode_record(JOB)
-    replica.apply(3, key, digest_job(whole))
+    replica, key, full = Replica(), "job/" + JOB.id, encode_record(JOB)
+    replica.apply(3, key, digest_job(full))
     replica.drop_unlisted(0, {key}, 10)
-    replica.apply(3, key, whole)
+    replica.apply(3, key, full)
     assert replica.jobs[JOB.id].accepted == JOB
-    replica.apply(2, key, digest_job(whole))
+    replica.apply(2, key, digest_job(full))
     assert replica.jobs[JOB.id].accepted == JOB
--- a/tests/cell/test_replica.py
+++ b/tests/cell/test_replica.py
@@ -37,7 +37,7 @@
 )
 
 
-def test_records_come_back_as_they_were_written():
+def test_records_are_decoded_as_they_were_encoded():
     assert decode_record(AcceptedJob, encode_record(JOB)) == JOB
     assert decode_record(JobState, encode_record(STATE)) == STATE
 
@@ -48,22 +48,24 @@
     steps=st.sampled_from([(), STATE.steps]),
     version=st.integers(0, 2**60),
 )
-def test_a_state_that_is_peeked_at_says_what_the_whole_of_it_says(
-    status, ended_at, steps, version
-):
+def test_state_summary_matches_the_full_state(status, ended_at, steps, version):
     state = attrs.evolve(
         STATE, status=int(status), ended_at=ended_at, steps=steps, version=version
     )
-    seen = decode_state_summary(encode_record(state))
-    assert (seen.status, seen.ended_at, seen.version) == (status, ended_at, version)
-    assert seen.has_no_steps == (steps == ())
-    assert seen.decode() == state
+    summary = decode_state_summary(encode_record(state))
+    assert (summary.status, summary.ended_at, summary.version) == (
+        status,
+        ended_at,
+        version,
+    )
+    assert summary.has_no_steps == (steps == ())
+    assert summary.decode() == state
 
 
-def test_a_state_of_an_older_version_is_peeked_at_with_the_defaults():
+def test_state_summary_of_a_row_of_an_older_version_has_the_defaults():
     row = msgspec.msgpack.decode(encode_record(STATE))
-    seen = decode_state_summary(msgspec.msgpack.encode(row[:3]))
-    assert (seen.status, seen.has_no_steps, seen.version) == (
+    summary = decode_state_summary(msgspec.msgpack.encode(row[:3]))
+    assert (summary.status, summary.has_no_steps, summary.version) == (
         JobStatus.RUNNING,
         True,
         0,
@@ -76,7 +78,7 @@
         assert decode_state_summary(raw).status in JobStatus
 
 
-def test_a_record_of_a_newer_version_is_read_without_what_it_adds():
+def test_unknown_fields_of_a_newer_version_are_ignored():
     row = msgspec.msgpack.decode(encode_record(STATE))
     longer = msgspec.msgpack.encode([*row, "new"])
     assert decode_record(JobState, longer) == STATE
@@ -126,23 +128,23 @@
 )
 def test_any_order_comes_to_the_same(keys, rng):
     records = [(i, key, value_of(key, i)) for i, key in enumerate(keys)]
-    straight, shuffled = Replica(), Replica()
+    ordered, shuffled = Replica(), Replica()
     for record in records:
         with contextlib.suppress(RecordMalformedError):
-            straight.apply(*record)
+            ordered.apply(*record)
     order = list(records)
     rng.shuffle(order)
     for record in order:
         with contextlib.suppress(RecordMalformedError):
             shuffled.apply(*record)
-    for job_id in {*straight.jobs, *shuffled.jobs}:
-        one, other = straight.jobs.get(job_id), shuffled.jobs.get(job_id)
+    for job_id in {*ordered.jobs, *shuffled.jobs}:
+        one, other = ordered.jobs.get(job_id), shuffled.jobs.get(job_id)
         assert one == other or (
             one and other and attrs.asdict(one) == attrs.asdict(other)
         )
 
 
-def test_a_job_that_ended_before_its_cancelling_stays_as_it_ended():
+def test_cancellation_after_the_end_of_a_job_does_not_change_its_status():
     replica = Replica()
     replica.apply(0, "job/1", encode_record(JOB))
     replica.apply(2, "cancel/1", b"\x01")
--- a/tests/cell/test_replica_drops.py
+++ b/tests/cell/test_replica_drops.py
@@ -16,20 +16,20 @@
     return encode_record(attrs.evolve(STATE, version=version))
 
 
-def value_of(key, i, dropped):
-    if dropped:
+def value_of(key, i, deleted):
+    if deleted:
         return None
     if key == "job/1":
         return encode_record(attrs.evolve(JOB, accepted_at=float(i)))
     return state_of(i) if key == "state/1" else b"\x01"
 
 
-def seen(replica):
+def job_views(replica):
     """Return what readers see of all jobs."""
     return {job_id: attrs.asdict(job) for job_id, job in replica.jobs.items()}
 
 
-def test_older_record_that_comes_after_its_drop_is_not_taken():
+def test_older_record_after_a_deletion_is_ignored():
     replica = Replica()
     replica.apply(5, "job/1", None, 1)
     replica.apply(3, "job/1", ACCEPTED, 1)
@@ -38,7 +38,7 @@
     assert replica.find("1") is not None
 
 
-def test_drop_on_one_partition_leaves_what_another_holds():
+def test_deletion_on_one_partition_leaves_the_value_of_another():
     replica = Replica()
     replica.apply(3, "job/1", ACCEPTED, 3)
     replica.apply(9, "job/1", None, 1)
@@ -48,7 +48,7 @@
     assert replica.jobs == {}
 
 
-def test_dropped_newest_state_leaves_the_older_one_of_another_partition():
+def test_deletion_of_the_newest_state_leaves_the_older_one_of_another_partition():
     replica = Replica()
     replica.apply(0, "state/1", state_of(7), 0)
     replica.apply(0, "state/1", state_of(5), 2)
@@ -57,7 +57,7 @@
     assert replica.jobs["1"].state.version == 5
 
 
-def test_key_that_the_store_lists_no_more_is_dropped():
+def test_key_that_the_store_no_longer_lists_is_deleted():
     replica = Replica()
     replica.apply(1, "job/1", ACCEPTED, 1)
     replica.apply(2, "job/2", ACCEPTED, 1)
@@ -67,7 +67,7 @@
     assert sorted(replica.jobs) == ["2", "3", "4"]
 
 
-def test_late_push_of_a_key_that_the_store_listed_no_more_is_not_taken():
+def test_late_push_of_an_unlisted_key_is_ignored():
     replica = Replica()
     replica.drop_unlisted(1, set(), 8)
     replica.apply(7, "job/1", ACCEPTED, 1)
@@ -76,7 +76,7 @@
     assert list(replica.jobs) == ["1"]
 
 
-def test_each_key_of_a_job_is_dropped_on_its_own():
+def test_each_key_of_a_job_is_deleted_independently():
     replica = Replica()
     replica.apply(0, "job/1", ACCEPTED, 1)
     replica.apply(1, "cancel/1", b"\x01", 1)
@@ -90,13 +90,13 @@
     assert replica.jobs == {}
 
 
-def test_offsets_of_drops_do_not_grow_without_end():
+def test_number_of_tombstones_is_bounded():
     replica = Replica()
     for i in range(50_000):
         replica.apply(i, f"job/{i}", None, 1)
-    kept = replica._partitions[1].tombstones
-    assert len(kept) == 20_000
-    assert min(kept.values()) == 30_000
+    tombstones = replica._partitions[1].tombstones
+    assert len(tombstones) == 20_000
+    assert min(tombstones.values()) == 30_000
     replica.drop_unlisted(1, set(), 50_000)
     assert not replica._partitions[1].tombstones
 
@@ -121,17 +121,17 @@
 )
 def test_any_order_on_several_partitions_comes_to_the_same(rows, rng):
     records = [
-        (i, key, value_of(key, i, dropped), partition)
-        for i, (key, partition, dropped) in enumerate(rows)
+        (i, key, value_of(key, i, deleted), partition)
+        for i, (key, partition, deleted) in enumerate(rows)
     ]
     shuffled = list(records)
     rng.shuffle(shuffled)
-    straight, other = Replica(), Replica()
+    ordered, other = Replica(), Replica()
     for record in records:
-        straight.apply(*record)
+        ordered.apply(*record)
     for record in shuffled:
         other.apply(*record)
-    assert seen(straight) == seen(other)
+    assert job_views(ordered) == job_views(other)
 
 
 @given(
@@ -139,13 +139,15 @@
     st.data(),
 )
 def test_replica_rebuilt_at_any_time_comes_to_the_same(rows, data):
-    records = [(i, key, value_of(key, i, gone)) for i, (key, gone) in enumerate(rows)]
+    records = [
+        (i, key, value_of(key, i, deleted)) for i, (key, deleted) in enumerate(rows)
+    ]
     end = data.draw(st.integers(0, len(records)))
     read_at = data.draw(st.integers(end, len(records)))
     known = data.draw(st.lists(st.sampled_from(records), max_size=6))
-    straight, rebuilt = Replica(), Replica()
+    ordered, rebuilt = Replica(), Replica()
     for record in records:
-        straight.apply(*record)
+        ordered.apply(*record)
     for record in known:
         rebuilt.apply(*record)
     newest = {key: (i, key, value) for i, key, value in records[:read_at]}
@@ -155,4 +157,4 @@
     rebuilt.drop_unlisted(0, {key for _, key, _ in listed}, end)
     for record in records[end:]:
         rebuilt.apply(*record)
-    assert seen(straight) == seen(rebuilt)
+    assert job_views(ordered) == job_views(rebuilt)
