--- a/tests/cell/test_digests.py
+++ b/tests/cell/test_digests.py
@@ -1,4 +1,4 @@
-"""What instances are told that only answer callers."""
+"""Digests of records, which suffice for instances that only answer callers."""
 
 import attrs
 import pytest
@@ -34,7 +34,7 @@
 
 
 def _state(tasks, status=JobStatus.RUNNING, version=7):
-    """Return the state of a job of which so many tasks run."""
+    """Return the state of a job with a number of running tasks."""
     running = TaskState(last_run=1, runs=(RunState(1, 0),))
     return JobState(
         int(status),
@@ -67,7 +67,7 @@
 
 
 def test_state_digest_cannot_be_decoded_as_a_full_state():
-    """A lead that went by it would start tasks beside those that run."""
+    """A lead that took it for the full state would start tasks that already run."""
     digest = decode_state_summary(
         digest_state(decode_state_summary(encode_record(_state(3))))
     )
@@ -86,7 +86,7 @@
 
 
 def test_digest_keeps_a_state_on_another_partition():
-    """Instances must know on which partitions a key lies, to drop it from all."""
+    """Instances must know which partitions have a key, to delete it from all."""
     replica = Replica()
     key = "state/" + JOB.id
     replica.apply(0, key, encode_record(_state(3)), 0)
@@ -101,8 +101,9 @@
 
 
 def test_full_record_replaces_its_digest():
-    """A copy accounts for all records before its end; the whole of them, read later,
-    was taken for old, and a new lead knew of no job.
+    """A copy of digests accounts for all records before its end.
+
+    If the full records, read later, were ignored as old, a new lead would know no job.
     """
     replica, key, full = Replica(), "job/" + JOB.id, encode_record(JOB)
     replica.apply(3, key, digest_job(full))
--- a/tests/cell/test_job_table_begun.py
+++ b/tests/cell/test_job_table_begun.py
@@ -1,4 +1,4 @@
-"""When a job counts as begun, and when that is stored."""
+"""When a job's status changes from queued to running, and when that is stored."""
 
 import pytest
 
@@ -35,7 +35,7 @@
 
 
 def assign(table, job_id):
-    """Assign the first idle task of a job, and store that."""
+    """Assign the first idle task of a job, and mark the assignment as stored."""
     step = table.jobs[job_id].steps[0, 0]
     task = next(iter(step.idle.values()))
     (run,) = table.plan(step, [(task, "w", INCARNATION)], NOW)
@@ -44,7 +44,7 @@
 
 
 def stored_statuses(table, now):
-    """Return what a round at a moment stores: the status of each job."""
+    """Return the statuses that are to be stored at a time, by job."""
     return {
         job.id: JobStatus(job.to_state().status).name for job in table.take_dirty(now)
     }
@@ -77,7 +77,7 @@
 
 
 def table_of_two_begun():
-    """Return a book of two jobs, one of which began 0.2 s after the other."""
+    """Return a table of two jobs, one of which began 0.2 s after the other."""
     table = make_table("j", "k")
     for job_id, at in (("j", NOW), ("k", NOW + 0.2)):
         run = assign(table, job_id)
--- a/tests/cell/test_replica.py
+++ b/tests/cell/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica comes to the same from the same records in any order."""
+"""A replica has the same content whatever the order in which records are applied."""
 
 import contextlib
 
@@ -105,7 +105,7 @@
 
 @given(st.permutations(range(3)), st.integers(0, 1))
 def test_of_one_ids_submissions_the_earliest_holds_in_whatever_order(order, other):
-    """Two teams submit one id at once; instances read of them in another order."""
+    """Two teams submit an id at once; instances read the records in any order."""
     records = [
         (0, 10, attrs.evolve(JOB, team="a", accepted_at=5.0)),
         (0, 11, attrs.evolve(JOB, team="b", accepted_at=4.0)),
--- a/tests/cell/test_replica_drops.py
+++ b/tests/cell/test_replica_drops.py
@@ -1,4 +1,4 @@
-"""Keys that were dropped stay dropped in the replica, however that is learned."""
+"""Deleted keys stay deleted in the replica, by a record or the store's listing."""
 
 import attrs
 from hypothesis import given
@@ -25,7 +25,7 @@
 
 
 def job_views(replica):
-    """Return what readers see of all jobs."""
+    """Return the jobs as readers of the replica see them."""
     return {job_id: attrs.asdict(job) for job_id, job in replica.jobs.items()}
 
 
