--- a/src/firhook/cell/_config.py
+++ b/src/firhook/cell/_config.py
@@ -38,9 +38,9 @@
 class Queue:
     """A queue of jobs, which callers address by host and path.
 
-    :param pool: the pool whose workers run its tasks.
     :param host: host that callers send requests to.
     :param prefix: prefix of the paths that belong to the queue.
+    :param pool: the pool whose workers run its tasks.
     :param priority: 0 is the highest and may preempt others.
     :param max_attempts: failed attempts after which a task fails its job.
     :param slack_factor: factor of the job's estimated duration in its objective.
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -30,10 +30,12 @@
 PEER_PREFIX = "peer/"
 LEAD_KEY = "lead"
 MESH_KEY = "mesh"
-#: The keys of instances lie between these two in byte order.
+#: The keys about instances, which are the mesh key and those of the peers, lie between
+#: these two in byte order.
 INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE = LEAD_KEY, STATE_PREFIX
 
-#: Versions reserved for the records that one lead writes in its epoch.
+#: Versions reserved for the states that a lead writes in its epoch; the count restarts
+#: with each epoch.
 VERSIONS_PER_EPOCH = 10**9
 
 
--- a/src/firhook/cell/_workers.py
+++ b/src/firhook/cell/_workers.py
@@ -125,7 +125,7 @@
     """A worker's answer to an order.
 
     :param incarnation: the incarnation of the worker that answered; 0 if none did.
-    :param clock_s: the worker's monotonic clock, in seconds; ``None`` if not answered.
+    :param clock_s: the worker's monotonic clock, in seconds; ``None`` if unknown.
     """
 
     outcome: OrderOutcome
