--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -1,38 +1,36 @@
-"""Runs that make no progress."""
+"""Detects runs that make no progress."""
 
 from collections.abc import Iterable
 
 from firhook.cell import Run
 
-#: A run whose percentage has not moved for so long stands still.  Workers are
-#: looked at once a second at least, and a percent of the longest tasks, of 16 s,
-#: takes 0.16 s; resuming from a checkpoint takes 0.6 s.
-STALL_S = 2.2
-#: A run that has shown no progress at all since it began stands still after this,
-#: and after this part of its estimate more: estimates are off by up to 90% and
-#: workers up to seven times as slow as others, so that it shows 3% by then.
-_FRESH_S = 0.8
-_FRESH_PART = 0.15
-#: A run that resumes from a checkpoint begins so much later.
+#: A run whose progress has not changed for this long is stalled.  Workers are polled
+#: at least once a second, one percent of the longest tasks (16 s) takes 0.16 s, and
+#: resuming from a checkpoint takes 0.6 s.
+STALL_TIMEOUT_S = 2.2
+#: A run without any progress since its start is stalled after this time plus a
+#: fraction of its estimate.  Estimates are off by up to 90% and workers up to seven
+#: times as slow as others, so it shows 3% by then.
+_FIRST_PROGRESS_S = 0.8
+_FIRST_PROGRESS_FRACTION = 0.15
+#: How long a run takes to resume from a checkpoint.
 _RESTORE_S = 0.6
-#: A run whose percentage moved so lately moves on; workers are looked at once a
-#: second at least.
-_MOVES_S = 1.2
-#: The part of its estimate that a run may stand still for, for work that is far
-#: longer than what is usual.
-_STALL_PART = 0.05
+#: A run whose progress changed this recently is progressing.  Workers are polled at
+#: least once a second.
+_RECENT_PROGRESS_S = 1.2
+#: The extra stall timeout as a fraction of the estimate, for unusually long work.
+_STALL_FRACTION = 0.05
 
 
-def stalled(run: Run, now: float) -> bool:
-    """Return whether a run stands still.
+def is_stalled(run: Run, now: float) -> bool:
+    """Return whether a run is stalled.
 
-    Load: workers on which what is started makes no progress, while they answer
-    as if all were well.  Harm: its tasks never end, and neither does the job;
-    with the others of their kind at work elsewhere nobody would notice before
-    the users do.
+    Tasks on a faulty worker may make no progress while it answers polls normally.
+    They and their job would never end, and since similar tasks progress elsewhere,
+    nobody would notice before the users do.
 
-    Runs of tasks that last have no end to make progress towards, and a member
-    of a gang works only from when all are there.
+    Lasting tasks have no end and thus no progress.  A gang member works only once
+    all members have started.
     """
     spec = run.task.step.spec
     if (
@@ -43,45 +41,46 @@
     ):
         return False
     if run.percent >= 99:
-        # It may be about to end; percentages are rounded.
-        return now - run.percent_at > 2 * limit_s(run)
+        # It may be about to end: percentages are rounded.
+        return now - run.percent_at > 2 * stall_timeout_s(run)
     if run.percent <= 0:
-        return now - run.started_at > _fresh_limit_s(run)
-    return now - max(run.percent_at, run.started_at) > limit_s(run)
+        return now - run.started_at > _first_progress_timeout_s(run)
+    return now - max(run.percent_at, run.started_at) > stall_timeout_s(run)
 
 
-def limit_s(run: Run) -> float:
-    """Return for how long a run may show no progress."""
-    return STALL_S + _STALL_PART * run.task.step.spec.estimate_s
+def stall_timeout_s(run: Run) -> float:
+    """Return how long a run may show no progress, in seconds."""
+    return STALL_TIMEOUT_S + _STALL_FRACTION * run.task.step.spec.estimate_s
 
 
-def _fresh_limit_s(run: Run) -> float:
-    """Return after how long a run must have shown some progress.
+def _first_progress_timeout_s(run: Run) -> float:
+    """Return how long a run may take to show its first progress, in seconds.
 
-    Load: short work on a worker that stands still.  Harm: with as much patience as
-    for a run that moved before, tickets of 0.6 s were moved after 3.4 s, when they
-    had become worthless, and others were sent to that worker meanwhile.
+    With the timeout of runs that progressed before, ticket tasks of 0.6 s on a
+    stalled worker were moved only after 3.4 s.  By then they were worthless, and
+    further tasks had been sent to that worker.
     """
     step = run.task.step
     restore_s = _RESTORE_S if step.start_checkpoint(run.task) else 0.0
-    limit = _FRESH_S + _FRESH_PART * step.spec.estimate_s + restore_s
-    return min(limit, limit_s(run) + restore_s)
+    timeout_s = (
+        _FIRST_PROGRESS_S + _FIRST_PROGRESS_FRACTION * step.spec.estimate_s + restore_s
+    )
+    return min(timeout_s, stall_timeout_s(run) + restore_s)
 
 
-def standing_still(runs: Iterable[Run], now: float) -> list[Run]:
-    """Return the runs of a worker that are to be stopped and run elsewhere.
+def stalled_runs(runs: Iterable[Run], now: float) -> list[Run]:
+    """Return the runs of a worker that should be stopped and run elsewhere.
 
-    A worker that stands still does so with all that it started; where some of
-    its runs move on, a run that does not is slow rather than stuck, and a gang
-    may wait for a member elsewhere.
+    A stalled worker stalls all its runs.  If some of its runs progress, the others
+    are slow rather than stalled, or wait for gang members on other workers.
     """
     confirmed = [r for r in runs if r.confirmed and not r.task.step.spec.long_running]
-    still = [run for run in confirmed if stalled(run, now)]
-    moving = [
+    stalled = [run for run in confirmed if is_stalled(run, now)]
+    progressing = [
         run
         for run in confirmed
         if run.percent > max(run.first_percent, 0)
-        and run not in still
-        and now - run.percent_at <= _MOVES_S
+        and run not in stalled
+        and now - run.percent_at <= _RECENT_PROGRESS_S
     ]
-    return [] if moving else still
+    return [] if progressing else stalled
--- a/src/firhook/decide/schedule.py
+++ b/src/firhook/decide/schedule.py
@@ -1,23 +1,23 @@
-"""Which waiting tasks start now, and where."""
+"""Decides which waiting tasks start now, and on which workers."""
 
 from firhook.decide._schedule import (
     Placement,
     Round,
     RoundResult,
-    Wait,
+    WaitReason,
     WorkerView,
     place_round,
     urgency,
-    urgent_room_m,
+    urgent_headroom_m,
 )
 
 __all__ = [
     "Placement",
     "Round",
     "RoundResult",
-    "Wait",
+    "WaitReason",
     "WorkerView",
     "place_round",
     "urgency",
-    "urgent_room_m",
+    "urgent_headroom_m",
 ]
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -9,8 +9,7 @@
 from firhook.services._members import Registration
 from firhook.services._mesh import MeshService
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import play as play_scene
-from tests.services.scenes import step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_instance_finds_its_peers_before_it_has_read_the_jobs():
@@ -26,10 +25,10 @@
             content = bytes((len(key),)) + key.encode() + encode_record(record)
             partition.add([content])
         known = cell.instances["i0"].instance
-        cell.store.transfer_s["i0", 1] = 12.0
+        cell.store.partition_read_s["i0", 1] = 12.0
         fresh = Instance(known.settings, known.platform, {"mesh": MeshService})
         began = now()
-        assert await fresh.services["mesh"]._keys() == keys
+        assert await fresh.services["mesh"]._read_or_create_keys() == keys
         assert now() - began < 0.1
         assert fresh.replica.peers["p"] == peer
         assert not fresh.replica.jobs
@@ -42,24 +41,24 @@
 
     async def scene(cell):
         cell.kill("i2")
-        cell.store.transfer_s["i2", 1] = 4.0
+        cell.store.partition_read_s["i2", 1] = 4.0
         await pause(1.0)
         await cell.restart("i2")
         await pause(0.5)
-        asked = cell.adviser.asked_through["i2"]
+        asked = cell.adviser.calls_by_instance["i2"]
         began = now()
         while now() - began < 2.5:
             await cell.submit([step(2)], work_s=0.1)
             await pause(0.02)
-        assert cell.adviser.asked_through["i2"] == asked
-        cell.store.transfer_s.clear()
+        assert cell.adviser.calls_by_instance["i2"] == asked
+        cell.store.partition_read_s.clear()
         await pause(6.0)
         for _ in range(100):
             await cell.submit([step(2)], work_s=0.1)
-        assert cell.adviser.asked_through["i2"] > asked
+        assert cell.adviser.calls_by_instance["i2"] > asked
         await cell.all_done(20.0)
 
-    play_scene(scene, instances=3, workers=6, advised=True)
+    run_scenario(scene, instances=3, workers=6, advised=True)
 
 
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
@@ -87,9 +86,9 @@
             [bytes((len(key),)) + key.encode() + again]
         )
         await pause(3.0)
-        await Registration(found.services["mesh"], "i2").withdraw()
+        await Registration(found.services["mesh"], "i2").unregister()
         await pause(3.0)
         for instance in cell.instances.values():
             assert "i2" not in instance.instance.replica.peers
 
-    play_scene(scene, instances=3)
+    run_scenario(scene, instances=3)
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -10,10 +10,10 @@
 import pytest
 
 from firhook.cell import JobTable
-from firhook.services._orders import Orders
+from firhook.services._order_sender import OrderSender
 from firhook.services._term import Term
 from firhook.services._worker_link import WorkerLink
-from standins.model import Trouble, run_virtual
+from standins.model import FaultScenario, run_virtual
 
 SEEDS = range(40)
 
@@ -21,7 +21,7 @@
 def caught(kinds=()):
     """Return the first seed under which a promise is broken."""
     for seed in SEEDS:
-        if not run_virtual(Trouble(seed, kinds).play()).good:
+        if not run_virtual(FaultScenario(seed, kinds).run()).passed:
             return seed
     return None
 
@@ -30,7 +30,7 @@
     store = Term._store_changes
 
     async def hasty(self):
-        self._orders.begin(self.book.take_planned())
+        self._order_sender.start_runs(self.job_table.take_planned())
         await store(self)
 
     monkeypatch.setattr(Term, "_store_changes", hasty)
@@ -39,14 +39,14 @@
 
 
 def test_acknowledging_ends_before_they_are_stored_is_caught(monkeypatch):
-    look = Term.on_look
+    look = Term.on_poll
 
     def hasty(self, link, seen, sent_at):
         look(self, link, seen, sent_at)
         if seen.ended:
             link.set_ack(seen.ended[-1].number)
 
-    monkeypatch.setattr(Term, "on_look", hasty)
+    monkeypatch.setattr(Term, "on_poll", hasty)
     assert caught(("kill", "store_down")) is not None
 
 
@@ -68,7 +68,7 @@
 
 def _short_lease(self):
     until = WorkerLink._plain_lease_until(self)
-    self.lapse_at = 0.0
+    self.leases_expire_at = 0.0
     return until
 
 
@@ -76,13 +76,13 @@
 
 
 def test_forgetting_a_start_without_an_answer_is_caught(monkeypatch):
-    give_up = Orders._give_up_start
+    give_up = OrderSender._abandon_start
 
     def careless(self, run, reason):
         run.unanswered_starts = 0
         give_up(self, run, reason)
 
-    monkeypatch.setattr(Orders, "_give_up_start", careless)
+    monkeypatch.setattr(OrderSender, "_abandon_start", careless)
     assert caught(("orders_late", "worker_cut")) is not None
 
 
@@ -99,4 +99,4 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_without_a_defect_nothing_is_caught(seed):
-    assert run_virtual(Trouble(seed).play()).good
+    assert run_virtual(FaultScenario(seed).run()).passed
