--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -1,4 +1,4 @@
-"""Appends callers' records to the cell's topic, many in one call."""
+"""Appends callers' records to the cell's topic in batches."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,24 +20,22 @@
 from firhook.services._batches import split_records
 from firhook.services._events import RecordsAppended
 
-#: Between tries when the store does not answer.
+#: Delay between attempts while the store does not answer.
 _RETRY_S = 0.15
-#: A partition that failed is tried again after this; the other one serves
-#: meanwhile.
+#: Time for which a partition that failed is avoided in favour of the others.
 _FAILED_PARTITION_RETRY_S = 1.0
-#: Records that are to go through the lead are looked at again after this.
+#: Interval between checks whether a paused queue may send again.
 _PAUSED_RECHECK_S = 0.05
-#: The longest that one append is waited for before it is repeated; the record
-#: is the whole value of its key, so that a repeat changes nothing.  A store that
-#: answers 60 times slower than its 5 ms is waited for: repeats would only make
-#: its queue longer.
+#: Timeout of one append, after which it is repeated.  A record holds the entire value
+#: of its key, so a repeated append is idempotent.  The timeout allows for a store
+#: that is 60 times slower than its usual 5 ms: repeats would only add to its queue.
 APPEND_TIMEOUT_S = 1.5
-#: When callers should come back to a store that is away for all.
+#: Retry delay for callers while the store is unavailable to all instances.
 STORE_DOWN_RETRY_S = 2.0
 
 
 def append_timeout_error() -> LogUnavailableError:
-    """Return the error of a record that nobody appended in its asker's time."""
+    """Return the error for a record that was not appended before its time limit."""
     return LogUnavailableError(
         "the store did not answer in time", retry_after_s=STORE_DOWN_RETRY_S
     )
@@ -47,10 +45,10 @@
 class PendingAppend:
     """A record that waits to be appended.
 
-    :ivar until: when its asker gives up, on the boot clock.
-    :ivar done: its offset.
-    :ivar open: its appends, here or at the lead, that are under way or got no
-        answer.
+    :ivar until: time on the boot clock at which the requester gives up.
+    :ivar done: resolves to the offset of the record.
+    :ivar unresolved: number of appends of the record, by this instance or the lead,
+        that are under way or were not answered.
     """
 
     record: KeyedRecord
@@ -61,19 +59,19 @@
     unresolved: int = 0
 
     def resolve(self, offset: int) -> None:
-        """Take note of where the record lies, unless that is known."""
+        """Set the offset of the record, unless the outcome is set already."""
         if not self.done.done():
             self.done.set_result(offset)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait for its outcome for a while; give up once the asker does."""
+        """Wait for the outcome up to a timeout; fail once the requester gives up."""
         left_s = max(self.until - boot_time(), 0.0)
         await asyncio.wait({self.done}, timeout=min(left_s, timeout_s))
         if boot_time() >= self.until:
             self.fail(append_timeout_error())
 
     def fail(self, exc: FirhookError) -> None:
-        """Give up, and say whether it may have been recorded."""
+        """Give up with an error that says whether the record may have been stored."""
         if self.done.done():
             return
         if self.unresolved:
@@ -83,9 +81,9 @@
             self.done.set_exception(error)
 
     def abandon(self) -> None:
-        """Take note that the asker waits no longer, and try no more.
+        """Stop trying, as the requester no longer waits.
 
-        Nobody would be told what becomes of the record; so the log is.
+        Nobody else would learn the outcome of the record, so it is logged.
         """
         if self.done.cancel():
             outcome = "unknown" if self.unresolved else "not_sent"
@@ -97,18 +95,18 @@
 
 
 class AppendQueue:
-    """Records that wait to be appended, in one call at a time.
-
-    A partition takes its appends one after the other.  While the store is 60 times
-    slower than usual, single appends for 20 jobs a second are more than it takes;
-    its queue grows to seconds.
-
-    :param partitions: to append to, the preferred one first.
-    :param max_bytes: of one call.
-    :param route: is told how long calls take.
-    :param held: whether records that wait are not to be sent from here: the store
-        is out of reach, or another instance appends them.
-    :param appended: is told what was appended, and where.
+    """Queue of records that are appended in batches, one call at a time.
+
+    A partition handles one append at a time.  While the store is 60 times slower than
+    usual, single appends for 20 jobs a second exceed its throughput, and its queue
+    grows to seconds.
+
+    :param partitions: the partitions to append to, the preferred one first.
+    :param max_bytes: limit of the bytes in one call.
+    :param route: records when calls begin and end.
+    :param is_paused: returns whether queued records must not be sent by this
+        instance: the store is unreachable, or the lead appends them.
+    :param on_appended: called with the records that were appended, and where.
     """
 
     def __init__(
@@ -133,12 +131,12 @@
         self._added = asyncio.Event()
 
     def add(self, pending: PendingAppend) -> None:
-        """Have a record appended."""
+        """Queue a record."""
         self.pending.append(pending)
         self._added.set()
 
     async def run(self) -> None:
-        """Append what waits, until cancelled."""
+        """Append queued records until cancelled."""
         while True:
             await self._added.wait()
             self._added.clear()
@@ -151,9 +149,9 @@
                 self.pending = await self._append(batch) + self.pending
 
     def _partition(self) -> int:
-        """Return the partition to append to: the first, unless it failed lately.
+        """Return the first partition that did not fail lately.
 
-        Of those that failed the one that did so the longest ago is tried.
+        If all of them did, return the one that failed the longest ago.
         """
         now = boot_time()
         for number in self._partitions:
@@ -165,7 +163,7 @@
         return min(self._partitions, key=lambda number: self._failed_at[number])
 
     async def _append(self, batch: list[PendingAppend]) -> list[PendingAppend]:
-        """Append records; return those that are to be tried again."""
+        """Append one batch of records; return the records that are still to be sent."""
         batch = [row for row in batch if not row.done.done()]
         if not batch:
             return []
@@ -218,7 +216,7 @@
 
 
 def _fail_expired(batch: list[PendingAppend], exc: FirhookError) -> list[PendingAppend]:
-    """Give up the records whose time is up; return the others."""
+    """Fail the records whose time limit is reached; return the others."""
     now = boot_time()
     for row in batch:
         if row.until - now < _RETRY_S:
--- a/src/firhook/services/_batches.py
+++ b/src/firhook/services/_batches.py
@@ -1,11 +1,11 @@
-"""How much one append, or one message, takes."""
+"""Splits records into batches that fit into one append or one message."""
 
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
 from firhook.platform.store import KeyedRecord
 
-#: Bytes of a record beside its key and its value.
+#: Bytes that a record takes in addition to its key and value.
 _RECORD_OVERHEAD_BYTES = 8
 
 T = TypeVar("T")
@@ -14,7 +14,7 @@
 def split_records(
     records: list[KeyedRecord], max_bytes: int
 ) -> list[list[KeyedRecord]]:
-    """Split records into appends of at most so many bytes; at least one."""
+    """Split records into batches of at most ``max_bytes``; there is at least one."""
     return split_by_size(
         records,
         lambda r: len(r.key) + len(r.value or b"") + _RECORD_OVERHEAD_BYTES,
@@ -25,9 +25,11 @@
 def split_by_size(
     items: Iterable[T], size: Callable[[T], int], max_bytes: int
 ) -> list[list[T]]:
-    """Split items, in order, into chunks of at most so many bytes; at least one.
+    """Split items, in order, into chunks of at most ``max_bytes``.
 
-    What is larger by itself gets a chunk of its own.
+    An item that is larger gets a chunk of its own.  There is at least one chunk.
+
+    :param size: returns the size of an item in bytes.
     """
     chunks: list[list[T]] = [[]]
     filled = 0
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: jobs are submitted, looked up and cancelled."""
+"""The callers' HTTP interface: submits, looks up and cancels jobs."""
 
 import asyncio
 import socket
@@ -46,57 +46,58 @@
 )
 from firhook.services._lookups import Lookups
 
-#: What a caller's whole request may take if it does not say.
+#: Time limit of a request without a deadline of its own.
 _DEFAULT_TIMEOUT_S = 3.0
-#: An answer is sent so long before the caller stops waiting for it.
+#: An answer is sent at least this long before the caller stops waiting.
 _REPLY_MARGIN_S = 0.25
-#: The longest that the log is tried for one request; a store that is away for
-#: longer makes callers wait for nothing.
+#: Longest wait for the log or for peers in one request.  If the store is unavailable
+#: for longer, waiting more is of no use to the caller.
 _MAX_LOG_WAIT_S = 1.5
-#: When a refused caller should come back, if nothing better is known.
+#: Default retry delay for refused callers.
 _RETRY_S = 1.0
-#: Ready only if the configuration was read in this part of the time for which
-#: keys are trusted, so that callers leave before they would be refused.
+#: The instance is ready only if the configuration is younger than this fraction of
+#: the time for which keys are trusted, so that callers are routed elsewhere before
+#: they would be refused.
 _READY_AGE_FRACTION = 0.6
-#: After the stop was asked for, callers still come for so long: the platform
-#: asks for readiness once a second and acts on the second miss.
+#: Time for which callers still arrive after a stop was requested: the platform probes
+#: readiness once a second and acts on the second failure.
 _ROTATION_DELAY_S = 2.6
-#: The platform kills a process so long after it told it to stop as its settings
-#: say.  This part of that time passes before the last connections are closed;
-#: handing over the lead and closing the sockets fit into the rest.
+#: Fraction of the time between the platform's stop request and its kill after which
+#: the last connections are closed.  The rest suffices to hand over the lead and to
+#: close the sockets.
 _DRAIN_FRACTION = 0.7
-#: Callers' connections wait so long at a start for the first configuration.
+#: Time for which connections of callers wait for the first configuration at a start.
 _FIRST_CONFIG_TIMEOUT_S = 0.5
 _FIRST_CONFIG_POLL_S = 0.01
-#: Callers that connected just before have so long to send, in seconds.
+#: Time that callers which connected just before the close have to send a request.
 _LAST_REQUEST_TIMEOUT_S = 0.3
-#: Requests that are being answered then have so long, in seconds.
+#: Time that requests in progress have to finish at the close.
 _SHUTDOWN_TIMEOUT_S = 0.3
-#: An idle connection is kept so long.
+#: Time for which an idle connection is kept open.
 _KEEPALIVE_S = 75.0
 
 
 @register_service("callers")
 class Callers(InstanceService):
-    """Serves callers, and tells the platform whether to send more of them."""
+    """Serves callers, and the readiness probe of the platform."""
 
     def wire(self) -> None:
-        """Begin without sockets."""
+        """Initialize without listening sockets."""
         self._runners: list[web.ServerRunner] = []
         self._open_requests = 0
         self._lookups = Lookups(self)
 
     async def on_started(self) -> None:
-        """Listen."""
+        """Listen for the readiness probe and for callers."""
         self._lookups.register_handlers()
         await self._listen(self._serve_readiness, self.settings.probe)
         self.add_future(self._serve_callers())
 
     async def _serve_callers(self) -> None:
-        """Take callers in once there is a configuration, or soon after the start.
+        """Accept callers once there is a configuration, or after a time limit.
 
-        It is there some 50 ms after the start.  Callers whose connections wait
-        meanwhile are served then; refused, they would come back a second later.
+        The configuration arrives some 50 ms after the start.  Connections that wait
+        until then are served; a refused caller would retry only a second later.
         """
         until = boot_time() + _FIRST_CONFIG_TIMEOUT_S
         while self.instance.config.config is None and boot_time() < until:
@@ -116,9 +117,9 @@
         self._runners.append(runner)
 
     async def drain(self) -> None:
-        """Go on serving until the platform has taken this instance out.
+        """Serve callers until the platform has taken this instance out of rotation.
 
-        Callers that keep their connections are served until they let go of them.
+        Callers with persistent connections are served until they close them.
         """
         deadline = boot_time() + self.settings.bounds.stop_s * _DRAIN_FRACTION
         await asyncio.sleep(_ROTATION_DELAY_S)
@@ -131,18 +132,18 @@
         """Close all sockets."""
         for runner in self._runners[1:]:
             await close_served(runner, _LAST_REQUEST_TIMEOUT_S)
-        # The platform may keep the connections of its probe.
+        # The platform may keep the connections of its probe open.
         for runner in self._runners[:1]:
             await runner.cleanup()
 
-    # The platform's probe.
+    # Readiness probe.
 
     async def _serve_readiness(self, req: web.BaseRequest) -> web.Response:
         ready = await self.ready()
         return web.Response(status=200 if ready else 503)
 
     async def ready(self) -> bool:
-        """Return whether callers are served here."""
+        """Return whether this instance can serve callers."""
         view = self.instance.config
         if self.instance.stopping or view.config is None:
             return False
@@ -196,10 +197,14 @@
     def _fresh_config(self) -> CellConfig:
         view = self.instance.config
         if view.config is None:
-            raise NotReadyError("no configuration was read yet", retry_after_s=_RETRY_S)
+            raise NotReadyError(
+                "the configuration was not read yet", retry_after_s=_RETRY_S
+            )
         if not view.fresh(boot_time()):
             age_s = round(boot_time() - view.read_at, 1)
-            raise ZoneStaleError(f"read {age_s} s ago", retry_after_s=_RETRY_S)
+            raise ZoneStaleError(
+                f"the configuration was read {age_s} s ago", retry_after_s=_RETRY_S
+            )
         return view.config
 
     async def _submit(
@@ -229,7 +234,8 @@
             raise SubmissionUnknownError(exc.detail, retry_after_s=_RETRY_S) from exc
         stored = self.replica.find(job_id)
         if stored is not None and stored.lost(accepted.owner):
-            # The lead may have taken this one in first; it says so within a moment.
+            # The lead may have accepted this submission first; if so, that is known
+            # within a moment.
             raise SubmissionUnknownError(
                 "another job was submitted under this id at the same moment",
                 retry_after_s=_RETRY_S,
@@ -251,18 +257,18 @@
         try:
             status = await self._lookups.status(queue, team, job_id, until)
         except JobIdTakenError as exc:
-            # There is nothing to cancel, and no other answer would end the asking.
+            # There is nothing to cancel; any other answer would make the caller retry.
             raise JobGoneError(job_id) from exc
         if status.ended:
             return _json(encode_status(status))
         record = KeyedRecord(CANCEL_PREFIX + job_id, b"\x01")
         offset = await self.bus.ask(AppendRecord(record, until))
         log("job.cancelled", job=job_id, offset=offset)
-        # Whether it ends as cancelled is not known yet: an end may come first.
+        # The job may still end before the cancellation takes effect.
         return _json(b"{}")
 
     def _give_up_at(self, req: web.BaseRequest) -> float:
-        """Return until when a request may wait for the log or for peers."""
+        """Return the time until which a request may wait for the log or for peers."""
         wait_s = _DEFAULT_TIMEOUT_S
         header = req.headers.get("Deadline-Ms", "")
         if header.isascii() and header.isdigit():
--- a/src/firhook/services/_copying.py
+++ b/src/firhook/services/_copying.py
@@ -1,4 +1,4 @@
-"""Learning from a strong peer what the store would tell over a thin link."""
+"""Copies the replica from a strong peer instead of reading the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,26 +14,27 @@
 from firhook.services._events import AskInstance
 from firhook.services._members import candidates
 
-#: Instances that are not listed so long after a start are not there yet.
+#: Time for which a starting instance waits for the first peer to be listed.
 _MEMBERS_TIMEOUT_S = 0.3
-#: A strong peer is waited for so long.  At a start of all it has read the cell's
-#: records by then, which the store tells all instances at so many bytes a second.
+#: Time limit for finding a strong peer that can be copied.  When all instances start
+#: at once, strong ones have read the cell's records by then.  The store limits the
+#: bytes a second that all instances together read.
 _COPY_TIMEOUT_S = 2.0
-#: One answer is waited for so long.
+#: Timeout of one page.
 _ASK_TIMEOUT_S = 0.6
-#: Between tries.
+#: Delay between attempts.
 _RETRY_S = 0.1
-#: Rows in an answer.  Half a core takes some 30 ms to apply them.
+#: Rows per page.  Applying them takes some 30 ms on half a core.
 _PAGE_ROWS = 500
 
 
 class ReplicaCopier:
-    """Copies what a weak instance needs of the cell's records from a strong one.
+    """Copies the records that a weak instance needs from a strong peer.
 
-    Load: all instances lose power, and 97 read the jobs of a minute from the store,
-    most of them over links of 10 Mbit/s, for callers who ask where a job stands.
-    Harm: together they read for four seconds at all that the store can tell; the
-    strong ones, one of which is to lead, wait among them, and nothing starts.
+    After a power loss, 97 instances read the jobs of a minute from the store to
+    answer callers' queries for the state of a job, most over links of 10 Mbit/s.
+    Together they saturate the store for four seconds.  The strong instances, one of
+    which has to lead, wait among them, and no task starts.
     """
 
     def __init__(self, service: InstanceService) -> None:
@@ -46,10 +47,11 @@
     async def copy(
         self, partition: int, apply_row: Callable[[DigestRow], None]
     ) -> tuple[set[str], int] | None:
-        """Take all rows of a partition from a peer.
+        """Copy all rows of a partition from a peer.
 
-        :return: the keys that it holds, and an offset before which all records are
-            accounted for; ``None`` if the store is to be read instead.
+        :param apply_row: called with each row.
+        :return: the keys that the peer holds and an offset before which all records
+            are covered, or ``None`` if the store has to be read instead.
         """
         began = boot_time()
         while not self._replica.peers and boot_time() - began < _MEMBERS_TIMEOUT_S:
@@ -85,8 +87,8 @@
                 return None
             if not isinstance(reply, CopyReply) or not reply.known:
                 return None
-            # Rows of later answers may be newer; what was dropped since the first
-            # one is told by the records that follow its end.
+            # Later pages may hold newer rows.  Deletions since the first page are
+            # among the records that follow its end.
             end = reply.end if end is None else end
             for row in reply.rows:
                 apply_row(row)
@@ -98,9 +100,9 @@
 
 
 def build_copy_reply(replica: Replica, ask: CopyAsk, end: int) -> CopyReply:
-    """Return the rows that a peer asks for.
+    """Return the page of rows that a peer requests.
 
-    :param end: all records of the partition before it were applied.
+    :param end: all records of the partition before this offset were applied.
     """
     page = replica.page(ask.partition, ask.after, _PAGE_ROWS + 1)
     rows = tuple(
--- a/src/firhook/services/_events.py
+++ b/src/firhook/services/_events.py
@@ -1,4 +1,4 @@
-"""Events and queries that the services of an instance exchange."""
+"""Events and queries exchanged between the services of an instance."""
 
 import math
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from firhook.cell import CellConfig
 from firhook.platform.store import KeyedRecord
 
-#: The partitions of the cell's topic, of which the first is used as long as it
-#: can be.  A partition takes its appends one after the other; with one of its own
-#: the lead does not wait behind the callers'.  The store may lose some of its
-#: partitions for seconds, in which without the others no task would start.
+#: The partitions of the cell's topic in order of preference.  A partition handles
+#: one append at a time, so the lead has a preferred partition of its own and does
+#: not queue behind the records of callers.  The store may lose some partitions
+#: for seconds; without the fallbacks no task would start in that time.
 LEAD_PARTITIONS = (0, 2, 1, 3)
 CALLERS_PARTITIONS = (1, 3, 0, 2)
-#: Of what the lead appends for other instances.
+#: For records that the lead appends on behalf of other instances.
 RELAYED_PARTITIONS = (3, 1, 0, 2)
 
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen(slots=True)
 class RecordsAppended:
-    """This instance appended records to the cell's topic, without a gap."""
+    """This instance appended consecutive records to the cell's topic."""
 
     partition: int
     offset: int
@@ -39,9 +39,9 @@
 
 @attrs.frozen(slots=True)
 class SendToInstances:
-    """Send a one-way message to peers; those that are away miss it.
+    """Send a one-way message to peers; unreachable ones do not receive it.
 
-    :param names: the peers; all of them if ``None``.
+    :param names: names of the peers, or ``None`` for all of them.
     """
 
     body: Any
@@ -50,7 +50,7 @@
 
 @attrs.frozen(slots=True)
 class SendToInstance:
-    """Send a one-way message to one peer, which misses it if it is away."""
+    """Send a one-way message to one peer; it is lost if the peer is unreachable."""
 
     peer: str
     body: Any
@@ -58,23 +58,23 @@
 
 @attrs.frozen(slots=True)
 class AnnounceLead:
-    """This instance leads, and has all others told so."""
+    """Announce to all other instances that this one leads."""
 
     message: LeadAlive
 
 
 @attrs.frozen(slots=True)
 class ConfigApplied:
-    """Another version of the configuration is in force here."""
+    """A newer version of the configuration took effect on this instance."""
 
     config: CellConfig
 
 
 @attrs.frozen(slots=True)
 class CatchUp(Query[None]):
-    """Read the cell's records up to the end that they have now.
+    """Read the cell's records up to the current end of the log.
 
-    :param partitions: of the cell's topic.
+    :param partitions: the partitions of the cell's topic to read.
     :raises LogUnavailableError: if the store cannot be read.
     """
 
@@ -83,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class ReadToEnd(Query[int]):
-    """Read one partition up to its end, and return the offset of that end.
+    """Read one partition to its current end and return the end offset.
 
     :raises LogUnavailableError: if the store cannot be read.
     """
@@ -93,7 +93,7 @@
 
 @attrs.frozen(slots=True)
 class HoldFullReplica(Query[None]):
-    """Hold all of each record from here on, also of those applied as digests.
+    """Load the full records of all digests, and apply only full records from now on.
 
     :raises LogUnavailableError: if the store cannot be read.
     """
@@ -101,21 +101,22 @@
 
 @attrs.frozen(slots=True)
 class TermEnded:
-    """This instance does not lead any more; digests of records will do."""
+    """This instance stopped leading; digests of records suffice again."""
 
 
 @attrs.frozen(slots=True)
 class PartitionRebuilt:
-    """All newest records of a partition of the cell's topic were read."""
+    """The newest record of each key of a partition was read."""
 
     partition: int
 
 
 @attrs.frozen(slots=True)
 class LeadRecordSeen:
-    """A record that a lead wrote was read from the store, or came from a peer.
+    """A record written by a lead was read from the store or received from a peer.
 
-    :param version: of the record.
+    :param epoch: the epoch of the lead that wrote it.
+    :param version: the version of the record.
     """
 
     epoch: int
@@ -124,11 +125,11 @@
 
 @attrs.frozen(slots=True)
 class AppendRecord(Query[int]):
-    """Append a keyed record to the cell's topic, and return its offset.
+    """Append a keyed record to the cell's topic and return its offset.
 
-    :param until: on the boot clock, until when to try.
-    :raises LogUnavailableError: if it certainly was not and will not be taken.
-    :raises LogOutcomeUnknownError: if it may have been, or may yet be.
+    :param until: time on the boot clock after which to give up.
+    :raises LogUnavailableError: if the record is certainly not stored.
+    :raises LogOutcomeUnknownError: if the record may be, or may yet get, stored.
     """
 
     record: KeyedRecord
@@ -137,9 +138,11 @@
 
 @attrs.frozen(slots=True)
 class AskInstance(Query[Any]):
-    """Send a message to a peer, by name, and wait for its answer.
+    """Send a message to a peer and wait for its answer.
 
-    :raises PeerUnreachableError: if no answer came in time.
+    :param peer: name of the peer.
+
+    :raises PeerUnreachableError: if no answer arrives in time.
     """
 
     peer: str
@@ -149,9 +152,9 @@
 
 @attrs.frozen(slots=True)
 class RegisterMessageHandler:
-    """Registers the handler of a kind of peer message.
+    """Register the handler of a type of peer message.
 
-    :ivar handler: returns the answer, if any, or an awaitable of it.
+    :ivar handler: returns the answer, if there is one, or an awaitable of it.
     """
 
     kind: type
@@ -160,34 +163,36 @@
 
 @attrs.frozen(slots=True)
 class IsFollowingStore(Query[bool]):
-    """Whether all was read once, and the store answered a reading lately.
+    """Whether all partitions were read once and the store answered a read lately.
 
-    It says nothing of how old the replica is; see :class:`ReplicaAge`.
+    This does not say how stale the replica is; see :class:`ReplicaAge`.
     """
 
 
 @attrs.frozen(slots=True)
 class LiveLead(Query[str]):
-    """The name of another instance that leads and was heard just now, or empty."""
+    """The name of another instance that leads and is reachable, or an empty string."""
 
 
 @attrs.frozen(slots=True)
 class StoreLatency(Query[float]):
-    """How long the store's answers took lately, in seconds.
+    """The recent latency of the store, in seconds.
 
-    It is infinite while no partition of the cell's topic serves this instance.
+    It is infinite while no partition of the cell's topic answers this instance.
     """
 
 
 @attrs.frozen(slots=True)
 class ReplicaAge(Query[float]):
-    """How old the replica is, in seconds: all older records were applied.
+    """The age of the replica in seconds: all records older than this are applied.
 
     It is infinite until every partition of the cell's topic was read to its end.
 
-    :param wanted_s: what was read to its end longer ago than this is read on first,
-        unless the store did not answer just now or all is still read from the start.
-    :param within_s: how long that may take; what is not read by then stays as it is.
+    :param refresh_after_s: partitions that were last read to their end longer ago
+        than this are read first, unless the store does not answer or one of them
+        is still being rebuilt.
+    :param timeout_s: time limit of that read; partitions that are not read by then
+        count with the age that they have.
     """
 
     refresh_after_s: float = math.inf
--- a/src/firhook/services/_fan_out.py
+++ b/src/firhook/services/_fan_out.py
@@ -1,4 +1,4 @@
-"""Handing on to the other instances what the lead has learned."""
+"""Fan-out of records and heartbeats from the lead to the other instances."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -36,27 +36,27 @@
 )
 from firhook.services._members import candidates
 
-#: Batches beyond this go in a message of their own.  One append takes 2 MB at most
-#: and a message between instances 4 MB.
+#: Batches are split into messages of at most this size.  One append takes at most
+#: 2 MB, and a message between instances at most 4 MB.
 _MAX_MESSAGE_BYTES = 1 << 20
-#: A relay that did not say in this time that it passed a digest on is done without.
+#: A relay that does not confirm in this time that it forwarded a message has failed.
 _RELAY_TIMEOUT_S = 0.3
-#: It is tried again after this.
+#: Time for which a relay that failed is not used.
 _RELAY_RETRY_S = 2.0
-#: How often it is worked out anew who tells whom, as instances come and go.
+#: Interval at which the fan-out plan is computed again, as instances come and go.
 _PLAN_INTERVAL_S = 0.25
 
 
 class FanOutSender:
-    """Tells the other instances of records, some at a time.
+    """Sends records from the lead to the other instances, in batches.
 
-    Load: 33 instances accept 70 jobs a second, and the lead writes states.  Harm:
-    told to all by each of them, every instance gets 115 messages a second, each
-    encrypted and decoded.  So they tell the lead, which must know at once, and it
-    tells the others; until then these read the log when they are asked for an
-    unknown job.
+    33 instances accept 70 jobs a second, and the lead writes job states.  If each
+    of them sent its records to all others, every instance would receive 115
+    messages a second, each encrypted and decoded.  So an instance sends its records
+    to the lead, which needs them at once, and the lead sends them to the others.
+    Until they arrive, an instance that is asked for an unknown job reads the log.
 
-    :param spawn: runs work beside the caller.
+    :param spawn: runs a coroutine in the background.
     """
 
     def __init__(
@@ -77,17 +77,17 @@
         self._bus.subscribe(AnnounceLead, self._on_announce_lead)
 
     def add(self, records: PushedBatch, digest: DigestBatch) -> None:
-        """Hand a batch on, of which the digest was made with :func:`digest_batch`."""
+        """Queue a batch and its digest, made by :func:`digest_batch`, for sending."""
         self._records.append(records)
         self._digests.append(digest)
         self._added.set()
 
     async def run(self) -> None:
-        """Hand on what was added, until cancelled.
+        """Send queued batches until cancelled.
 
-        Load: several instances append large jobs at the same moment.  Harm: in one
-        message that is too long to be sent, they ended the lead's process, and after
-        it that of the next lead.
+        Several instances may append large jobs at the same moment.  When all of them
+        went into one message, it exceeded the size limit; sending it ended the
+        process of the lead, and then that of its successor.
         """
         while True:
             await self._added.wait()
@@ -104,10 +104,11 @@
                 self._send_digests(plan, tuple(digest))
 
     def _on_announce_lead(self, event: AnnounceLead) -> None:
-        """Tell the others that this instance leads.
+        """Send a heartbeat to all other instances.
 
-        Those next in line hear it from the lead itself, so that none of them stands
-        because a relay is gone; others wait for longer, and ask the store first.
+        The likely successors receive it from the lead itself, so that none of them
+        campaigns because a relay is gone.  The others wait longer and check the store
+        before they do.
         """
         plan = self._plan()
         message = event.message
@@ -128,7 +129,7 @@
             failed = {
                 n: until for n, until in self._failed_until.items() if until > now
             }
-            # The records that an instance reads at its start fill its link.
+            # An instance that starts fills its link with the records that it reads.
             reading = {p.name: now for p in self._replica.peers.values() if p.reading}
             lead = self._service.settings.name
             others = candidates(self._replica)
@@ -139,10 +140,11 @@
     async def _send_through_relay(
         self, message: DigestPush | LeadAlive, relay: str
     ) -> None:
-        """Have a relay pass a message on, and do without it if it does not say so.
+        """Have a relay forward a message, and avoid the relay if it does not confirm.
 
-        Its zone reads from the store what it was not told.  Told once more by the
-        lead, it would be told late, over a link that may be what made the relay late.
+        The instances of its zone read from the store what they did not receive.  A
+        second message from the lead would be late, and would use a link that may be
+        the cause of the relay's delay.
         """
         try:
             reply = await self._bus.ask(AskInstance(relay, message, _RELAY_TIMEOUT_S))
@@ -155,12 +157,12 @@
 
 
 def digest_batch(replica: Replica, batch: PushedBatch) -> DigestBatch:
-    """Return of a batch what instances need that only answer callers.
+    """Return the part of a batch that instances need only to answer callers.
 
-    A job's state is written with each start and each end of a task, and tells
-    callers something new three times in a job's life.
+    A job's state is written with each start and each end of a task, but what
+    callers can see of it changes only three times per job.
 
-    :param replica: as it was before the batch was applied.
+    :param replica: the replica as it was before the batch was applied.
     """
     rows = []
     for at, record in enumerate(batch.records, batch.offset):
@@ -177,7 +179,7 @@
 def _digest_record(
     replica: Replica, partition: int, offset: int, key: str, value: bytes | None
 ) -> DigestRow | None:
-    """Return what callers may ask about a record; ``None`` if that is known."""
+    """Return what callers can see of a record, or ``None`` if that is known."""
     if value is not None and key.startswith(JOB_PREFIX):
         value = digest_job(value)
     elif value is not None and key.startswith(STATE_PREFIX):
@@ -189,7 +191,7 @@
 
 
 def _merge_adjacent(batches: list[DigestBatch]) -> list[DigestBatch]:
-    """Join those that follow each other without a gap."""
+    """Merge batches that follow each other without a gap."""
     merged: list[DigestBatch] = []
     for batch in batches:
         last = merged[-1] if merged else None
--- a/src/firhook/services/_fenced_writer.py
+++ b/src/firhook/services/_fenced_writer.py
@@ -1,4 +1,4 @@
-"""The lead's appends, which the store refuses once another lead has begun."""
+"""Appends of the lead, which the store refuses once a newer lead has begun."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,25 +12,28 @@
 from firhook.platform.store import CELL_TOPIC, Producer, Store
 from firhook.services._events import LEAD_PARTITIONS
 
-#: Names the lead's appends; one sequence for all leads of the cell.
+#: Producer name of the lead's appends; all leads of the cell share its sequence.
 _PRODUCER = "lead"
-#: Between tries when the store does not take an append.
+#: Delay between attempts while the store does not take an append.
 _RETRY_S = 0.05
-#: An append is repeated elsewhere after so many times what makes one doubtful: half
-#: a second at a calm store.  A repeat under the same number does nothing twice.
+#: The timeout of an append, as a multiple of the time after which a call is
+#: suspected: half a second at a calm store.  After it, the append is repeated on
+#: another partition.  A repeat under the same sequence number takes effect once.
 _TIMEOUT_FACTOR = 2.0
-#: A partition that failed is tried again after this; the other one serves
-#: meanwhile.
+#: Time for which a partition that failed is avoided in favour of the others.
 _FAILED_PARTITION_RETRY_S = 1.0
 
 
 @attrs.define(slots=True, eq=False)
 class _Partition:
-    """One of the partitions that the lead writes to.
-
-    :ivar unanswered: the records of an append without an answer, which has
-        to be repeated as it was before anything else is appended there: the
-        store takes what comes next under its number for its repeat.
+    """One of the partitions that the lead appends to.
+
+    :ivar sequence: number of the next append.
+    :ivar unanswered: the records of an append without an answer.  It has to be
+        repeated unchanged before anything else is appended to the partition: the
+        store takes the next append under its number for a repeat of it.
+    :ivar avoid_until: time on the boot clock until which other partitions are
+        preferred.
     """
 
     number: int
@@ -42,13 +45,13 @@
 class FencedWriter:
     """Appends under one epoch to whichever of the lead's partitions answers.
 
-    Load: the store loses a third of its partitions for some seconds.  Harm: with
-    all records on one of these no task starts or ends for as long, while jobs go
-    on being accepted; 4.6 s in which 110 jobs came were seen on a played day.
+    The store may lose a third of its partitions for some seconds.  With all records
+    on one of these, no task could start or end for as long as 4.6 s, while 110 more
+    jobs are accepted.
 
-    :param epoch: higher than that of any lead before.
-    :param proven: called with the time at which an append was sent that the
-        store took: no other lead had begun by then.
+    :param epoch: the epoch of this lead, higher than that of any earlier lead.
+    :param on_confirmed: called with the time at which a successful append was sent:
+        no newer lead had begun by then.
     """
 
     def __init__(
@@ -59,15 +62,15 @@
         self._on_confirmed = on_confirmed
         self._partitions = [_Partition(number) for number in LEAD_PARTITIONS]
         self._reach = StoreReach(LEAD_PARTITIONS)
-        # One call at a time: two appends under one sequence number would pass
-        # for one and its repeat, and the second be lost.
+        # One call at a time: of two appends under one sequence number the store
+        # would take the second for a repeat, and its records would be lost.
         self._lock = asyncio.Lock()
 
     async def set_epoch(self) -> None:
-        """Have every partition refuse what a lead before this one appends.
+        """Have every partition refuse appends of earlier leads.
 
-        All of them are waited for: what lies on one that does not answer cannot
-        be read either.
+        All partitions have to answer: the records of one that does not cannot be
+        read either.
         """
         async with self._lock:
             await asyncio.gather(*(self._set_epoch(part) for part in self._partitions))
@@ -77,13 +80,13 @@
             await asyncio.sleep(_RETRY_S)
 
     async def confirm_epoch(self, contents: list[bytes]) -> None:
-        """Have the store say that no other lead has begun, if it answers.
+        """Have the store confirm that no newer lead has begun, if it answers.
 
-        :param contents: appended, unless another append is under way.
-        :raises LogFencedError: if one has.
+        :param contents: records to append, unless another append is under way.
+        :raises LogFencedError: if a newer lead has begun.
         """
         if self._lock.locked():
-            # What is under way proves as much.
+            # The append that is under way confirms the same.
             return
         async with self._lock:
             now = boot_time()
@@ -94,17 +97,17 @@
                     return
 
     async def append(self, contents: list[bytes]) -> tuple[int, int]:
-        """Append records; return the partition and the offset of the first.
+        """Append records; return the partition and the offset of the first one.
 
-        :raises LogFencedError: if another lead has begun.
+        :raises LogFencedError: if a newer lead has begun.
         """
         async with self._lock:
             return await self._append(contents)
 
     async def append_to(self, number: int, contents: list[bytes]) -> int | None:
-        """Append records to one partition; return the offset, or ``None`` if not now.
+        """Append records to one partition; return the offset, or ``None`` on failure.
 
-        :raises LogFencedError: if another lead has begun.
+        :raises LogFencedError: if a newer lead has begun.
         """
         part = next(part for part in self._partitions if part.number == number)
         async with self._lock:
@@ -127,14 +130,14 @@
             await asyncio.sleep(_RETRY_S)
 
     async def _repeat_unanswered(self, part: _Partition) -> bool:
-        """Repeat an append without an answer; return whether it has one now.
+        """Repeat an append that was not answered; return whether it succeeded now.
 
-        What it wrote is older than what was written elsewhere meanwhile, and
-        says so by its version.
+        Its records are older than those appended to other partitions meanwhile;
+        their versions show that.
 
-        It is kept until it is answered.  Forgotten when the store refuses the
-        repeat for the moment, it would leave its number to the next append, which
-        the store takes for the repeat if the first was carried out.
+        The append is kept until it is answered.  If it were dropped when the store
+        refuses the repeat temporarily, the next append would get its sequence number.
+        The store would take that for a repeat if it had carried out the first one.
         """
         if await self._append_once(part, part.unanswered) is None:
             return False
@@ -142,7 +145,7 @@
         return True
 
     async def _append_once(self, part: _Partition, contents: list[bytes]) -> int | None:
-        """Append once; return the offset, or ``None`` if it failed."""
+        """Try an append once; return the offset, or ``None`` if it failed."""
         producer = Producer(_PRODUCER, self._epoch, part.sequence)
         sent_at = boot_time()
         call = self._reach.sent(part.number, sent_at)
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -1,4 +1,4 @@
-"""Follows the cell's topic, and appends callers' records to it."""
+"""Follows the cell's topic and appends callers' records to it."""
 
 import asyncio
 import math
@@ -67,57 +67,61 @@
 from firhook.services._members import candidates
 from firhook.tasks import log_failure
 
-#: How often the store is read although the peers push what they append.  A push
-#: that is lost is made up for by then.
+#: Interval between reads of the store.  Peers push the records that they append;
+#: a read makes up for a lost push.
 _READ_INTERVAL_S = 0.5
-#: The second partitions are used only while the first ones cannot be, and what is
-#: written there is pushed as well, so that they are read less often.
+#: The fallback partitions are read less often: they are used only while the first
+#: ones fail, and records appended there are pushed as well.
 _FALLBACK_READ_INTERVAL_S = 2.0
-#: A gap between what was pushed is read from the store if the record that is
-#: missing has not come in this time; pushes of two instances overtake each other
-#: by some 10 ms, more on a busy machine.
+#: A gap between pushed records is read from the store if the missing record does
+#: not arrive in this time.  Pushes of two instances overtake each other by some
+#: 10 ms, more on a busy machine.
 _GAP_TIMEOUT_S = 0.05
-#: An instance that was told records as a standby for the lead leaves digests aside
-#: for so long; it reads what it is not told whole.
+#: An instance that received full records as a standby for the lead ignores digests
+#: for this time; records that it does not receive in full it reads from the store.
 _STANDBY_DURATION_S = 2.0
-#: So many of those in line for the lead are told of records while none is known.
+#: Number of likely successors that receive records while no lead is reachable.
 _LIKELY_SUCCESSORS = 4
-#: A replica that was read to its end longer ago than this is not copied.
+#: A partition that was last read to its end longer ago is not offered for copying.
 _MAX_COPY_AGE_S = 3.0
-#: Between tries when the store does not answer.
+#: Delay between attempts while the store does not answer.
 _RETRY_S = 0.15
-#: The replica counts as followed if a read was answered so lately: some reads,
-#: and one that was lost.
+#: The instance follows the store if a read sent within this time was answered.  It
+#: spans several reads, one of which may be lost.
 _FOLLOWING_MAX_AGE_S = 3.0
-#: So often a partition is read anew for one question if its records expire
-#: meanwhile; the platform keeps them for many seconds, and once is the rule.
+#: Limit of rebuilds of a partition for one query if its records expire meanwhile.
+#: The platform keeps records for many seconds, so one normally suffices.
 _MAX_REBUILDS = 3
-#: When callers should come back to a store that may be away from this instance
-#: alone: another one serves them then.
+#: Retry delay for callers if the store may be unreachable from this instance only:
+#: another instance serves them then.
 _OTHER_INSTANCE_RETRY_S = 1.0
-#: How often the way to the store is looked at.
+#: Interval between checks whether the store is reachable.
 _REACH_CHECK_INTERVAL_S = 0.1
-#: How long the lead may take to append for an instance that cannot.
+#: Timeout of an append by the lead for an instance that cannot reach the store.
 _RELAY_TIMEOUT_S = 0.4
-#: The lead answers so long before the time that it was given is over.
+#: The lead answers this long before the time limit of the request.
 _REPLY_MARGIN_S = 0.05
-#: With less time left a record is not handed to the lead any more.
+#: With less time left a record is not sent to the lead any more.
 _MIN_RELAY_S = 0.1
-#: The askers of a reading may have given up waiting when it fails.
+#: Whoever waited for a read may have given up when it fails.
 _LOG_FAILED_READ = log_failure("replica.reading_failed", level="debug")
-#: A record may be settled before the lead's answer to it has come.
+#: A record may be resolved before the lead's answer about it arrives.
 _LOG_UNREAD_RELAY = log_failure("relay.unheard", level="debug")
 
 
 class _Reader:
-    """How far one partition of the cell's topic was read.
+    """Read position and state of one partition of the cell's topic.
 
-    :ivar next_offset: all records before it were applied.
-    :ivar whole: whether the newest record of each key is known.
+    :ivar interval_s: time between two reads.
+    :ivar next_offset: all records before this offset are applied.
+    :ivar is_complete: whether the newest record of each key is known.
     :ivar reachable: whether the last read was answered.
+    :ivar answered_at: when the last read that was answered was sent.
     :ivar read_to_end_at: when the last read was sent that left nothing unread.
-    :ivar asked: whether it is to be read at once.
+    :ivar wake: set if the partition may have to be read before its interval is over.
+    :ivar read_requested: whether the partition is to be read at once.
     :ivar has_digests: whether some records were applied as digests only.
+    :ivar rebuilding: held while all newest records are read.
     """
 
     def __init__(self, number: int, interval_s: float) -> None:
@@ -135,25 +139,25 @@
         self._applied_ahead: dict[int, int] = {}
 
     def request_read(self) -> None:
-        """Have it read now."""
+        """Request a read as soon as possible."""
         self.read_requested = True
         self.wake.set()
 
     def age_s(self) -> float:
-        """Return how long ago the last read was sent that left nothing unread."""
+        """Return the seconds since the last read was sent that left nothing unread."""
         return boot_time() - self.read_to_end_at
 
     @property
     def has_gap(self) -> bool:
-        """Whether records were applied beyond one that was not."""
+        """Whether records were applied that follow a missing one."""
         return bool(self._applied_ahead)
 
     def has_applied(self, offset: int, count: int) -> bool:
-        """Return whether records that follow each other were applied."""
+        """Return whether ``count`` records from an offset on were applied."""
         return offset + count <= self.next_offset or offset in self._applied_ahead
 
     def mark_applied(self, offset: int, count: int) -> bool:
-        """Take note that records were applied; return whether they were new."""
+        """Record that pushed records were applied; return whether they were new."""
         if self.has_applied(offset, count):
             return False
         self._applied_ahead[offset] = offset + count
@@ -163,7 +167,7 @@
         return True
 
     def advance(self, offset: int) -> None:
-        """Take note that all records before an offset were applied."""
+        """Record that all records before an offset were applied."""
         self.next_offset = max(self.next_offset, offset)
         for start in sorted(self._applied_ahead):
             if start > self.next_offset:
@@ -173,10 +177,10 @@
 
 @register_service("follower")
 class Follower(InstanceService):
-    """Keeps the replica up to date."""
+    """Keeps the replica up to date and appends records for callers and peers."""
 
     def wire(self) -> None:
-        """Offer reading to the end, and appending."""
+        """Register the handlers of queries and events."""
         firsts = (LEAD_PARTITIONS[0], CALLERS_PARTITIONS[0])
         self._readers = {
             number: _Reader(
@@ -230,7 +234,7 @@
         )
 
     async def on_started(self) -> None:
-        """Begin to follow."""
+        """Register the handlers of messages and start to follow the topic."""
         self.bus.publish(RegisterMessageHandler(RecordsPush, self._on_records_push))
         self.bus.publish(RegisterMessageHandler(DigestPush, self._on_digest_push))
         self.bus.publish(RegisterMessageHandler(CopyAsk, self._serve_copy))
@@ -242,13 +246,14 @@
         self.add_future(self._fan_out.run())
         self.add_future(self._watch_store())
 
-    # The way to the store.
+    # Reachability of the store.
 
     async def _watch_store(self) -> None:
-        """Ask all partitions as soon as one of them, or the lead, is not heard.
+        """Read all partitions at once if one of them or the lead does not answer.
 
-        Left alone, they would tell only seconds later whether they serve this
-        instance.  With its zone cut off, the lead's silence is the first sign.
+        At their usual intervals the reads would show only seconds later whether the
+        store is reachable.  When the zone of this instance is cut off, missing
+        heartbeats of the lead are the first sign.
         """
         while not self.should_stop:
             await asyncio.sleep(_REACH_CHECK_INTERVAL_S)
@@ -272,7 +277,7 @@
     # Reading.
 
     def _on_appended(self, event: RecordsAppended) -> None:
-        """Apply what this instance appended, and have its peers apply it."""
+        """Apply records that this instance appended, and push them to peers."""
         rows = tuple(PushedRecord(r.key, r.value) for r in event.records)
         batch = PushedBatch(event.partition, event.offset, rows)
         digest = digest_batch(self.replica, batch) if self._is_lead() else None
@@ -283,7 +288,7 @@
         elif lead in self.replica.peers:
             self.bus.publish(SendToInstance(lead, RecordsPush((batch,))))
         else:
-            # Whoever leads next, one of these does; the others read the store.
+            # One of these most likely leads next; all others read the store.
             successors = line_of_succession(candidates(self.replica), lead)
             names = tuple(c.name for c, _ in successors[:_LIKELY_SUCCESSORS])
             self.bus.publish(SendToInstances(RecordsPush((batch,)), names))
@@ -294,21 +299,21 @@
             self._start_full_fetch()
         for batch in msg.batches:
             digest = digest_batch(self.replica, batch) if self._is_lead() else None
-            # While two instances take themselves for the lead, as when one was cut
-            # off, each hands on what the other does.  What is handed on only once
-            # does not go back and forth between them for ever.
+            # Two instances may consider themselves the lead, for example after one
+            # was cut off.  Each then forwards the other's records.  Forwarding only
+            # new ones keeps records from being sent back and forth for ever.
             if self._apply_batch(batch) and digest is not None:
                 self._fan_out.add(batch, digest)
 
     def _on_digest_push(self, msg: DigestPush) -> PassedOn:
-        """Apply what the lead says of records, and pass it on."""
+        """Apply digests sent by the lead, and relay them if requested."""
         if msg.relay_to:
             push = DigestPush(msg.batches)
             self.bus.publish(SendToInstances(push, msg.relay_to))
         if not self._holds_full_replica and boot_time() >= self._standby_until:
             for batch in msg.batches:
                 reader = self._readers.get(batch.partition)
-                # What is known whole is not known better by a digest.
+                # A digest must not replace a full record.
                 if reader and not reader.has_applied(batch.offset, batch.count):
                     reader.has_digests = True
                     for row in batch.rows:
@@ -316,10 +321,10 @@
                     reader.mark_applied(batch.offset, batch.count)
         return PassedOn()
 
-    # Holding all of each record.
+    # Full records in place of digests.
 
     async def _hold_full_replica(self, query: HoldFullReplica) -> None:
-        """Have all that a lead goes by, now and until its term is over."""
+        """Load the full records that a lead needs, and keep to them for its term."""
         self._holds_full_replica = True
         await self._fetch_full_records()
 
@@ -327,14 +332,14 @@
         self._holds_full_replica = False
 
     def _start_full_fetch(self) -> None:
-        """Read what is known as digests only, before this instance has to lead."""
+        """Start to replace digests by full records; this instance may have to lead."""
         under_way = self._full_fetch is not None and not self._full_fetch.done()
         if not under_way and any(r.has_digests for r in self._readers.values()):
             self._full_fetch = asyncio.create_task(self._fetch_full_records())
             self._full_fetch.add_done_callback(_LOG_FAILED_READ)
 
     async def _fetch_full_records(self) -> None:
-        """Read anew the partitions of which records are known as digests only."""
+        """Rebuild the partitions that hold records as digests only."""
         readers = self._readers.values()
         await asyncio.gather(
             *(self._fetch_full_partition(reader) for reader in readers)
@@ -346,19 +351,19 @@
                 await self._rebuild_now(reader)
 
     def _is_lead(self) -> bool:
-        """Return whether this instance's is the newest lead that is known."""
+        """Return whether the newest lead on record is this incarnation."""
         lead = self.replica.lead
         return lead is not None and lead.incarnation == self.instance.incarnation
 
     def _apply_batch(self, batch: PushedBatch) -> bool:
-        """Apply records that came otherwise than by reading.
+        """Apply records that were appended here or pushed by a peer.
 
-        Long polls of all instances at the store would be most of the calls to
-        it, which are priced, and would show callers a change 20 ms later in
-        the mean than a push does.  Whether a record was applied is known by its
-        offset, so that reading fills whatever was not pushed.
+        Without pushes all instances would long-poll the store.  These would be most
+        of the calls to it, which are priced, and callers would see a change 20 ms
+        later on average.  Offsets tell which records were applied, so that reads
+        fill in those that were not pushed.
 
-        :return: whether any of them was new here.
+        :return: whether any of the records was new to this instance.
         """
         for offset, record in enumerate(batch.records, batch.offset):
             self._apply(batch.partition, offset, record.key, record.value)
@@ -372,8 +377,8 @@
 
     async def _replica_age(self, query: ReplicaAge) -> float:
         stale = [r for r in self._readers.values() if r.age_s() > query.refresh_after_s]
-        # A partition that does not answer is tried anyway, and one that is read
-        # from the start takes longer: another reading would cost and tell nothing.
+        # A partition that does not answer is retried in any case, and a rebuild
+        # takes longer than this query may: another read would only cost a call.
         if (
             stale
             and self._reachable
@@ -408,8 +413,8 @@
                 self._set_reachable(reader, True)
                 await self._wait_for_next_read(reader)
             except LogTrimmedError:
-                # Records expired unread, for example after a long cut.  The
-                # newest record of each key is kept all the same.
+                # Records expired unread, for example after a long disconnection.
+                # The store still has the newest record of each key.
                 log("replica.trimmed", level="warning", at=reader.next_offset)
                 reader.is_complete = False
             except FirhookError as exc:
@@ -418,19 +423,19 @@
 
     @staticmethod
     async def _wait_for_next_read(reader: _Reader) -> None:
-        """Wait until it is time to read again, or until a gap stays open.
+        """Wait until the next read is due, requested, or a gap persists.
 
-        Pushes of many instances overtake each other all the time, and close the
-        gap that they seemed to leave a moment later.  Read at each of these, the
-        store got 26 calls a second from each of 33 instances in place of 5.
+        Pushes of many instances overtake each other all the time, so that most gaps
+        close a moment later.  With a read for each of them, the store received 26
+        calls a second from each of 33 instances instead of 5.
         """
         until = boot_time() + reader.interval_s
         while until - boot_time() > _GAP_TIMEOUT_S:
             if not reader.has_gap and not reader.read_requested:
                 reader.wake.clear()
             try:
-                # Unlike wait_for, this does not lose a cancelling that comes in the
-                # moment in which the gap does.
+                # Unlike wait_for, this does not lose a cancellation that arrives at
+                # the same moment as the event.
                 async with asyncio.timeout(until - boot_time()):
                     await reader.wake.wait()
             except TimeoutError:
@@ -458,17 +463,17 @@
         )
 
     async def _rebuild(self, reader: _Reader) -> None:
-        """Read the newest record of each key, unless that was done meanwhile.
+        """Load the newest record of each key, unless that was done meanwhile.
 
-        At a start several ask for it at once, and each page takes half a core
-        50 ms, before which nobody is served.
+        At the start of an instance several tasks request this at once.  Each page
+        takes 50 ms on half a core, and nothing else is served in that time.
         """
         async with reader.rebuilding:
             if not reader.is_complete and not await self._copy_from_peer(reader):
                 await self._rebuild_now(reader)
 
     async def _copy_from_peer(self, reader: _Reader) -> bool:
-        """Have a strong peer tell what callers may ask; return whether one did."""
+        """Copy a partition as digests from a strong peer; return whether it worked."""
         if self._holds_full_replica:
             return False
 
@@ -483,7 +488,7 @@
         return True
 
     def _mark_rebuilt(self, reader: _Reader, listed: set[str], end: int) -> None:
-        """Take note that all keys of a partition are known as of an offset."""
+        """Record that all keys of a partition are known up to an offset."""
         for job_id in self.replica.complete(reader.number, listed, end):
             self.bus.publish(JobChanged(job_id))
         reader.advance(end)
@@ -497,7 +502,7 @@
         return build_copy_reply(self.replica, msg, reader.next_offset)
 
     async def _rebuild_now(self, reader: _Reader) -> None:
-        # Digests that come meanwhile may say more than the pages.
+        # Digests that arrive meanwhile may be newer than the pages.
         had_digests, reader.has_digests = reader.has_digests, False
         try:
             newest = await self.store.newest(CELL_TOPIC, reader.number)
@@ -516,18 +521,18 @@
         )
 
     async def _read(self, reader: _Reader) -> int:
-        """Read on once, and return how many records are left to read."""
+        """Read once from the next offset; return the number of records still unread."""
         sent_at = boot_time()
         call = self._reach.sent(reader.number, sent_at)
         reading = self.store.read(CELL_TOPIC, reader.number, reader.next_offset)
-        # A call that hangs would hide for a second that the store is back.
+        # A hanging call would hide for a second that the store is reachable again.
         timeout_s = None if self._reachable else 2 * self._reach.limit_s()
         try:
             async with asyncio.timeout(timeout_s):
                 part = await reading
         except TimeoutError as exc:
             self._reach.failed(reader.number, call)
-            raise LogUnavailableError("no answer to a read") from exc
+            raise LogUnavailableError("read from the store timed out") from exc
         except LogTrimmedError:
             self._reach.answered(reader.number, call, boot_time())
             raise
@@ -554,8 +559,8 @@
     ) -> None:
         """Apply a record.
 
-        :param recent: whether it may have been written just now, and so tells
-            that the lead which wrote it lives.
+        :param is_recent: whether it may have been written just now, which shows that
+            the lead that wrote it is alive.
         """
         try:
             job_id = self.replica.apply(offset, key, value, partition)
@@ -568,7 +573,7 @@
             self._publish_lead_record(key, job_id)
 
     def _publish_lead_record(self, key: str, job_id: str | None) -> None:
-        """Say that a lead lives, if a record is one that only leads write."""
+        """Publish that a lead is alive if only leads write this kind of record."""
         lead = self.replica.lead
         if key == LEAD_KEY and lead is not None:
             self.bus.publish(LeadRecordSeen(lead.epoch, lead.version))
@@ -589,8 +594,8 @@
         )
 
     async def _catch_up_partition(self, reader: _Reader) -> None:
-        # A reading that is under way may have been answered before the record
-        # that the asker is after; so the asker waits for the next one.
+        # A read that is under way may have been answered before the record that
+        # the requester expects was appended, so a read that starts later is awaited.
         under_way = self._catching_up.get(reader.number)
         if under_way is not None:
             await asyncio.wait({under_way})
@@ -601,19 +606,19 @@
         await asyncio.shield(self._catching_up[reader.number])
 
     async def _read_to_current_end(self, reader: _Reader) -> None:
-        """Read to the end that the log has now.
+        """Read a partition to the current end of the log.
 
-        Records may expire between the newest ones and what follows them.  That
-        says nothing of any job; told as it is, a caller would take it for "no
-        such job", which has the same status.
+        Records may expire between the read of the newest ones and the read of those
+        that follow.  That error must not reach callers: its HTTP status is that of
+        "no such job", although it says nothing about any job.
         """
         for _ in range(_MAX_REBUILDS):
             try:
                 if not reader.is_complete:
                     await self._rebuild(reader)
                 left = await self._read(reader)
-                # What is written from here on is not waited for: on a thin link
-                # a busy cell writes about as fast as it can be read.
+                # Records appended from here on are not awaited: over a slow link a
+                # busy cell appends about as fast as records can be read.
                 end = reader.next_offset + left
                 while reader.next_offset < end:
                     await self._read(reader)
@@ -622,19 +627,19 @@
                 log("replica.trimmed", level="warning", at=reader.next_offset)
                 reader.is_complete = False
         raise LogUnavailableError(
-            "the log expires faster than it is read", retry_after_s=STORE_DOWN_RETRY_S
+            "records expire faster than they are read", retry_after_s=STORE_DOWN_RETRY_S
         )
 
     # Appending.
 
     async def _append_record(self, query: AppendRecord) -> int:
-        """Append a record, repeating it until an answer comes or time is up.
+        """Append a record, repeating the append until an answer or the time limit.
 
-        Load: the store is away without a word, from all or from this instance.
-        Harm: an append that gets no answer leaves the caller with neither a yes
-        nor a no, and most callers do not dare to submit again after that.  Not
-        sent at all, it can be refused truly and at once, with the time to come
-        back; the lead, which reaches the store, may append it even so.
+        The store may stop answering, for all instances or for this one.  An append
+        without an answer leaves the caller with an unknown outcome, and most callers
+        do not dare to submit again after that.  A record that was never sent can be
+        refused at once, with a retry delay.  The lead, if it reaches the store, may
+        append the record instead.
         """
         pending = PendingAppend(query.record, query.until)
         try:
@@ -658,13 +663,13 @@
         return await pending.done
 
     def _should_use_lead(self) -> bool:
-        """Return whether records are to go through the lead, and one is heard."""
+        """Return whether to append through the lead; ``False`` if none is reachable."""
         if self._lead_is_silent:
             return False
         return self._route.through_lead(boot_time(), self._reach.answered_at)
 
     async def _relay_or_fail(self, pending: PendingAppend) -> None:
-        """End the wait for a store that is out of reach."""
+        """Have the lead append a record, or fail it, as the store is unreachable."""
         left_s = pending.until - boot_time()
         try:
             reply = await self._relay(pending, min(_RELAY_TIMEOUT_S, left_s))
@@ -674,15 +679,14 @@
             pending.resolve(reply.offset)
         pending.fail(
             LogUnavailableError(
-                "the store is out of reach", retry_after_s=_OTHER_INSTANCE_RETRY_S
+                "the store is unreachable", retry_after_s=_OTHER_INSTANCE_RETRY_S
             )
         )
 
     async def _append_through_lead(self, pending: PendingAppend) -> None:
-        """Have the lead append a record with those of other instances.
+        """Have the lead append a record together with those of other instances.
 
-        An append of this instance that is under way may still be the first to
-        settle it.
+        An append by this instance that is already under way may finish first.
         """
         left_s = pending.until - boot_time()
         if left_s < _MIN_RELAY_S:
@@ -718,10 +722,10 @@
     ) -> AppendReply | None:
         """Have the lead append a record; return ``None`` if it did not.
 
-        The record is open until the lead says so: an append of this instance that
-        is refused meanwhile does not mean that it was not recorded.
+        The record stays unresolved until the lead answers: a refused append by this
+        instance does not mean that the lead did not store the record.
 
-        :raises LogOutcomeUnknownError: if the lead did not say.
+        :raises LogOutcomeUnknownError: if the lead does not answer.
         """
         lead = await self.bus.ask(LiveLead())
         if not lead:
@@ -745,7 +749,7 @@
         return reply
 
     async def _serve_append(self, msg: AppendAsk) -> AppendReply:
-        """Append for an instance that the store turns away, or whose appends wait."""
+        """Append for an instance that the store refuses, or whose appends are slow."""
         if not self._reachable:
             return AppendReply(False)
         record = KeyedRecord(msg.record.key, msg.record.value)
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -1,4 +1,4 @@
-"""What callers are told of jobs, from here or from an instance that knows."""
+"""Answers callers' queries about jobs from the replica or from a peer's."""
 
 import asyncio
 import math
@@ -27,32 +27,34 @@
 )
 from firhook.services._members import candidates
 
-#: The oldest replica that is counted.  Callers may be told a count that is two
-#: seconds old, and a peer's count is on its way for ``_ASK_S`` at most.
+#: The oldest replica from which waiting jobs are counted.  A count may be up to two
+#: seconds old when the caller receives it, of which a peer's count may spend
+#: ``_ASK_TIMEOUT_S`` on its way.
 _MAX_PENDING_AGE_S = 1.0
-#: How long a replica that is older may be read on for one count.
+#: Time limit for refreshing an older replica for one count.
 _REFRESH_TIMEOUT_S = 0.4
-#: How long peers are asked.  It is more than ``_READ_ON_S``, which a peer may take.
+#: Time limit for asking peers; longer than ``_REFRESH_TIMEOUT_S``, which a peer may
+#: take.
 _ASK_TIMEOUT_S = 0.6
-#: A peer that has not answered by then is not waited for alone.
+#: After this time without an answer the next peer is asked in parallel.
 _HEDGE_DELAY_S = 0.15
-#: The oldest replica that tells where a job stands: the partitions that are read
-#: least often are read every two seconds.
+#: The oldest replica from which the status of a job is answered.  The partitions
+#: that are read least often are read every two seconds.
 _MAX_STATUS_AGE_S = 2.5
-#: How long the log is read for one question about a job that is not known.
+#: Time limit for reading the log for one query about an unknown job.
 _CATCH_UP_TIMEOUT_S = 1.0
-#: When callers should come back if nobody can tell.
+#: Retry delay for callers if no instance can answer.
 _RETRY_S = 1.0
 
 R = TypeVar("R")
 
 
 class Lookups:
-    """Answers from the replica if it is new enough, else from a peer's.
+    """Answers queries from the replica if it is recent enough, else from a peer's.
 
-    Load: all instances start at once, some on links that the cell's records fill
-    for seconds.  Harm: a replica that is not whole knows few of the jobs; it would
-    tell a count far too low, or keep callers waiting for a job until it is read.
+    When all instances start at once, the cell's records fill the links of some for
+    seconds.  An incomplete replica holds few of the jobs: its count would be far too
+    low, and callers would wait for the status of a job until it is read.
     """
 
     def __init__(self, service: InstanceService) -> None:
@@ -62,17 +64,17 @@
         self._meters = service.meters
 
     def register_handlers(self) -> None:
-        """Answer the peers' questions."""
+        """Register the handlers of queries from peers."""
         self._bus.publish(RegisterMessageHandler(PendingAsk, self._serve_pending))
         self._bus.publish(RegisterMessageHandler(JobAsk, self._serve_job))
 
-    # How many jobs wait.
+    # Number of waiting jobs.
 
     async def pending(self, queue: Queue, until: float) -> int:
         """Return how many jobs of a queue wait for their first start.
 
-        :param until: on the boot clock, until when the caller can wait.
-        :raises NotReadyError: if neither this instance nor a peer can tell.
+        :param until: time on the boot clock until which the caller can wait.
+        :raises NotReadyError: if neither this instance nor a peer can answer.
         """
         try:
             reply = await self._count_pending(queue.address)
@@ -83,7 +85,9 @@
             kind = "peer" if reply else "refused"
         self._meters.count("pending_answers", kind)
         if reply is None:
-            raise NotReadyError("no replica is new enough", retry_after_s=_RETRY_S)
+            raise NotReadyError(
+                "no instance has a recent enough replica", retry_after_s=_RETRY_S
+            )
         log(
             "pending.answered",
             queue=queue.name,
@@ -96,16 +100,18 @@
     async def _count_pending(self, address: str) -> PendingReply:
         age_s = await self._bus.ask(ReplicaAge(_MAX_PENDING_AGE_S, _REFRESH_TIMEOUT_S))
         if age_s > _MAX_PENDING_AGE_S:
-            raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
+            raise NotReadyError(
+                "the replica is not recent enough", retry_after_s=_RETRY_S
+            )
         return PendingReply(self._replica.pending(address), age_s)
 
     async def _serve_pending(self, msg: PendingAsk) -> PendingReply:
         return await self._count_pending(msg.queue)
 
-    # Where a job stands.
+    # Status of a job.
 
     def find_job(self, queue: Queue, team: str, job_id: str) -> JobView | None:
-        """Return a job of a queue and a team, if the replica has it."""
+        """Return a job of a queue and a team, or ``None`` if the replica lacks it."""
         job = self._replica.find(job_id)
         if job is None or job.accepted is None:
             return None
@@ -116,18 +122,18 @@
     async def status(
         self, queue: Queue, team: str, job_id: str, until: float
     ) -> JobStatus:
-        """Return where a job stands.
+        """Return the status of a job.
 
-        It may have been accepted by another instance a moment ago; so "no such
-        job" is said only by one that has read the log to the end that it has now.
-        If no instance has a new replica, as while the store is away, a job that is
-        known stands where it did when the log was last read.
+        Another instance may have accepted the job a moment ago, so "no such job" is
+        answered only after a read to the current end of the log.  If no instance has
+        a recent replica, for example while the store is unavailable, the status of a
+        known job is the one in the replica.
 
-        :param until: on the boot clock, until when the caller can wait.
+        :param until: time on the boot clock until which the caller can wait.
         :raises JobGoneError: if there is no such job.
-        :raises JobIdTakenError: if it came to nothing, as its id was submitted by
-            another team or to another queue a moment before.
-        :raises NotReadyError: if neither this instance nor a peer can tell.
+        :raises JobIdTakenError: if the submission lost to an earlier one of the same
+            id by another team or to another queue.
+        :raises NotReadyError: if neither this instance nor a peer can answer.
         """
         age_s = await self._bus.ask(ReplicaAge())
         job = self.find_job(queue, team, job_id)
@@ -148,21 +154,23 @@
         if job is not None and is_complete:
             self._meters.count("status_answers", "old_replica")
             return job.status
-        # A log that is short is read within the time that callers wait.
+        # A short log can be read to its end while the caller waits.
         if not is_complete and await self._catch_up(until):
             return self._local_status(queue, team, job_id)
         self._meters.count("status_answers", "refused")
-        raise NotReadyError("no replica is new enough", retry_after_s=_RETRY_S)
+        raise NotReadyError(
+            "no instance has a recent enough replica", retry_after_s=_RETRY_S
+        )
 
     def _local_status(self, queue: Queue, team: str, job_id: str) -> JobStatus:
-        """Return where a job stands by a log that was read to its end just now."""
+        """Return the status of a job after the log was read to its end."""
         job = self.find_job(queue, team, job_id)
         if job is None:
             raise JobGoneError(job_id)
         return job.status
 
     async def _catch_up(self, until: float = math.inf) -> bool:
-        """Read to the end that the log has now; return whether that was done."""
+        """Read to the current end of the log; return whether that succeeded."""
         reading = self._bus.ask(CatchUp(CALLERS_PARTITIONS))
         try:
             async with asyncio.timeout(min(_CATCH_UP_TIMEOUT_S, until - boot_time())):
@@ -176,10 +184,14 @@
         age_s = await self._bus.ask(ReplicaAge())
         job = self._replica.find(msg.job_id)
         if age_s > _MAX_STATUS_AGE_S and not (job and _has_final_state(job)):
-            raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
+            raise NotReadyError(
+                "the replica is not recent enough", retry_after_s=_RETRY_S
+            )
         if job is None:
             if not await self._catch_up():
-                raise NotReadyError("the replica lags", retry_after_s=_RETRY_S)
+                raise NotReadyError(
+                    "the replica is not recent enough", retry_after_s=_RETRY_S
+                )
             job = self._replica.find(msg.job_id)
         if job is None or job.accepted is None:
             return JobReply(False)
@@ -191,10 +203,11 @@
     async def _ask(
         self, message: Any, reply: type[R], until: float
     ) -> tuple[str, R | None]:
-        """Ask peers; return who answered and what, or ``None``.
+        """Ask peers; return the name of the one that answered and its answer.
 
-        The next one is asked beside those that have not answered after a while: the
-        first may be gone, or its link may be full.
+        The answer is ``None`` if no peer gave one in time.  Requests are hedged: if a
+        peer does not answer soon, the next one is asked as well, since the first may
+        be gone or its link may be saturated.
         """
         lead = await self._bus.ask(LiveLead())
         names = whom_to_ask(self._name, lead, candidates(self._replica))
@@ -230,10 +243,10 @@
 
 
 def _has_final_state(job: JobView) -> bool:
-    """Return whether the lead stored an end, after which nothing changes."""
+    """Return whether the lead stored that the job ended, which is final."""
     return job.state is not None and job.state.status.ended
 
 
 def _belongs_to(queue: Queue, team: str, address: str, owner: str) -> bool:
-    """Return whether a job with this address and owner is one of the caller's."""
+    """Return whether a job of this queue address and owner is visible to the team."""
     return address == queue.address and (queue.anonymous or owner == team)
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -1,4 +1,4 @@
-"""Who the other instances are."""
+"""Registration and discovery of the instances of a cell."""
 
 import asyncio
 import math
@@ -18,20 +18,20 @@
 from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed
 from firhook.services._events import CALLERS_PARTITIONS, AppendRecord, ReplicaAge
 
-#: How long one try to register may take.
+#: Timeout of one attempt to register.
 _REGISTER_TIMEOUT_S = 2.0
-#: Between tries when the store does not answer.
+#: Delay between attempts while the store does not answer.
 _RETRY_S = 0.2
-#: How often it is looked whether everything was read.
+#: Interval between checks whether all partitions were read.
 _CHECK_INTERVAL_S = 0.05
 
 
 async def read_members(store: Store, replica: Replica) -> int:
-    """Read the records of instances alone; return where their first partition ends.
+    """Read only the records of instances; return the end of their first partition.
 
-    Load: an instance starts on a link that the records of jobs fill for seconds.
-    Harm: until all of these are read it would have no way to its peers, and could
-    ask none of them for what it does not know yet.
+    The records of jobs fill the link of a starting instance for seconds.  If it had
+    to read all of these first, it would not know its peers and could not ask them for
+    what it has not read yet.
 
     :raises FirhookError: if the store cannot be read.
     """
@@ -39,7 +39,8 @@
     try:
         await _read_range(store, replica, second)
     except FirhookError as exc:
-        # Few lie there: those that registered while the first one was slow or away.
+        # It holds only instances that registered while the first partition was
+        # slow or unavailable.
         log("members.not_read", level="warning", partition=second, error=exc.detail)
     return await _read_range(store, replica, first)
 
@@ -55,9 +56,9 @@
 
 
 class Registration:
-    """Tells the other instances of this one, and of when it has read everything.
+    """Registers this instance, and updates the record once the replica is complete.
 
-    :param address: where it listens for its peers.
+    :param address: address at which this instance listens for its peers.
     """
 
     def __init__(self, service: InstanceService, address: str) -> None:
@@ -65,7 +66,7 @@
         self._address = address
 
     async def run(self) -> None:
-        """Register, and again once everything was read."""
+        """Register, and register again once all partitions were read."""
         reading = await self._is_reading()
         await self._register(reading)
         if not reading:
@@ -100,10 +101,10 @@
                 await asyncio.sleep(_RETRY_S)
 
     async def unregister(self) -> None:
-        """Tell the others that this instance answers no more questions soon.
+        """Delete the registration, as this instance soon stops answering its peers.
 
-        Its records may lie on several partitions, and each of them would keep it
-        listed.
+        Its records may lie on several partitions, and any of them would keep the
+        instance listed.
         """
         key = PEER_PREFIX + self._service.settings.name
         record = KeyedRecord(key, None)
@@ -119,7 +120,7 @@
 
 
 def candidates(replica: Replica) -> list[Candidate]:
-    """Return the registered instances, as those that may lead or be asked."""
+    """Return the registered instances as candidates to lead or to be asked."""
     return [
         Candidate(peer.name, peer.zone, peer.strength)
         for peer in replica.peers.values()
--- a/src/firhook/services/_mesh.py
+++ b/src/firhook/services/_mesh.py
@@ -1,4 +1,4 @@
-"""The instances of the cell, and messages between them."""
+"""Messages between the instances of the cell."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,24 +25,24 @@
 )
 from firhook.services._members import Registration, read_members
 
-#: Between tries when the store does not answer.
+#: Delay between attempts while the store does not answer.
 _RETRY_S = 0.2
-#: How often the peers in the replica are compared with the connections.
+#: Interval between comparisons of the connections with the peers in the replica.
 _UPDATE_INTERVAL_S = 0.25
-#: A connection over which nothing was sent for so long is closed.
+#: A connection over which nothing was sent for this time is closed.
 _IDLE_TIMEOUT_S = 20.0
 
 
 @register_service("mesh")
 class MeshService(InstanceService):
-    """Finds the other instances through the cell's records, and talks to them.
+    """Finds the other instances through the cell's records and connects to them.
 
-    All instances share one CURVE key pair, which the first of them writes to
-    the cell's topic: only who can read the platform's store can speak to them.
+    All instances share one CURVE key pair, which the first of them appends to the
+    cell's topic: only processes that can read the platform's store can connect.
     """
 
     def wire(self) -> None:
-        """Offer questions to peers."""
+        """Register the handlers of queries and events."""
         self._mesh: Mesh | None = None
         self._registration: Registration | None = None
         self._handlers: dict[type, Callable[[Any], Any]] = {}
@@ -68,12 +68,12 @@
         return [address for address in found if address is not None]
 
     def _connect_to(self, name: str) -> str | None:
-        """Return the address of a peer that is connected to; ``None`` if unknown.
+        """Connect to a peer and return its address, or ``None`` if it is unknown.
 
-        Load: 97 instances.  Harm: connected to each other at all times they keep
-        9,300 connections alive, with ten times as many messages as they have to
-        send; and set all of them up at once when they start.  Most speak with the
-        lead and with one or two others.
+        Connections are opened on demand, as most instances exchange messages only
+        with the lead and one or two others.  97 instances that are all connected to
+        each other keep 9,300 connections alive, which takes ten times as many messages
+        as they have to send, and they open all of them at once when they start.
         """
         address = self._peer_addresses.get(name)
         if self._mesh is None or address is None:
@@ -91,7 +91,7 @@
         self._handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
-        """Begin to look for peers."""
+        """Start to look for peers."""
         self.add_future(self._run())
 
     async def _run(self) -> None:
@@ -109,7 +109,7 @@
             await asyncio.sleep(_UPDATE_INTERVAL_S)
 
     async def _read_or_create_keys(self) -> MeshKeys:
-        """Return the cell's key pair; the first instance makes it."""
+        """Return the cell's key pair; the first instance creates it."""
         while True:
             try:
                 end = await read_members(self.store, self.replica)
@@ -120,8 +120,8 @@
                 public, secret = zmq.curve_keypair()
                 created = MeshKeys(public.decode(), secret.decode())
                 record = KeyedRecord(MESH_KEY, encode_record(created))
-                # Of several instances that start at once, one makes the pair:
-                # the append holds only if nothing was written since the read.
+                # Of several instances that start at once only one creates the pair:
+                # the store refuses the append if the partition grew since the read.
                 await self.store.append(
                     CELL_TOPIC,
                     CALLERS_PARTITIONS[0],
@@ -133,7 +133,7 @@
                 await asyncio.sleep(_RETRY_S)
 
     def _update_connections(self) -> None:
-        """Go by the peers that are registered now, and leave those not spoken with."""
+        """Take over the registered peers, and close moved and idle connections."""
         assert self._mesh is not None
         wanted = {
             peer.name: peer.address
@@ -151,13 +151,13 @@
     async def _ask(self, query: AskInstance) -> Any:
         address = self._connect_to(query.peer)
         if self._mesh is None or address is None:
-            raise PeerUnreachableError(f"{query.peer}: not known", ran="no")
+            raise PeerUnreachableError(f"{query.peer}: unknown instance", ran="no")
         return await self._mesh.ask(address, query.body, query.timeout_s)
 
     def _dispatch(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
         if handler is None:
-            raise FrameMalformedError(f"{type(msg).__name__}: nobody serves it")
+            raise FrameMalformedError(f"{type(msg).__name__}: no handler is registered")
         return handler(msg)
 
     async def on_stop(self) -> None:
--- a/src/firhook/services/_metrics.py
+++ b/src/firhook/services/_metrics.py
@@ -19,14 +19,14 @@
 from firhook.logs import log
 from firhook.services._events import ReplicaAge
 
-#: The port that the deploy file names.
+#: The metrics port that the deployment declares.
 METRICS_PORT = 9464
 _PATH = "/metrics"
 _QUANTILES = (50.0, 90.0, 99.0, 100.0)
 
 
 class _Collector(Collector):
-    """Reads the counters when they are asked for."""
+    """Collects the metrics of an instance at each scrape."""
 
     def __init__(self, instance: Instance, replica_age_s: float) -> None:
         self._instance = instance
@@ -75,20 +75,20 @@
 
 @register_service("metrics")
 class Metrics(InstanceService):
-    """The metrics' port."""
+    """Serves the metrics endpoint."""
 
     def wire(self) -> None:
-        """Begin without a socket."""
+        """Initialize without a listening socket."""
         self._runner: web.ServerRunner | None = None
 
     async def on_started(self) -> None:
-        """Listen."""
+        """Listen on the metrics port."""
         self._runner = web.ServerRunner(web.Server(self._serve, access_log=None))
         await self._runner.setup()
         try:
             sock = listening_socket(self.settings.ip, METRICS_PORT)
         except AddressUnusableError as exc:
-            # An instance without metrics serves; one that ended here would not.
+            # An instance can serve callers without metrics, so this is not fatal.
             log("metrics.unavailable", level="error", error=str(exc))
             return
         await web.SockSite(self._runner, sock).start()
--- a/src/firhook/services/_operator.py
+++ b/src/firhook/services/_operator.py
@@ -1,4 +1,4 @@
-"""Follows what operators write: the configuration and waves of maintenance."""
+"""Follows the configuration that operators write."""
 
 import asyncio
 
@@ -17,12 +17,13 @@
 )
 from firhook.services._topic import TopicReader
 
-#: How long the store may wait with its answer for a change.  A reading counts
-#: from when it was sent, so that keys are known as of two seconds ago at worst.
+#: Time for which the store may hold a read until there is a change.  The age of the
+#: configuration counts from when the read was sent, so that known keys are at most
+#: two seconds old.
 _POLL_TIMEOUT_S = 1.0
-#: Between tries when the store does not answer.
+#: Delay between attempts while the store does not answer.
 _RETRY_S = 0.15
-#: A configuration that was read so long ago is asked for at the lead: it is read
+#: A configuration older than this is requested from the lead.  Normally it is read
 #: about once a second.
 _MAX_CONFIG_AGE_S = 1.5
 _AGE_CHECK_INTERVAL_S = 0.5
@@ -34,12 +35,12 @@
     """Keeps the configuration up to date."""
 
     def wire(self) -> None:
-        """Begin with nothing read."""
+        """Initialize without a configuration."""
         self._reader = TopicReader(self.store, OPERATOR_TOPIC, _POLL_TIMEOUT_S)
         self._raw_config = b""
 
     async def on_started(self) -> None:
-        """Begin to follow."""
+        """Start to follow the topic of operators."""
         self.bus.publish(RegisterMessageHandler(ConfigAsk, self._serve_config))
         self.add_future(self._follow())
         self.add_future(self._refresh_through_lead())
@@ -53,11 +54,11 @@
         return ConfigReply(age_s, self._raw_config if newer else b"")
 
     async def _refresh_through_lead(self) -> None:
-        """Read the configuration through the lead while the store answers nothing.
+        """Get the configuration from the lead while the store does not answer.
 
-        Load: the store turns this instance away and serves the others.  Harm:
-        after some seconds keys may have been withdrawn unseen, so that every
-        caller would be refused for as long as that lasts.
+        The store may refuse this instance and serve the others.  After some seconds
+        keys may have been withdrawn without notice, so that every caller would have
+        to be refused until the store answers again.
         """
         while not self.should_stop:
             await asyncio.sleep(_AGE_CHECK_INTERVAL_S)
@@ -82,8 +83,8 @@
             return
         if reply.raw:
             self._apply(reply.raw)
-        # The lead's reading was sent so long before it answered, which was not
-        # before it was asked.
+        # The age counts back from the lead's answer, which was sent no earlier than
+        # the request.
         view.read_at = max(view.read_at, asked_at - reply.age_s)
 
     async def _follow(self) -> None:
@@ -105,11 +106,10 @@
             view.read_at = max(view.read_at, sent_at)
 
     def _apply(self, raw: bytes) -> None:
-        """Put a configuration in force, unless it is an older one.
+        """Apply a configuration unless it is not newer than the current one.
 
-        A version never goes back in one life of the process, from whatever
-        source: a caller who has seen the effect of a version would see it
-        undone.
+        Whatever its source, the version never decreases within an incarnation: a
+        caller that has seen the effect of a version would see it undone.
         """
         view = self.instance.config
         try:
--- a/src/firhook/services/_retention.py
+++ b/src/firhook/services/_retention.py
@@ -1,4 +1,4 @@
-"""Dropping the records of jobs that ended long ago."""
+"""Deletes the records of jobs whose retention time is over."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,10 +11,10 @@
 
 DeleteKeys = Callable[[int, list[str]], Awaitable[bool]]
 
-#: Ended jobs are kept for so many times as long as is promised, since their
-#: submissions may be repeated late, and would run again once they are forgotten.
+#: Ended jobs are kept this many times as long as callers may query them, since a
+#: submission that is repeated late would run again once its record is deleted.
 _RETENTION_FACTOR = 3
-#: How often some of the older ones are forgotten, and how many.
+#: Interval between deletions, and the number of jobs deleted at once.
 _INTERVAL_S = 5.0
 _BATCH_JOBS = 200
 
@@ -25,15 +25,15 @@
     delete: DeleteKeys,
     on_deleted: Callable[[str], None],
 ) -> None:
-    """Drop the records of jobs that ended long ago, some at a time.
+    """Delete the records of expired jobs in batches, until cancelled.
 
-    The store keeps the newest record of each key for good, and refuses to take
-    any more once it is full.
+    The store keeps the newest record of each key for ever, and refuses appends once
+    it is full.
 
-    :param status_s: how long callers may ask for a job that has ended.
-    :param drop: drops keys on one partition; returns whether the store took it.
-    :param forgotten: called with a job's id once its submission is dropped.
-        Without that its state means nothing, so that the state goes last.
+    :param status_s: time after its end for which callers may query a job.
+    :param delete: deletes keys on one partition; returns whether the store did so.
+    :param on_deleted: called with the id of a job once its submission is deleted.
+        Its state has no meaning without the submission, so it is deleted last.
     """
     retention_s = status_s * _RETENTION_FACTOR
     while True:
@@ -54,9 +54,9 @@
 async def _delete_everywhere(
     replica: Replica, keys: list[str], delete: DeleteKeys
 ) -> None:
-    """Drop keys on each partition that holds them, the newest version last.
+    """Delete keys on each partition that holds them, the newest version last.
 
-    An older version must not be what is left of a key if a partition is away.
+    If a partition is unavailable, no older version of a key must outlive the newest.
     """
     left = {key: replica.partitions_of(key) for key in keys}
     while left := {key: numbers for key, numbers in left.items() if numbers}:
--- a/src/firhook/services/_topic.py
+++ b/src/firhook/services/_topic.py
@@ -1,13 +1,13 @@
-"""Reading on in a keyed topic of the platform."""
+"""Reads a keyed topic of the platform."""
 
 from firhook.errors import LogTrimmedError
 from firhook.platform.store import Store, StoredRecord
 
 
 class TopicReader:
-    """Reads the newest record of each key, and then what is added.
+    """Reads the newest record of each key first, and then the records that follow.
 
-    :param wait_s: how long the store may wait with its answer for a record.
+    :param wait_s: time for which the store may hold a read until a record arrives.
     """
 
     def __init__(self, store: Store, topic: str, wait_s: float) -> None:
@@ -17,10 +17,11 @@
         self._next_offset: int | None = None
 
     async def read(self) -> tuple[tuple[StoredRecord, ...], bool]:
-        """Return records, and whether they are all there are.
+        """Return records, and whether these are the newest records of all keys.
 
-        Only the newest record of each key is kept for good; after a long cut,
-        or when the store has forgotten its history, all are read anew.
+        The store keeps only the newest record of each key for ever.  After a long
+        disconnection, or when the store has dropped its history, all keys are read
+        again.
         """
         if self._next_offset is not None:
             try:
