--- a/tests/services/test_abandoned_requests.py
+++ b/tests/services/test_abandoned_requests.py
@@ -1,4 +1,4 @@
-"""Failures of work whose asker has left reach the log, and no one else."""
+"""Failures of work that nobody waits for any more are logged and not raised."""
 
 import asyncio
 import gc
@@ -14,22 +14,22 @@
 JOB = b'{"specification":"x","steps":[{"count":1,"millicpus":1000}]}'
 
 
-def play_unheard(play):
-    """Run a play in virtual time; return what the loop found that nobody heard."""
-    unheard = []
+def collect_loop_errors(scenario):
+    """Run a scenario in virtual time; return the errors that reached the loop."""
+    errors = []
 
     async def run():
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: unheard.append(context))
-        await play()
+        loop.set_exception_handler(lambda _, context: errors.append(context))
+        await scenario()
         gc.collect()
 
     run_virtual(run())
-    return unheard
+    return errors
 
 
 async def silent_store(cell, found, lasts_s):
-    """Have a store that took calls until now answer none, for a while."""
+    """Let the store leave calls unanswered for some seconds."""
     name = found.instance.settings.name
     cell.store.mode[name] = "silent"
     await pause(lasts_s)
@@ -37,7 +37,7 @@
 
 
 def abandoned(caplog):
-    """Return key and outcome of each append whose asker left."""
+    """Return the logged key and outcome of each abandoned append."""
     return [
         (record.key, record.outcome)
         for record in caplog.records
@@ -45,15 +45,15 @@
     ]
 
 
-def test_append_for_a_peer_that_waits_no_longer_leaves_no_unheard_failure(caplog):
-    """An instance without a store hands a job on to a lead whose store goes silent.
+def test_append_for_a_peer_that_stopped_waiting_leaves_no_unretrieved_exception(caplog):
+    """An instance relays a job to a lead whose store stops answering.
 
-    The caller is told that nobody knows.  What the lead learnt after that was an
-    error without a reader.
+    The caller gets the answer that the outcome is unknown.  The error that the lead
+    finds after that must be retrieved and logged.
     """
     job = f"{7:016x}"
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=3)
         await cell.begin()
         lead = cell.lead()
@@ -67,72 +67,70 @@
         await silence
         await pause(2.0)
 
-    assert play_unheard(play) == []
-    told = [r.key for r in caplog.records if r.message == "relay.unknown"]
-    assert told == [f"job/{job}"]
+    assert collect_loop_errors(scenario) == []
+    logged = [r.key for r in caplog.records if r.message == "relay.unknown"]
+    assert logged == [f"job/{job}"]
 
 
 @pytest.mark.parametrize(
-    ("mode", "leaves_after_s", "outcome"),
+    ("mode", "cancel_after_s", "outcome"),
     [("silent", 0.3, "unknown"), ("busy", 0.005, "not_sent")],
 )
-def test_append_whose_asker_left_is_tried_no_more_and_logged(
-    caplog, mode, leaves_after_s, outcome
+def test_abandoned_append_is_not_retried_and_is_logged(
+    caplog, mode, cancel_after_s, outcome
 ):
-    """An instance is stopped while it appends for a caller."""
+    """The instance stops while it appends for a caller."""
     record = KeyedRecord("cancel/x", b"\x01")
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=1, workers=0)
         await cell.begin()
         found = cell.lead()
         bus = found.instance.bus
         cell.store.mode["*"] = mode
-        asking = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 1.5)))
-        await pause(leaves_after_s)
-        asking.cancel()
-        await asyncio.wait({asking})
-        assert asking.cancelled()
+        request = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 1.5)))
+        await pause(cancel_after_s)
+        request.cancel()
+        await asyncio.wait({request})
+        assert request.cancelled()
         await pause(1.0)
         cell.store.mode.clear()
         await pause(3.0)
         parts = [cell.store.partition(CELL_TOPIC, number) for number in range(4)]
         assert not any("cancel/x" in part.newest for part in parts)
 
-    assert play_unheard(play) == []
+    assert collect_loop_errors(scenario) == []
     assert abandoned(caplog) == [("cancel/x", outcome)]
 
 
-def test_asker_that_leaves_as_its_append_fails_loses_no_failure(caplog):
-    """Both happen in one step of the loop, as at the stop of a busy instance."""
+def test_failure_of_an_append_that_is_abandoned_at_the_same_moment_is_logged(caplog):
+    """Both happen in one step of the loop, as when a busy instance stops."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=1, workers=0)
         await cell.begin()
         bus = cell.lead().instance.bus
         follower = cell.lead().instance.services["follower"]
         cell.store.mode["*"] = "silent"
         record = KeyedRecord("cancel/x", b"\x01")
-        asking = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 9.0)))
+        request = asyncio.create_task(bus.ask(AppendRecord(record, boot_time() + 9.0)))
         while not follower._own_appends.pending:
             await asyncio.sleep(0)
         follower._own_appends.pending[0].fail(LogOutcomeUnknownError("silent"))
-        asking.cancel()
-        await asyncio.wait({asking})
-        assert asking.cancelled()
+        request.cancel()
+        await asyncio.wait({request})
+        assert request.cancelled()
 
-    assert play_unheard(play) == []
+    assert collect_loop_errors(scenario) == []
     [(key, outcome)] = abandoned(caplog)
     assert key == "cancel/x"
     assert outcome.startswith("LogUnavailableError")
 
 
-def test_offer_of_the_lead_that_fails_is_logged(caplog):
-    """A lead that is told to stop offers the cell, which fails otherwise than
-    by a peer that does not answer.
-    """
+def test_failed_offer_of_the_lead_is_logged(caplog):
+    """A stopping lead offers the cell to a peer; the offer fails unexpectedly."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=2, workers=0)
         await cell.begin()
         lead = cell.lead().lead
@@ -144,6 +142,6 @@
         lead._offer("stopping", boot_time())
         await pause(0.1)
 
-    assert play_unheard(play) == []
+    assert collect_loop_errors(scenario) == []
     [failed] = [r for r in caplog.records if r.message == "lead.offer_failed"]
     assert "on purpose" in failed.error
--- a/tests/services/test_appends.py
+++ b/tests/services/test_appends.py
@@ -1,4 +1,4 @@
-"""What callers are told of records that go more than one way to the store."""
+"""Answers to callers whose records go to the store directly and through the lead."""
 
 import asyncio
 
@@ -12,28 +12,27 @@
 JOB_ID = f"{7:016x}"
 
 
-def other_than_lead(cell):
+def find_follower(cell):
     """Return an instance that does not lead, and its name."""
     name = next(n for n, i in cell.instances.items() if i is not cell.lead())
     return cell.instances[name], name
 
 
 def is_stored(cell, key):
-    """Return whether any partition of the cell's topic has a value of a key."""
+    """Return whether any partition of the cell's topic holds a value for a key."""
     parts = [cell.store.partition(CELL_TOPIC, number) for number in range(4)]
     return any(key in part.newest for part in parts)
 
 
 @pytest.mark.parametrize("after_s", [0.5 + i / 20 for i in range(12)])
 def test_job_that_the_lead_may_be_recording_is_not_refused(after_s):
-    """An instance that was turned away said "not run" of a job on its way to the lead.
+    """An instance's own append is refused while the lead still appends the record.
 
-    Its own append was refused while the lead had the record; the job ran all the
-    same.
+    If the instance answers "not run" then, the job runs nevertheless.
     """
 
-    async def scene(cell):
-        other, _ = other_than_lead(cell)
+    async def scenario(cell):
+        other, _ = find_follower(cell)
         cell.store.slow = 110.0
         await pause(after_s)
         cell.store.partly_down.add(1)
@@ -43,14 +42,14 @@
         stored = is_stored(cell, f"job/{JOB_ID}")
         assert status in ((200, 504) if stored else (503, 504)), body
 
-    play(scene, instances=3)
+    play(scenario, instances=3)
 
 
-def test_caller_is_answered_within_its_time_though_others_may_wait_longer():
-    """A record was given up only once the call before it, for others, had ended."""
+def test_caller_is_answered_by_its_deadline_though_others_may_wait_longer():
+    """A record must not expire only after the preceding call for others has ended."""
 
-    async def scene(cell):
-        other, name = other_than_lead(cell)
+    async def scenario(cell):
+        other, name = find_follower(cell)
         cell.cuts += [{name, peer} for peer in cell.instances if peer != name]
         cell.store.slow = 60.0
         await pause(2.0)
@@ -65,4 +64,4 @@
         assert status == 503
         await patient
 
-    play(scene, instances=3)
+    play(scenario, instances=3)
--- a/tests/services/test_copying.py
+++ b/tests/services/test_copying.py
@@ -1,4 +1,4 @@
-"""A weak instance learns of the cell's records from a strong one, over the model."""
+"""A weak instance copies the cell's records from a strong one, over the model."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 from standins.model import ModelCell, pause, run_virtual
 from tests.services.scenes import step
 
-#: Two strong ones in each of two zones, and two weak ones.
+#: Two strong instances and a weak one in each of two zones.
 STRENGTHS = {"i0": 2.0, "i1": 2.0, "i2": 2.0, "i3": 2.0, "i4": 0.5, "i5": 0.5}
 ZONES = {"i0": "za", "i1": "zb", "i2": "za", "i3": "zb", "i4": "za", "i5": "zb"}
-THIN_S = 9.0
+READ_ALL_S = 9.0
 
 
 async def _cell():
@@ -19,23 +19,23 @@
     return cell
 
 
-def _over_a_thin_link(cell, name):
-    """Have an instance read all records for so many seconds."""
+def _slow_down_link(cell, name):
+    """Limit a link so that reading all records takes ``READ_ALL_S``."""
     parts = [cell.store.partition(CELL_TOPIC, number) for number in range(4)]
     kept = [value for part in parts for _, value in part.newest.values()]
-    cell.store.link_bytes_s[name] = sum(map(len, kept)) / THIN_S
+    cell.store.link_bytes_s[name] = sum(map(len, kept)) / READ_ALL_S
 
 
 def test_weak_instance_is_ready_before_its_link_could_carry_all_records():
-    """Links of 5 Mbit/s carried for nine seconds what is of no use to callers."""
+    """Links of 5 Mbit/s carried records that callers do not need for nine seconds."""
 
-    async def play():
+    async def scenario():
         cell = await _cell()
         running, _ = await cell.submit([step(2)], work_s=20.0)
         ended, _ = await cell.submit([step(1)], work_s=0.2)
         await pause(1.0)
         cell.kill("i4")
-        _over_a_thin_link(cell, "i4")
+        _slow_down_link(cell, "i4")
         await cell.restart("i4")
         await pause(1.5)
         found = cell.instances["i4"]
@@ -44,20 +44,20 @@
         assert await cell.status(ended, found) == "completed"
         assert found.instance.replica.jobs[running].accepted.is_digest
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_strong_ones_do_not_wait_for_weak_ones_that_read_at_a_start_of_all():
-    """97 instances read at once what the store tells in four seconds."""
+def test_strong_instances_are_not_delayed_by_weak_ones_when_all_start():
+    """97 instances that read at once saturate the store for four seconds."""
 
-    async def play():
+    async def scenario():
         cell = await _cell()
         await cell.submit([step(2)], work_s=1.0)
         await pause(0.5)
         for name in STRENGTHS:
             cell.kill(name)
         for name in ("i4", "i5"):
-            _over_a_thin_link(cell, name)
+            _slow_down_link(cell, name)
         for name in STRENGTHS:
             await cell.restart(name)
         read_before = cell.store.wholly_read["i4"]
@@ -69,11 +69,11 @@
         await cell.all_done(20.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_without_a_strong_peer_that_answers_the_store_is_read():
-    async def play():
+def test_store_is_read_if_no_strong_peer_answers():
+    async def scenario():
         cell = await _cell()
         job, _ = await cell.submit([step(1)], work_s=0.2)
         await pause(1.0)
@@ -86,14 +86,14 @@
         assert await found.instance.services["callers"].ready()
         assert await cell.status(job, found) == "completed"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-@pytest.mark.parametrize("thin", [False, True])
-def test_weak_instance_that_copied_leads_when_all_strong_ones_are_lost(thin):
-    """It holds no tasks; it reads them, for longer than a takeover may take else."""
+@pytest.mark.parametrize("slow_links", [False, True])
+def test_weak_instance_that_copied_leads_when_all_strong_ones_are_lost(slow_links):
+    """It holds digests only and has to read the full records first."""
 
-    async def play():
+    async def scenario():
         cell = await _cell()
         jobs = [(await cell.submit([step(4)], work_s=25.0))[0] for _ in range(3)]
         await pause(1.0)
@@ -101,9 +101,9 @@
             cell.kill(name)
             await cell.restart(name)
         await pause(1.5)
-        if thin:
+        if slow_links:
             for name in ("i4", "i5"):
-                _over_a_thin_link(cell, name)
+                _slow_down_link(cell, name)
         for name in ("i0", "i1", "i2", "i3"):
             cell.kill(name)
         await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 20.0)
@@ -111,4 +111,4 @@
         await cell.all_done(60.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
--- a/tests/services/test_fenced_writer.py
+++ b/tests/services/test_fenced_writer.py
@@ -1,4 +1,4 @@
-"""The lead's appends, over the model's store."""
+"""Appends of the lead, over the model's store."""
 
 import asyncio
 
@@ -24,36 +24,36 @@
     ]
 
 
-def test_a_proof_beside_an_append_loses_nothing():
-    """An append's answer is lost while a proof under the same number is sent.
+def test_confirmation_concurrent_with_appends_loses_no_record():
+    """An append's answer is lost while a confirmation is sent under the same number.
 
-    Were the two not taken in turn, the store would take the next append for a
-    repeat of the lost one, and what was in it would be nowhere: a task that is
-    done would run again under the next lead.
+    If the two were not serialized, the store would take the next append for a repeat
+    of the lost one.  Its records would be lost, and a task that is done would run
+    again under the next lead.
     """
 
-    async def play():
+    async def scenario():
         store = ModelStore(seed=3)
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
         store.lost_share = 0.4
-        proving = asyncio.create_task(prove_often(writer))
+        confirming = asyncio.create_task(confirm_repeatedly(writer))
         names = [f"r{i}" for i in range(40)]
         for name in names:
             await writer.append([record(name)])
-        proving.cancel()
+        confirming.cancel()
         assert set(names) <= set(stored(store))
 
-    async def prove_often(writer):
+    async def confirm_repeatedly(writer):
         while True:
             await writer.confirm_epoch([])
             await pause(0.01)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_an_append_without_an_answer_is_stored_once():
-    async def play():
+def test_append_without_an_answer_is_stored_once():
+    async def scenario():
         store = ModelStore(seed=5)
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
@@ -67,11 +67,11 @@
             keys = [c[1 : 1 + c[0]] for c in part.records]
             assert len(keys) == len(set(keys))
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_what_an_old_lead_appends_is_refused_on_every_partition():
-    async def play():
+def test_appends_of_an_old_lead_are_refused_on_every_partition():
+    async def scenario():
         store = ModelStore()
         old = FencedWriter(store.client("old"), 1000, lambda sent_at: None)
         new = FencedWriter(store.client("new"), 2000, lambda sent_at: None)
@@ -83,28 +83,28 @@
                 await old.append([record("late")])
         assert stored(store) == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_only_an_answered_append_proves_the_lead():
-    async def play():
+def test_only_an_answered_append_confirms_the_epoch():
+    async def scenario():
         store = ModelStore()
-        proofs = []
-        writer = FencedWriter(store.client("i"), 1000, proofs.append)
+        confirmed_at = []
+        writer = FencedWriter(store.client("i"), 1000, confirmed_at.append)
         await writer.set_epoch()
-        proofs.clear()
+        confirmed_at.clear()
         store.mode["i"] = "silent"
         await writer.confirm_epoch([])
-        assert proofs == []
+        assert confirmed_at == []
         store.mode["i"] = "up"
         await writer.confirm_epoch([])
-        assert len(proofs) == 1
+        assert len(confirmed_at) == 1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_append_to_one_partition_is_not_taken_for_the_repeat_of_a_lost_one():
-    async def play():
+def test_append_to_one_partition_is_not_mistaken_for_the_repeat_of_a_lost_one():
+    async def scenario():
         store = ModelStore(seed=3)
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
@@ -120,13 +120,13 @@
         with pytest.raises(LogFencedError):
             await writer.append_to(2, [record("fourth")])
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_a_repeat_that_is_refused_does_not_swallow_the_next_append():
-    """An append's answer is lost, and its repeat is refused for the moment."""
+def test_refused_repeat_does_not_swallow_the_next_append():
+    """An append's answer is lost, and its repeat is refused temporarily."""
 
-    async def play():
+    async def scenario():
         store = ModelStore()
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
@@ -140,4 +140,4 @@
         await writer.append([record("next")])
         assert "next" in stored(store)
 
-    run_virtual(play())
+    run_virtual(scenario())
--- a/tests/services/test_lookups.py
+++ b/tests/services/test_lookups.py
@@ -1,4 +1,4 @@
-"""What callers are told by an instance that has not read all jobs yet."""
+"""Answers to callers by an instance that has not read all jobs yet."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from standins.model import ModelCell, ModelRequest, now, pause, run_virtual
 from tests.services.scenes import step
 
-#: Operators are told that a count may be so old.
-OLDEST_S = 2.0
+#: The documented limit of the age of a count, in seconds.
+MAX_COUNT_AGE_S = 2.0
 
 
 async def cell_with_a_slow_reader(workers=1):
-    """Return a cell, and an instance that has just begun to read its jobs."""
+    """Return a cell and an instance that has just started to read its jobs."""
     cell = ModelCell(instances=4, workers=workers)
     await cell.begin()
     cell.jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(4)]
@@ -26,10 +26,10 @@
 
 
 @pytest.mark.parametrize("lead", [True, False])
-def test_count_of_an_instance_that_still_reads_the_jobs_is_what_a_peer_knows(lead):
-    """With and without a lead that could be asked."""
+def test_count_comes_from_a_peer_while_the_instance_still_reads_the_jobs(lead):
+    """The count comes from a peer with and without a lead to ask."""
 
-    async def play():
+    async def scenario():
         cell, found = await cell_with_a_slow_reader()
         if not lead:
             cell.kill(cell.lead_name())
@@ -38,11 +38,11 @@
         assert (status, body["pending"]) == (200, 3)
         assert now() - began <= 1.0
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_count_is_refused_while_nobody_can_tell_it():
-    async def play():
+def test_count_is_refused_while_no_instance_can_answer():
+    async def scenario():
         cell, found = await cell_with_a_slow_reader()
         name = found.instance.settings.name
         cell.cuts += [{name, other} for other in cell.instances if other != name]
@@ -52,13 +52,13 @@
         assert body["retry_after"] > 0
         assert now() - began <= 1.0
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_job_is_found_at_once_by_an_instance_that_still_reads_the_jobs():
-    """A caller who waits for the reading to end gets no answer in time."""
+    """A caller that waits for the read to end gets no answer in time."""
 
-    async def play():
+    async def scenario():
         cell, found = await cell_with_a_slow_reader()
         for job, _ in cell.jobs:
             began = now()
@@ -67,13 +67,13 @@
             assert now() - began < 0.1
         assert await cell.status("00000000000000ff", found) == "410"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_job_is_told_by_an_instance_that_has_just_started_and_has_no_peer():
-    """All instances start at once, and a caller is there before the log is read."""
+def test_status_is_answered_by_an_instance_that_just_started_and_has_no_peer():
+    """All instances start at once, and a caller asks before the log is read."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=1)
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=30.0)
@@ -87,11 +87,11 @@
         assert (await asyncio.gather(*asked))[1] == "410"
         assert await cell.status(job, cell.instances["i0"]) in ("queued", "running")
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_job_of_another_team_is_not_told_by_way_of_a_peer():
-    async def play():
+def test_job_of_another_team_is_not_disclosed_through_a_peer():
+    async def scenario():
         cell, found = await cell_with_a_slow_reader()
         teams = [
             {"name": "a", "api_keys": ["key-of-a"], "weight": 1, "upper_limit": {}},
@@ -105,11 +105,11 @@
         status, _ = await found.call(ModelRequest("GET", path))
         assert status == 200
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_job_is_cancelled_through_an_instance_that_still_reads_the_jobs():
-    async def play():
+    async def scenario():
         cell, found = await cell_with_a_slow_reader()
         job, _ = cell.jobs[-1]
         status, body = await found.call(ModelRequest("DELETE", f"/plan/{job}"))
@@ -117,13 +117,13 @@
         await pause(0.5)
         assert await cell.status(job, cell.lead()) == "cancelled"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_instance_whose_own_reading_stopped_tells_the_state_that_the_lead_knows():
-    """Without it a job would be told to run seconds after it has ended."""
+def test_instance_that_cannot_read_answers_with_the_state_known_to_the_lead():
+    """Otherwise a job would be reported as running seconds after its end."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=4)
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -136,13 +136,13 @@
         await pause(2.0)
         assert await cell.status(job, found) == "completed"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_job_that_ends_before_its_cancelling_is_never_told_as_cancelled():
-    """An instance that is not told of the end records the cancelling after it."""
+def test_job_that_ends_before_its_cancellation_is_never_reported_as_cancelled():
+    """An instance that did not receive the end appends the cancellation after it."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -157,27 +157,27 @@
         await pause(3.0)
         assert await cell.status(job, found) == "completed"
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-async def ask_often(cell, question):
-    """Ask every instance 20 times; return the time and the readings it took."""
+async def query_repeatedly(cell, query):
+    """Query every instance 20 times; return the seconds and store reads it took."""
     began, reads = now(), cell.store.reads
     await pause(1.0)
     idle_a_second = (cell.store.reads - reads) / (now() - began)
     began, reads = now(), cell.store.reads
     for found in cell.instances.values():
         for _ in range(20):
-            await question(found)
+            await query(found)
     took_s = now() - began
     return took_s, cell.store.reads - reads - idle_a_second * took_s
 
 
 @pytest.mark.parametrize("mode", ["silent", "busy"])
-def test_known_job_is_told_at_once_and_without_a_call_while_the_store_is_away(mode):
-    """Each question would wait for a store that answers nobody, and cost calls."""
+def test_status_of_a_known_job_takes_no_store_call_while_the_store_is_unavailable(mode):
+    """Each query would wait for a store that answers nobody, and cost calls."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=60.0)
@@ -186,40 +186,40 @@
         cell.store.mode["*"] = mode
         await pause(2.0)
 
-        async def question(found):
+        async def query(found):
             assert await cell.status(job, found) == "running"
 
-        took_s, reads = await ask_often(cell, question)
+        took_s, reads = await query_repeatedly(cell, query)
         assert took_s < 100 * 0.02
         assert reads < 100 * 0.1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_count_is_refused_at_once_and_without_a_call_while_a_partition_is_away():
-    """Jobs may lie there that nobody can see."""
+def test_count_is_refused_without_a_store_call_while_a_partition_is_unavailable():
+    """The partition may hold jobs that no instance can read."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
         cell.store.partly_down = {3}
         await pause(4.0)
 
-        async def question(found):
+        async def query(found):
             status, _ = await found.call(ModelRequest("GET", "/plan/"))
             assert status == 503
 
-        took_s, reads = await ask_often(cell, question)
+        took_s, reads = await query_repeatedly(cell, query)
         assert took_s < 100 * 0.02
         assert reads < 100 * 0.1
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_cancelling_a_job_that_has_ended_is_not_told_as_cancelled():
-    """A caller would hand in again what is done already."""
+def test_cancelling_an_ended_job_does_not_report_it_as_cancelled():
+    """A caller would submit again what is already done."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell()
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
@@ -229,13 +229,13 @@
             status, body = await found.call(ModelRequest("DELETE", f"/plan/{job}"))
             assert (status, body["state"]) == (200, "completed")
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_no_count_is_told_from_a_replica_that_is_older_than_it_may_be():
-    """Reading the second partition takes long, and all waiting jobs lie there."""
+def test_no_count_is_answered_from_a_replica_that_is_too_old():
+    """The fallback partition is slow to read and holds all waiting jobs."""
 
-    async def play(phase_s):
+    async def scenario(phase_s):
         cell = ModelCell(workers=1)
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -250,9 +250,9 @@
         began = now()
         while now() - began < 6.0:
             status, body = await found.call(ModelRequest("GET", "/plan/"))
-            if status == 200 and now() - began > OLDEST_S:
+            if status == 200 and now() - began > MAX_COUNT_AGE_S:
                 assert body["pending"] == 3
             await pause(0.1)
 
     for phase_s in (0.0, 0.5, 1.0, 1.5):
-        run_virtual(play(phase_s))
+        run_virtual(scenario(phase_s))
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -1,4 +1,4 @@
-"""How an instance finds the others when it starts."""
+"""Discovery and registration of instances."""
 
 import pytest
 
@@ -9,14 +9,14 @@
 from firhook.services._members import Registration
 from firhook.services._mesh import MeshService
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import play as play_scene
+from tests.services.scenes import play as run_scenario
 from tests.services.scenes import step
 
 
 def test_instance_finds_its_peers_before_it_has_read_the_jobs():
-    """Over a link that the jobs fill it would have nobody to ask for seconds."""
+    """The jobs fill a slow link for seconds, in which it could not ask any peer."""
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=1)
         await cell.begin()
         keys, peer = MeshKeys("public", "secret"), PeerRecord("p", "1", "a:1", "z0")
@@ -34,13 +34,13 @@
         assert fresh.replica.peers["p"] == peer
         assert not fresh.replica.jobs
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_adviser_is_not_asked_through_an_instance_whose_link_its_start_fills():
-    """After a loss of power half of the questions were lost at thin links."""
+def test_adviser_is_not_asked_through_an_instance_that_still_reads_at_its_start():
+    """After a power loss half of the queries were lost on slow links."""
 
-    async def scene(cell):
+    async def scenario(cell):
         cell.kill("i2")
         cell.store.transfer_s["i2", 1] = 4.0
         await pause(1.0)
@@ -59,32 +59,32 @@
         assert cell.adviser.asked_through["i2"] > asked
         await cell.all_done(20.0)
 
-    play_scene(scene, instances=3, workers=6, advised=True)
+    run_scenario(scenario, instances=3, workers=6, advised=True)
 
 
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
 def test_instance_that_has_read_everything_is_known_as_such(partitions):
-    """Its two records may lie on two partitions, and come in any order."""
-    early = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=True)
-    late = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=False)
+    """Its two records may lie on two partitions and arrive in any order."""
+    reading = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=True)
+    done = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=False)
     replica, key = Replica(), PEER_PREFIX + "p"
-    replica.apply(5, key, encode_record(late), partitions[1])
-    replica.apply(9, key, encode_record(early), partitions[0])
-    assert replica.peers["p"] == late
-    again = PeerRecord("p", "2", "a:1", "z0", 1.0, reading=True)
-    replica.apply(10, key, encode_record(again), partitions[0])
-    assert replica.peers["p"] == again
+    replica.apply(5, key, encode_record(done), partitions[1])
+    replica.apply(9, key, encode_record(reading), partitions[0])
+    assert replica.peers["p"] == done
+    restarted = PeerRecord("p", "2", "a:1", "z0", 1.0, reading=True)
+    replica.apply(10, key, encode_record(restarted), partitions[0])
+    assert replica.peers["p"] == restarted
 
 
-def test_instance_that_withdraws_is_listed_on_no_partition():
-    """It had registered on one partition, and withdrew on another; it stayed listed."""
+def test_instance_that_unregisters_is_listed_on_no_partition():
+    """An instance that unregisters on another partition must not stay listed."""
 
-    async def scene(cell):
+    async def scenario(cell):
         key = PEER_PREFIX + "i2"
         found = cell.instances["i2"].instance
-        again = encode_record(found.replica.peers["i2"])
+        value = encode_record(found.replica.peers["i2"])
         cell.store.partition(CELL_TOPIC, 3).add(
-            [bytes((len(key),)) + key.encode() + again]
+            [bytes((len(key),)) + key.encode() + value]
         )
         await pause(3.0)
         await Registration(found.services["mesh"], "i2").unregister()
@@ -92,4 +92,4 @@
         for instance in cell.instances.values():
             assert "i2" not in instance.instance.replica.peers
 
-    play_scene(scene, instances=3)
+    run_scenario(scenario, instances=3)
--- a/tests/services/test_mesh.py
+++ b/tests/services/test_mesh.py
@@ -1,4 +1,4 @@
-"""Which connections an instance keeps to the others."""
+"""Connections between instances."""
 
 import pytest
 
@@ -14,33 +14,33 @@
 
 
 class FakeMesh:
-    """Remembers who is connected to, and who was told."""
+    """Records the connections and the receivers of messages."""
 
     def __init__(self):
-        self.open = set()
-        self.told = []
+        self.connected = set()
+        self.sent_to = []
 
     def connect(self, address):
-        self.open.add(address)
+        self.connected.add(address)
 
     def disconnect(self, address):
-        self.open.discard(address)
+        self.connected.discard(address)
 
     def tell(self, address, msg):
-        self.told.append(address)
+        self.sent_to.append(address)
 
     def tell_all(self, msg, addresses):
-        self.told += addresses
+        self.sent_to += addresses
 
     async def ask(self, address, msg, timeout_s):
         return address
 
     def close(self):
-        self.open.clear()
+        self.connected.clear()
 
 
 async def _service(peers):
-    """Return the mesh of an instance that knows so many others."""
+    """Return the mesh service of an instance that knows ``peers`` others."""
     cell = ModelCell(instances=1)
     await cell.begin()
     known = cell.instances["i0"].instance
@@ -54,47 +54,50 @@
     return service
 
 
-def test_instance_connects_to_those_that_it_speaks_with():
-    """97 instances kept 9,300 connections alive, ten times their own messages."""
+def test_instance_connects_only_to_peers_that_it_sends_to():
+    """A full mesh of 97 instances keeps 9,300 connections alive.
 
-    async def play():
+    That took ten times as many messages as the instances had to send.
+    """
+
+    async def scenario():
         service = await _service(96)
-        assert service._mesh.open == set()
+        assert service._mesh.connected == set()
         service.bus.publish(SendToInstance("p1", MESSAGE))
         service.bus.publish(SendToInstances(MESSAGE, ("p2", "p3", "nobody")))
         assert await service.bus.ask(AskInstance("p4", MESSAGE, 1.0)) == "10.0.0.4:1"
-        assert service._mesh.told == ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
-        assert service._mesh.open == {f"10.0.0.{n}:1" for n in (1, 2, 3, 4)}
+        assert service._mesh.sent_to == ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
+        assert service._mesh.connected == {f"10.0.0.{n}:1" for n in (1, 2, 3, 4)}
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_connection_that_is_not_used_is_closed():
-    async def play():
+def test_idle_connection_is_closed():
+    async def scenario():
         service = await _service(4)
         service.bus.publish(SendToInstances(MESSAGE, ("p1", "p2")))
         await pause(15.0)
         service.bus.publish(SendToInstance("p2", MESSAGE))
         await pause(10.0)
         service._update_connections()
-        assert service._mesh.open == {"10.0.0.2:1"}
+        assert service._mesh.connected == {"10.0.0.2:1"}
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_instance_that_moved_or_left_is_not_spoken_with_at_its_old_address():
-    async def play():
+def test_instance_that_moved_or_left_is_not_reached_at_its_old_address():
+    async def scenario():
         service = await _service(3)
         service.bus.publish(SendToInstances(MESSAGE, ("p1", "p2")))
         peers = service.replica.peers
         del peers["p2"]
         peers["p1"] = PeerRecord("p1", "2", "10.0.9.1:1", "z0")
         service._update_connections()
-        assert service._mesh.open == set()
+        assert service._mesh.connected == set()
         service.bus.publish(SendToInstance("p1", MESSAGE))
-        assert service._mesh.open == {"10.0.9.1:1"}
+        assert service._mesh.connected == {"10.0.9.1:1"}
         with pytest.raises(PeerUnreachableError) as caught:
             await service.bus.ask(AskInstance("p2", MESSAGE, 1.0))
         assert caught.value.ran == "no"
 
-    run_virtual(play())
+    run_virtual(scenario())
--- a/tests/services/test_retention.py
+++ b/tests/services/test_retention.py
@@ -1,4 +1,4 @@
-"""Jobs that were forgotten stay forgotten, whatever an instance missed meanwhile."""
+"""Expired jobs stay deleted, whatever an instance missed meanwhile."""
 
 import asyncio
 
@@ -19,8 +19,8 @@
 STEP = step(1)
 
 
-def kept(cell, job):
-    """Return the partitions and keys under which the store has a job's records."""
+def stored_records(cell, job):
+    """Return the partitions and keys under which the store holds a job's records."""
     return [
         (number, key)
         for (topic, number), part in cell.store.partitions.items()
@@ -30,7 +30,7 @@
     ]
 
 
-async def check_forgotten(cell, job, found, leads):
+async def check_deleted(cell, job, found, leads):
     """Check that an instance does not know a job, even once it leads."""
     if leads:
         for name in list(cell.instances):
@@ -45,8 +45,8 @@
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_job_dropped_while_an_instance_was_away_is_dropped_there_too(leads):
-    async def play():
+def test_job_deleted_while_an_instance_was_cut_off_is_deleted_there_too(leads):
+    async def scenario():
         cell = ModelCell(instances=3, bounds=Bounds(status_s=1.0))
         await cell.begin()
         behind = next(n for n in cell.instances if n != cell.lead_name())
@@ -55,20 +55,20 @@
         await cell.until(lambda: found.instance.replica.find(job), 1.0)
         cell.store.mode[behind] = "silent"
         cell.cuts += [{behind, other} for other in cell.instances if other != behind]
-        await cell.until(lambda: not kept(cell, job), 30.0)
+        await cell.until(lambda: not stored_records(cell, job), 30.0)
         await pause(1.0)
         cell.store.forget_history()
         cell.store.mode.pop(behind)
         cell.cuts.clear()
         await pause(4.0)
-        await check_forgotten(cell, job, found, leads)
+        await check_deleted(cell, job, found, leads)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_job_dropped_while_the_newest_records_are_read_stays_dropped(leads):
-    async def play():
+def test_job_deleted_while_the_newest_records_are_read_stays_deleted(leads):
+    async def scenario():
         cell = ModelCell(instances=3, bounds=Bounds(status_s=1.0))
         await cell.begin()
         job, _ = await cell.submit([STEP], work_s=0.2)
@@ -80,19 +80,19 @@
         cell.store.transfer_s[behind, 0] = 8.0
         await cell.restart(behind)
         found = cell.instances[behind]
-        await cell.until(lambda: not kept(cell, job), 20.0)
+        await cell.until(lambda: not stored_records(cell, job), 20.0)
         readers = found.instance.services["follower"]._readers
         assert not readers[1].is_complete
         await cell.until(lambda: readers[1].is_complete, 30.0)
         cell.store.transfer_s.clear()
         await pause(5.0)
-        await check_forgotten(cell, job, found, leads)
+        await check_deleted(cell, job, found, leads)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_peer_dropped_between_the_reading_of_peers_and_of_all_is_not_kept():
-    async def play():
+def test_peer_deleted_between_the_reads_of_peers_and_of_all_keys_is_not_kept():
+    async def scenario():
         cell = ModelCell(instances=1)
         await cell.begin()
         keys, peer = MeshKeys("public", "secret"), PeerRecord("p", "1", "a:1", "z0")
@@ -107,12 +107,12 @@
         await fresh.bus.ask(CatchUp((1, 3, 0, 2)))
         assert "p" not in fresh.replica.peers
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("rerun", [False, True])
-def test_job_accepted_on_another_partition_stays_forgotten_after_restarts(rerun):
-    async def play():
+def test_job_accepted_on_another_partition_stays_deleted_after_restarts(rerun):
+    async def scenario():
         cell = ModelCell(bounds=Bounds(status_s=1.0))
         await cell.begin()
         cell.store.partly_down = {1}
@@ -121,7 +121,7 @@
         await cell.all_done(5.0)
         cell.store.partly_down = set()
         await pause(12.0)
-        assert kept(cell, job) == []
+        assert stored_records(cell, job) == []
         names = list(cell.instances)
         if not rerun:
             names = [next(n for n in names if n != cell.lead_name())]
@@ -131,33 +131,33 @@
         for name in names:
             await cell.restart(name)
         await pause(3.0)
-        await check_forgotten(cell, job, cell.instances[names[0]], False)
+        await check_deleted(cell, job, cell.instances[names[0]], False)
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_records_of_a_job_on_several_partitions_are_all_dropped():
-    async def play():
+def test_records_of_a_job_on_several_partitions_are_all_deleted():
+    async def scenario():
         cell = ModelCell(bounds=Bounds(status_s=1.0))
         await cell.begin()
         job, _ = await cell.submit([STEP], work_s=5.0)
-        await cell.until(lambda: kept(cell, job), 1.0)
+        await cell.until(lambda: stored_records(cell, job), 1.0)
         await pause(1.0)
         cell.store.partly_down = {0, 1}
         assert await cell.cancel(job) == 200
         await pause(2.0)
-        assert {number for number, _ in kept(cell, job)} == {0, 1, 2, 3}
+        assert {number for number, _ in stored_records(cell, job)} == {0, 1, 2, 3}
         cell.store.partly_down = set()
-        await cell.until(lambda: not kept(cell, job), 20.0)
+        await cell.until(lambda: not stored_records(cell, job), 20.0)
         await pause(1.0)
         assert all(job not in i.instance.replica.jobs for i in cell.instances.values())
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_job_is_not_forgotten_by_halves_while_a_partition_is_away():
-    async def play():
+def test_job_is_not_partly_deleted_while_a_partition_is_unavailable():
+    async def scenario():
         cell = ModelCell(bounds=Bounds(status_s=1.0))
         await cell.begin()
         cell.store.partly_down = {1}
@@ -165,32 +165,35 @@
         await cell.all_done(5.0)
         cell.store.partly_down = {3}
         await pause(15.0)
-        assert {key.partition("/")[0] for _, key in kept(cell, job)} >= {"job", "state"}
+        assert {key.partition("/")[0] for _, key in stored_records(cell, job)} >= {
+            "job",
+            "state",
+        }
         cell.store.partly_down = set()
-        await cell.until(lambda: not kept(cell, job), 10.0)
+        await cell.until(lambda: not stored_records(cell, job), 10.0)
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
-def test_older_state_is_not_what_is_left_while_its_partition_is_away():
+def test_older_state_does_not_outlive_the_newest_while_its_partition_is_unavailable():
     state = JobState(0, 0.0, (), ())
-    replica, away, dropped = Replica(), {2}, []
+    replica, unavailable, deleted = Replica(), {2}, []
     for partition, version in ((0, 9), (2, 4)):
         value = encode_record(attrs.evolve(state, version=version))
         replica.apply(0, "state/1", value, partition)
 
-    async def drop(partition, keys):
-        if partition in away:
+    async def delete(partition, keys):
+        if partition in unavailable:
             return False
-        dropped.append((partition, *keys))
+        deleted.append((partition, *keys))
         for key in keys:
             replica.apply(1, key, None, partition)
         return True
 
-    asyncio.run(_delete_everywhere(replica, ["state/1"], drop))
-    assert dropped == []
-    away.clear()
-    asyncio.run(_delete_everywhere(replica, ["state/1"], drop))
-    assert dropped == [(2, "state/1"), (0, "state/1")]
+    asyncio.run(_delete_everywhere(replica, ["state/1"], delete))
+    assert deleted == []
+    unavailable.clear()
+    asyncio.run(_delete_everywhere(replica, ["state/1"], delete))
+    assert deleted == [(2, "state/1"), (0, "state/1")]
     assert replica.jobs == {}
--- a/tests/services/test_slow_store.py
+++ b/tests/services/test_slow_store.py
@@ -1,4 +1,4 @@
-"""What callers get while the store is slow, or takes few appends."""
+"""Answers to callers while the store is slow or refuses appends."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 async def submit_all(cell, per_s, lasts_s):
-    """Submit jobs at any instances; return status and seconds of each."""
+    """Submit jobs at random instances; return status and seconds of each."""
     got = []
 
     async def one():
@@ -19,18 +19,18 @@
         _, status = await cell.submit([step(1, 10)], work_s=0.2)
         got.append((status, now() - began))
 
-    asking = []
+    submissions = []
     for _ in range(int(per_s * lasts_s)):
-        asking.append(asyncio.create_task(one()))
+        submissions.append(asyncio.create_task(one()))
         await pause(1 / per_s)
-    await asyncio.gather(*asking)
+    await asyncio.gather(*submissions)
     return got
 
 
 def test_jobs_at_many_instances_are_accepted_while_the_store_is_slow():
-    """Each instance's appends waited in one queue behind those of all others."""
+    """Single appends of 30 instances would queue at the store behind each other."""
 
-    async def scene(cell):
+    async def scenario(cell):
         cell.store.slow, cell.store.in_turn = 60.0, True
         await pause(0.5)
         got = await submit_all(cell, 50, 5.0)
@@ -40,14 +40,14 @@
         await pause(1.0)
         assert {s for s, _ in await submit_all(cell, 20, 0.5)} == {200}
 
-    play(scene, instances=30, workers=4)
+    play(scenario, instances=30, workers=4)
 
 
 @pytest.mark.parametrize("trouble", ["cut_off", "turned_away"])
 def test_jobs_are_accepted_from_a_slow_store_though_the_lead_does_not_append(trouble):
-    """An instance waits for a lead that cannot help, until its callers have left."""
+    """An instance must not wait for a lead that cannot append until callers give up."""
 
-    async def scene(cell):
+    async def scenario(cell):
         lead = cell.lead_name()
         others = {name for name in cell.instances if name != lead}
         cell.store.slow, cell.store.in_turn = 60.0, True
@@ -60,13 +60,13 @@
         accepted = [status for status, _ in got if status == 200]
         assert len(accepted) > len(got) * 0.9, got
 
-    play(scene, instances=4, workers=4)
+    play(scenario, instances=4, workers=4)
 
 
-def test_job_that_the_lead_did_not_send_to_a_silent_store_is_refused():
-    """Sent after a call without an answer, its outcome was unknown for nothing."""
+def test_job_that_the_lead_did_not_send_to_an_unresponsive_store_is_refused():
+    """If it were sent after an unanswered call, its outcome would be unknown."""
 
-    async def scene(cell):
+    async def scenario(cell):
         lead = cell.lead()
         follower = lead.instance.services["follower"]
         cell.store.mode["*"] = "silent"
@@ -81,4 +81,4 @@
         assert got.count(AppendReply(False)) == 5
         cell.store.mode.clear()
 
-    play(scene, instances=3, workers=4)
+    play(scenario, instances=3, workers=4)
--- a/tests/services/test_submissions.py
+++ b/tests/services/test_submissions.py
@@ -1,4 +1,4 @@
-"""Which submissions are refused because their id belongs to another job."""
+"""Submissions whose id belongs to another job."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 def stored(cell, job):
-    """Return the stored submissions of a job's id, with their offsets."""
+    """Return the stored submissions under a job's id, with their partitions."""
     return [
         (number, part.newest[f"job/{job}"])
         for (topic, number), part in sorted(cell.store.partitions.items())
@@ -33,7 +33,7 @@
     ("path", "key"), [("/plan/", "key-of-b"), ("/quote/", "key-of-a")]
 )
 def test_id_of_another_teams_or_queues_job_is_refused_and_the_job_stays(path, key):
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=3)
         await cell.begin()
         cell.configure(2, tenants=TEAMS)
@@ -58,11 +58,11 @@
         )
         assert status == 410
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 def test_repeat_of_a_teams_own_submission_is_still_taken():
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=3)
         await cell.begin()
         job, _ = await cell.submit([STEP], work_s=5.0)
@@ -73,7 +73,7 @@
             assert status == 200
         assert stored(cell, job) == before
 
-    run_virtual(play())
+    run_virtual(scenario())
 
 
 FIRST, OTHER_TEAM, OTHER_QUEUE = (
@@ -84,7 +84,7 @@
 
 
 async def submit_at_once(cell, job, second, gap_s):
-    """Submit one id at two instances, the second a moment after the first."""
+    """Submit one id at two instances, the second ``gap_s`` after the first."""
     cell.configure(2, tenants=TEAMS)
     await pause(2.5)
     cell.plans[f"{job}.0.0"] = TaskPlan(6.0, Resources(1000, 100))
@@ -99,68 +99,68 @@
     return await asyncio.gather(post(one, *FIRST, 0), post(other, *second, gap_s))
 
 
-async def told(cell, job, path, key):
-    """Return what the instances that live say of a job."""
-    said = set()
+async def collect_answers(cell, job, path, key):
+    """Return the answers of all live instances about a job."""
+    answers = set()
     for found in cell.instances.values():
         if found.alive:
             status, body = await found.call(ModelRequest("GET", path + job, key=key))
-            said.add((status, body.get("state") or body["code"]))
-    return said
+            answers.add((status, body.get("state") or body["code"]))
+    return answers
 
 
-def note_texts(worker, texts):
-    """Note what a worker is told to run."""
+def record_texts(worker, texts):
+    """Record the text of each order that a worker receives."""
     start = worker.start
 
-    def noted(order):
+    def recorded(order):
         texts.add(order.text)
         return start(order)
 
-    worker.start = noted
+    worker.start = recorded
 
 
 @pytest.mark.parametrize("second", [OTHER_TEAM, OTHER_QUEUE])
 @pytest.mark.parametrize("gap_s", [0.0, 0.003, 0.006, 0.012])
 @pytest.mark.parametrize("behind_s", [0.0, 2.0])
-def test_of_two_jobs_under_one_id_at_once_the_first_runs_and_the_other_is_told(
+def test_of_two_concurrent_jobs_under_one_id_the_first_runs_and_the_other_is_refused(
     monkeypatch, second, gap_s, behind_s
 ):
     """Two instances append one id for two owners before either knows of the other.
 
-    Both were told that their job was accepted.  The second one's took the place of
-    the first one's, which ran on: its owner was told that there is no such job.
+    Both submissions may be answered as accepted.  The second must not replace the
+    first, which runs: its owner would get the answer that there is no such job.
     """
     clocks = [0.0, behind_s]
     monkeypatch.setattr(_callers, "unix_time", lambda: unix_time() - clocks.pop(0))
     job = f"{9:016x}"
     texts = set()
 
-    async def play():
+    async def scenario():
         cell = ModelCell(instances=4)
         cell.drops = 0.0
         await cell.begin()
         for worker in cell.workers.values():
-            note_texts(worker, texts)
+            record_texts(worker, texts)
         statuses = await submit_at_once(cell, job, second, gap_s)
         assert statuses[0] == 200
         assert statuses[1] in (200, 504)
         await pause(0.5)
-        assert await told(cell, job, *FIRST) == {(200, "running")}
-        assert await told(cell, job, *second) == {(409, "job.id_taken")}
+        assert await collect_answers(cell, job, *FIRST) == {(200, "running")}
+        assert await collect_answers(cell, job, *second) == {(409, "job.id_taken")}
         assert texts == {" ".join(FIRST)}
         lead = cell.lead_name()
         cell.kill(lead)
         await pause(2.0)
         await cell.restart(lead)
         await pause(1.0)
-        assert await told(cell, job, *FIRST) == {(200, "running")}
-        assert await told(cell, job, *second) == {(409, "job.id_taken")}
+        assert await collect_answers(cell, job, *FIRST) == {(200, "running")}
+        assert await collect_answers(cell, job, *second) == {(409, "job.id_taken")}
         cell.accepted[job] = FIRST[0]
         await cell.all_done(20.0)
         await pause(0.5)
-        assert await told(cell, job, *FIRST) == {(200, "completed")}
-        assert await told(cell, job, *second) == {(409, "job.id_taken")}
+        assert await collect_answers(cell, job, *FIRST) == {(200, "completed")}
+        assert await collect_answers(cell, job, *second) == {(409, "job.id_taken")}
         path, key = second
         for found in cell.instances.values():
             for method, expected in (("POST", 409), ("DELETE", 410)):
@@ -168,4 +168,4 @@
                 assert (await found.call(req))[0] == expected
         assert cell.checks.broken == []
 
-    run_virtual(play())
+    run_virtual(scenario())
