--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -148,7 +148,7 @@
                 batch, self.pending = self.pending, []
                 self.pending = await self._append(batch) + self.pending
 
-    def _partition(self) -> int:
+    def _choose_partition(self) -> int:
         """Return the first partition that did not fail lately.
 
         If all of them did, return the one that failed the longest ago.
@@ -170,7 +170,7 @@
         count = len(split_records([row.record for row in batch], self._max_bytes)[0])
         batch, rest = batch[:count], batch[count:]
         left_s = max(row.until for row in batch) - boot_time()
-        partition = self._partition()
+        partition = self._choose_partition()
         for row in batch:
             row.unresolved += 1
         call = self._reach.sent(partition, boot_time())
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -157,7 +157,7 @@
         self._open_requests += 1
         began = boot_time()
         try:
-            resp = await self._answer(req)
+            resp = await self._dispatch(req)
         except FirhookError as exc:
             self._log_refusal(req, exc, began)
             resp = problem_response(exc)
@@ -171,7 +171,7 @@
         self.meters.time("answer", f"{req.method} {resp.status}", boot_time() - began)
         return resp
 
-    async def _answer(self, req: web.BaseRequest) -> web.Response:
+    async def _dispatch(self, req: web.BaseRequest) -> web.Response:
         config = self._fresh_config()
         host = req.headers.get("Host", "").partition(":")[0]
         path = req.path
@@ -180,16 +180,18 @@
             raise QueueUnknownError(f"{host}{path[:100]}")
         team = _team_name(config, queue, req)
         job_id = path[len(queue.prefix) :]
-        until = self._give_up_at(req)
+        until = self._wait_deadline(req)
         if not job_id and req.method == "GET":
-            return _json(encode_pending(await self._lookups.pending(queue, until)))
+            return _json_response(
+                encode_pending(await self._lookups.pending(queue, until))
+            )
         if not JOB_ID.fullmatch(job_id):
             raise QueueUnknownError(f"{path[:100]}: no job id of 16 hex digits")
         if req.method == "POST":
             return await self._submit(req, config, queue, team, job_id, until)
         if req.method == "GET":
             status = await self._lookups.status(queue, team, job_id, until)
-            return _json(encode_status(status))
+            return _json_response(encode_status(status))
         if req.method == "DELETE":
             return await self._cancel(queue, team, job_id, until)
         raise RequestMalformedError(f"{req.method}: use POST, GET or DELETE")
@@ -217,10 +219,10 @@
         until: float,
     ) -> web.Response:
         if self._lookups.find_job(queue, team, job_id) is not None:
-            return _json(b"{}")
+            return _json_response(b"{}")
         if self.replica.find(job_id) is not None:
             raise JobIdTakenError(job_id)
-        spec = decode_job(await _body(req, config.max_body_bytes))
+        spec = decode_job(await _read_body(req, config.max_body_bytes))
         accepted = AcceptedJob(job_id, team, queue, unix_time(), spec)
         value = encode_record(accepted)
         if len(value) > self.settings.store_limits.record_bytes - 256:
@@ -249,7 +251,7 @@
             config=config.version,
             stored_ms=round((boot_time() - began) * 1000, 1),
         )
-        return _json(b"{}")
+        return _json_response(b"{}")
 
     async def _cancel(
         self, queue: Queue, team: str, job_id: str, until: float
@@ -260,14 +262,14 @@
             # There is nothing to cancel; any other answer would make the caller retry.
             raise JobGoneError(job_id) from exc
         if status.ended:
-            return _json(encode_status(status))
+            return _json_response(encode_status(status))
         record = KeyedRecord(CANCEL_PREFIX + job_id, b"\x01")
         offset = await self.bus.ask(AppendRecord(record, until))
         log("job.cancelled", job=job_id, offset=offset)
         # The job may still end before the cancellation takes effect.
-        return _json(b"{}")
+        return _json_response(b"{}")
 
-    def _give_up_at(self, req: web.BaseRequest) -> float:
+    def _wait_deadline(self, req: web.BaseRequest) -> float:
         """Return the time until which a request may wait for the log or for peers."""
         wait_s = _DEFAULT_TIMEOUT_S
         header = req.headers.get("Deadline-Ms", "")
@@ -292,7 +294,7 @@
         )
 
 
-async def _body(req: web.BaseRequest, max_bytes: int) -> bytes:
+async def _read_body(req: web.BaseRequest, max_bytes: int) -> bytes:
     if (req.content_length or 0) > max_bytes:
         raise BodyTooLargeError(f"{req.content_length} bytes; {max_bytes} are allowed")
     raw = bytearray()
@@ -315,5 +317,5 @@
     return team.name
 
 
-def _json(body: bytes) -> web.Response:
+def _json_response(body: bytes) -> web.Response:
     return web.Response(body=body, content_type="application/json")
--- a/src/firhook/services/_fan_out.py
+++ b/src/firhook/services/_fan_out.py
@@ -85,9 +85,9 @@
     async def run(self) -> None:
         """Send queued batches until cancelled.
 
-        Several instances may append large jobs at the same moment.  When all of them
-        went into one message, it exceeded the size limit; sending it ended the
-        process of the lead, and then that of its successor.
+        Several instances may append large jobs at the same moment.  One message with
+        all of them can exceed the size limit; the failed send then ends the process
+        of the lead, and after it that of its successor.
         """
         while True:
             await self._added.wait()
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -181,11 +181,11 @@
 
     def wire(self) -> None:
         """Register the handlers of queries and events."""
-        firsts = (LEAD_PARTITIONS[0], CALLERS_PARTITIONS[0])
+        preferred = (LEAD_PARTITIONS[0], CALLERS_PARTITIONS[0])
         self._readers = {
             number: _Reader(
                 number,
-                _READ_INTERVAL_S if number in firsts else _FALLBACK_READ_INTERVAL_S,
+                _READ_INTERVAL_S if number in preferred else _FALLBACK_READ_INTERVAL_S,
             )
             for number in sorted(CALLERS_PARTITIONS)
         }
@@ -426,8 +426,8 @@
         """Wait until the next read is due, requested, or a gap persists.
 
         Pushes of many instances overtake each other all the time, so that most gaps
-        close a moment later.  With a read for each of them, the store received 26
-        calls a second from each of 33 instances instead of 5.
+        close a moment later.  With a read for each of them, the store would receive
+        26 calls a second from each of 33 instances instead of 5.
         """
         until = boot_time() + reader.interval_s
         while until - boot_time() > _GAP_TIMEOUT_S:
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -81,7 +81,7 @@
             source, kind = self._name, "replica"
         except NotReadyError:
             message = PendingAsk(queue.address)
-            source, reply = await self._ask(message, PendingReply, until)
+            source, reply = await self._ask_peers(message, PendingReply, until)
             kind = "peer" if reply else "refused"
         self._meters.count("pending_answers", kind)
         if reply is None:
@@ -145,7 +145,7 @@
         is_complete = age_s < math.inf
         if job is None and is_complete and await self._catch_up(until):
             return self._local_status(queue, team, job_id)
-        _, reply = await self._ask(JobAsk(job_id), JobReply, until)
+        _, reply = await self._ask_peers(JobAsk(job_id), JobReply, until)
         if reply is not None:
             self._meters.count("status_answers", "peer")
             if not reply.found or not _belongs_to(queue, team, reply.queue, reply.team):
@@ -200,7 +200,7 @@
 
     # Peers.
 
-    async def _ask(
+    async def _ask_peers(
         self, message: Any, reply: type[R], until: float
     ) -> tuple[str, R | None]:
         """Ask peers; return the name of the one that answered and its answer.
@@ -216,7 +216,7 @@
         try:
             while names or asking:
                 if names:
-                    asking.add(asyncio.create_task(self._ask_one(names[0], message)))
+                    asking.add(asyncio.create_task(self._ask_peer(names[0], message)))
                     names = names[1:]
                 left_s = until - boot_time()
                 if left_s <= 0:
@@ -234,7 +234,7 @@
                 task.cancel()
         return "", None
 
-    async def _ask_one(self, name: str, message: Any) -> tuple[str, Any]:
+    async def _ask_peer(self, name: str, message: Any) -> tuple[str, Any]:
         try:
             return name, await self._bus.ask(AskInstance(name, message, _ASK_TIMEOUT_S))
         except PeerUnreachableError as exc:
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -37,15 +37,15 @@
     """
     first, second = CALLERS_PARTITIONS[:2]
     try:
-        await _read_range(store, replica, second)
+        await _read_peer_records(store, replica, second)
     except FirhookError as exc:
         # It holds only instances that registered while the first partition was
         # slow or unavailable.
         log("members.not_read", level="warning", partition=second, error=exc.detail)
-    return await _read_range(store, replica, first)
+    return await _read_peer_records(store, replica, first)
 
 
-async def _read_range(store: Store, replica: Replica, partition: int) -> int:
+async def _read_peer_records(store: Store, replica: Replica, partition: int) -> int:
     newest = await store.newest(CELL_TOPIC, partition, MEMBERS_AFTER, MEMBERS_UNTIL)
     for row in newest.records:
         try:
