--- a/src/firhook/services/_appends.py
+++ b/src/firhook/services/_appends.py
@@ -6,16 +6,16 @@
 import attrs
 
 from firhook.clock import boot_time
-from firhook.decide.appends import AppendRoute
-from firhook.decide.reach import StoreReach
+from firhook.decide.append_route import AppendRoute
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import FirhookError, LogOutcomeUnknownError, LogUnavailableError
 from firhook.logs import log
 from firhook.platform.store import (
     CELL_TOPIC,
-    Appended,
+    AppendResult,
     KeyedRecord,
     Store,
-    encode_keyed,
+    encode_keyed_record,
 )
 from firhook.services._batches import split_records
 from firhook.services._events import RecordsAppended
@@ -112,7 +112,7 @@
     def __init__(
         self,
         store: Store,
-        reach: StoreReach,
+        reach: StoreReachability,
         partitions: tuple[int, ...],
         max_bytes: int,
         route: AppendRoute,
@@ -173,23 +173,23 @@
         partition = self._choose_partition()
         for row in batch:
             row.unresolved += 1
-        call = self._reach.sent(partition, boot_time())
+        call = self._reach.note_sent(partition, boot_time())
         try:
             done = await self._send(partition, batch, left_s)
         except LogOutcomeUnknownError as exc:
             self._failed_at[partition] = boot_time()
-            self._reach.failed(partition, call)
+            self._reach.note_failed(partition, call)
             return _fail_expired(batch, exc) + rest
         except FirhookError as exc:
             self._failed_at[partition] = boot_time()
-            self._reach.failed(partition, call)
+            self._reach.note_failed(partition, call)
             for row in batch:
                 row.unresolved -= 1
             batch = _fail_expired(batch, exc)
             if batch:
                 await asyncio.sleep(_RETRY_S)
             return batch + rest
-        self._reach.answered(partition, call, boot_time())
+        self._reach.note_answered(partition, call, boot_time())
         records = tuple(row.record for row in batch)
         self._on_appended(RecordsAppended(partition, done.offset, records))
         for i, row in enumerate(batch):
@@ -198,21 +198,21 @@
 
     async def _send(
         self, partition: int, batch: list[PendingAppend], left_s: float
-    ) -> Appended:
-        self._route.own_sent(boot_time())
+    ) -> AppendResult:
+        self._route.note_append_sent(boot_time())
         answered = True
         try:
             return await self._store.append(
                 CELL_TOPIC,
                 partition,
-                [encode_keyed(row.record) for row in batch],
+                [encode_keyed_record(row.record) for row in batch],
                 timeout_s=min(max(left_s, 0.05), APPEND_TIMEOUT_S),
             )
         except LogOutcomeUnknownError:
             answered = False
             raise
         finally:
-            self._route.own_ended(boot_time(), answered)
+            self._route.note_append_ended(boot_time(), answered)
 
 
 def _fail_expired(batch: list[PendingAppend], exc: FirhookError) -> list[PendingAppend]:
--- a/src/firhook/services/_callers.py
+++ b/src/firhook/services/_callers.py
@@ -121,7 +121,7 @@
 
         Callers with persistent connections are served until they close them.
         """
-        deadline = boot_time() + self.settings.bounds.stop_s * _DRAIN_FRACTION
+        deadline = boot_time() + self.settings.bounds.stop_grace_s * _DRAIN_FRACTION
         await asyncio.sleep(_ROTATION_DELAY_S)
         while self._open_requests and boot_time() < deadline:
             await asyncio.sleep(0.02)
@@ -235,7 +235,7 @@
         except LogOutcomeUnknownError as exc:
             raise SubmissionUnknownError(exc.detail, retry_after_s=_RETRY_S) from exc
         stored = self.replica.find(job_id)
-        if stored is not None and stored.lost(accepted.owner):
+        if stored is not None and stored.is_rejected(accepted.owner):
             # The lead may have accepted this submission first; if so, that is known
             # within a moment.
             raise SubmissionUnknownError(
--- a/src/firhook/services/_fan_out.py
+++ b/src/firhook/services/_fan_out.py
@@ -19,12 +19,12 @@
 from firhook.cell.records import (
     JOB_PREFIX,
     STATE_PREFIX,
+    decode_state_summary,
     digest_job,
     digest_state,
-    peek_state,
 )
 from firhook.clock import boot_time
-from firhook.decide.fan_out import FanOut, gather_s, plan_fan_out
+from firhook.decide.fan_out import FanOut, digest_delay_s, plan_fan_out
 from firhook.errors import PeerUnreachableError, RecordMalformedError
 from firhook.instance import InstanceService
 from firhook.logs import log
@@ -92,7 +92,7 @@
         while True:
             await self._added.wait()
             self._added.clear()
-            await asyncio.sleep(gather_s(len(self._replica.peers)))
+            await asyncio.sleep(digest_delay_s(len(self._replica.peers)))
             records, self._records = self._records, []
             digests, self._digests = self._digests, []
             plan = self._plan()
@@ -130,7 +130,9 @@
                 n: until for n, until in self._failed_until.items() if until > now
             }
             # An instance that starts fills its link with the records that it reads.
-            reading = {p.name: now for p in self._replica.peers.values() if p.reading}
+            reading = {
+                p.name: now for p in self._replica.peers.values() if p.catching_up
+            }
             lead = self._service.settings.name
             others = candidates(self._replica)
             self._cached_plan = plan_fan_out(others, lead, {**reading, **failed})
@@ -183,7 +185,7 @@
     if value is not None and key.startswith(JOB_PREFIX):
         value = digest_job(value)
     elif value is not None and key.startswith(STATE_PREFIX):
-        state = peek_state(value)
+        state = decode_state_summary(value)
         if replica.is_known_state(partition, key, state):
             return None
         value = digest_state(state)
--- a/src/firhook/services/_fenced_writer.py
+++ b/src/firhook/services/_fenced_writer.py
@@ -6,7 +6,7 @@
 import attrs
 
 from firhook.clock import boot_time
-from firhook.decide.reach import StoreReach
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import LogOutcomeUnknownError, LogUnavailableError
 from firhook.logs import log
 from firhook.platform.store import CELL_TOPIC, Producer, Store
@@ -32,14 +32,14 @@
     :ivar unanswered: the records of an append without an answer.  It has to be
         repeated unchanged before anything else is appended to the partition: the
         store takes the next append under its number for a repeat of it.
-    :ivar avoid_until: time on the boot clock until which other partitions are
+    :ivar backoff_until: time on the boot clock until which other partitions are
         preferred.
     """
 
     number: int
     sequence: int = 0
     unanswered: list[bytes] = attrs.field(factory=list)
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 class FencedWriter:
@@ -61,7 +61,7 @@
         self._epoch = epoch
         self._on_confirmed = on_confirmed
         self._partitions = [_Partition(number) for number in LEAD_PARTITIONS]
-        self._reach = StoreReach(LEAD_PARTITIONS)
+        self._reach = StoreReachability(LEAD_PARTITIONS)
         # One call at a time: of two appends under one sequence number the store
         # would take the second for a repeat, and its records would be lost.
         self._lock = asyncio.Lock()
@@ -90,7 +90,7 @@
             return
         async with self._lock:
             now = boot_time()
-            for part in sorted(self._partitions, key=lambda p: p.avoid_until > now):
+            for part in sorted(self._partitions, key=lambda p: p.backoff_until > now):
                 if part.unanswered and not await self._repeat_unanswered(part):
                     continue
                 if await self._append_once(part, contents) is not None:
@@ -111,7 +111,7 @@
         """
         part = next(part for part in self._partitions if part.number == number)
         async with self._lock:
-            if part.avoid_until > boot_time():
+            if part.backoff_until > boot_time():
                 return None
             if part.unanswered and not await self._repeat_unanswered(part):
                 return None
@@ -120,7 +120,7 @@
     async def _append(self, contents: list[bytes]) -> tuple[int, int]:
         while True:
             now = boot_time()
-            ready = [p for p in self._partitions if p.avoid_until <= now]
+            ready = [p for p in self._partitions if p.backoff_until <= now]
             for part in ready or self._partitions:
                 if part.unanswered and not await self._repeat_unanswered(part):
                     continue
@@ -148,26 +148,26 @@
         """Try an append once; return the offset, or ``None`` if it failed."""
         producer = Producer(_PRODUCER, self._epoch, part.sequence)
         sent_at = boot_time()
-        call = self._reach.sent(part.number, sent_at)
+        call = self._reach.note_sent(part.number, sent_at)
         try:
             done = await self._store.append(
                 CELL_TOPIC,
                 part.number,
                 contents,
                 producer,
-                timeout_s=_TIMEOUT_FACTOR * self._reach.limit_s(),
+                timeout_s=_TIMEOUT_FACTOR * self._reach.answer_timeout_s(),
             )
         except LogUnavailableError as exc:
-            self._reach.failed(part.number, call)
+            self._reach.note_failed(part.number, call)
             self._mark_failed(part, exc)
             return None
         except LogOutcomeUnknownError as exc:
-            self._reach.failed(part.number, call)
+            self._reach.note_failed(part.number, call)
             if contents:
                 part.unanswered = contents
             self._mark_failed(part, exc)
             return None
-        self._reach.answered(part.number, call, boot_time())
+        self._reach.note_answered(part.number, call, boot_time())
         self._on_confirmed(sent_at)
         if contents:
             part.sequence += 1
@@ -180,4 +180,4 @@
             partition=part.number,
             error=str(exc)[:200],
         )
-        part.avoid_until = boot_time() + _FAILED_PARTITION_RETRY_S
+        part.backoff_until = boot_time() + _FAILED_PARTITION_RETRY_S
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -19,9 +19,9 @@
 )
 from firhook.cell.records import LEAD_KEY, STATE_PREFIX, epoch_of
 from firhook.clock import boot_time
-from firhook.decide.appends import AppendRoute
-from firhook.decide.election import line_of_succession
-from firhook.decide.reach import StoreReach
+from firhook.decide.append_route import AppendRoute
+from firhook.decide.election import succession_order
+from firhook.decide.store_reachability import StoreReachability
 from firhook.errors import (
     FirhookError,
     LogOutcomeUnknownError,
@@ -190,7 +190,7 @@
             for number in sorted(CALLERS_PARTITIONS)
         }
         self._catching_up: dict[int, asyncio.Task[None]] = {}
-        self._reach = StoreReach(self._readers)
+        self._reach = StoreReachability(self._readers)
         self._reachable = True
         self._lead_is_silent = True
         self._route = AppendRoute()
@@ -261,17 +261,17 @@
             self._lead_is_silent = not self._is_lead() and not await self.bus.ask(
                 LiveLead()
             )
-            if self._lead_is_silent or self._reach.doubtful(now):
+            if self._lead_is_silent or self._reach.is_doubtful(now):
                 for reader in self._readers.values():
-                    if now - reader.answered_at > self._reach.limit_s():
+                    if now - reader.answered_at > self._reach.answer_timeout_s():
                         reader.request_read()
-            reachable = not self._reach.lost(now)
+            reachable = not self._reach.is_unreachable(now)
             if reachable != self._reachable:
                 self._reachable = reachable
                 log(
                     "store.reached" if reachable else "store.out_of_reach",
                     level="info" if reachable else "warning",
-                    limit_s=round(self._reach.limit_s(), 3),
+                    limit_s=round(self._reach.answer_timeout_s(), 3),
                 )
 
     # Reading.
@@ -289,7 +289,7 @@
             self.bus.publish(SendToInstance(lead, RecordsPush((batch,))))
         else:
             # One of these most likely leads next; all others read the store.
-            successors = line_of_succession(candidates(self.replica), lead)
+            successors = succession_order(candidates(self.replica), lead)
             names = tuple(c.name for c, _ in successors[:_LIKELY_SUCCESSORS])
             self.bus.publish(SendToInstances(RecordsPush((batch,)), names))
 
@@ -373,7 +373,7 @@
         )
 
     async def _store_latency(self, query: StoreLatency) -> float:
-        return self._reach.usual_s if self._reachable else math.inf
+        return self._reach.mean_latency_s if self._reachable else math.inf
 
     async def _replica_age(self, query: ReplicaAge) -> float:
         stale = [r for r in self._readers.values() if r.age_s() > query.refresh_after_s]
@@ -489,7 +489,7 @@
 
     def _mark_rebuilt(self, reader: _Reader, listed: set[str], end: int) -> None:
         """Record that all keys of a partition are known up to an offset."""
-        for job_id in self.replica.complete(reader.number, listed, end):
+        for job_id in self.replica.drop_unlisted(reader.number, listed, end):
             self.bus.publish(JobChanged(job_id))
         reader.advance(end)
         reader.is_complete = True
@@ -505,7 +505,7 @@
         # Digests that arrive meanwhile may be newer than the pages.
         had_digests, reader.has_digests = reader.has_digests, False
         try:
-            newest = await self.store.newest(CELL_TOPIC, reader.number)
+            newest = await self.store.read_newest(CELL_TOPIC, reader.number)
         except BaseException:
             reader.has_digests |= had_digests
             raise
@@ -523,23 +523,23 @@
     async def _read(self, reader: _Reader) -> int:
         """Read once from the next offset; return the number of records still unread."""
         sent_at = boot_time()
-        call = self._reach.sent(reader.number, sent_at)
+        call = self._reach.note_sent(reader.number, sent_at)
         reading = self.store.read(CELL_TOPIC, reader.number, reader.next_offset)
         # A hanging call would hide for a second that the store is reachable again.
-        timeout_s = None if self._reachable else 2 * self._reach.limit_s()
+        timeout_s = None if self._reachable else 2 * self._reach.answer_timeout_s()
         try:
             async with asyncio.timeout(timeout_s):
                 part = await reading
         except TimeoutError as exc:
-            self._reach.failed(reader.number, call)
+            self._reach.note_failed(reader.number, call)
             raise LogUnavailableError("read from the store timed out") from exc
         except LogTrimmedError:
-            self._reach.answered(reader.number, call, boot_time())
+            self._reach.note_answered(reader.number, call, boot_time())
             raise
         except BaseException:
-            self._reach.failed(reader.number, call)
+            self._reach.note_failed(reader.number, call)
             raise
-        self._reach.answered(reader.number, call, boot_time())
+        self._reach.note_answered(reader.number, call, boot_time())
         for record in part.records:
             self._apply(reader.number, record.offset, record.key, record.value)
         reader.advance(part.next_offset)
@@ -666,7 +666,7 @@
         """Return whether to append through the lead; ``False`` if none is reachable."""
         if self._lead_is_silent:
             return False
-        return self._route.through_lead(boot_time(), self._reach.answered_at)
+        return self._route.should_use_lead(boot_time(), self._reach.answered_at)
 
     async def _relay_or_fail(self, pending: PendingAppend) -> None:
         """Have the lead append a record, or fail it, as the store is unreachable."""
@@ -696,7 +696,7 @@
             self._relayed_appends.add(pending)
             began = boot_time()
             await asyncio.wait({pending.done}, timeout=left_s)
-            self._route.lead_took(boot_time() - began)
+            self._route.note_lead_append(boot_time() - began)
             return
         relaying = asyncio.create_task(
             self._relay(pending, min(left_s, APPEND_TIMEOUT_S))
@@ -712,9 +712,9 @@
         finally:
             relaying.cancel()
         if reply is None:
-            self._route.lead_failed(boot_time())
+            self._route.note_lead_failure(boot_time())
             return
-        self._route.lead_took(reply.took_s)
+        self._route.note_lead_append(reply.took_s)
         pending.resolve(reply.offset)
 
     async def _relay(
--- a/src/firhook/services/_lookups.py
+++ b/src/firhook/services/_lookups.py
@@ -7,7 +7,7 @@
 from firhook._peer_messages import JobAsk, JobReply, PendingAsk, PendingReply
 from firhook.cell import JobStatus, JobView, Queue
 from firhook.clock import boot_time
-from firhook.decide.asking import whom_to_ask
+from firhook.decide.lookup_peers import choose_lookup_peers
 from firhook.errors import (
     FirhookError,
     JobGoneError,
@@ -103,7 +103,7 @@
             raise NotReadyError(
                 "the replica is not recent enough", retry_after_s=_RETRY_S
             )
-        return PendingReply(self._replica.pending(address), age_s)
+        return PendingReply(self._replica.pending_count(address), age_s)
 
     async def _serve_pending(self, msg: PendingAsk) -> PendingReply:
         return await self._count_pending(msg.queue)
@@ -138,7 +138,7 @@
         age_s = await self._bus.ask(ReplicaAge())
         job = self.find_job(queue, team, job_id)
         found = self._replica.find(job_id)
-        if job is None and found is not None and found.lost(queue.owner(team)):
+        if job is None and found is not None and found.is_rejected(queue.owner(team)):
             raise JobIdTakenError(job_id)
         if job is not None and (_has_final_state(job) or age_s <= _MAX_STATUS_AGE_S):
             return job.status
@@ -210,7 +210,7 @@
         be gone or its link may be saturated.
         """
         lead = await self._bus.ask(LiveLead())
-        names = whom_to_ask(self._name, lead, candidates(self._replica))
+        names = choose_lookup_peers(self._name, lead, candidates(self._replica))
         until = min(until, boot_time() + _ASK_TIMEOUT_S)
         asking: set[asyncio.Task[tuple[str, Any]]] = set()
         try:
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -5,8 +5,8 @@
 
 from firhook.cell import PeerRecord, Replica
 from firhook.cell.records import (
-    MEMBERS_AFTER,
-    MEMBERS_UNTIL,
+    INSTANCE_KEYS_AFTER,
+    INSTANCE_KEYS_BEFORE,
     PEER_PREFIX,
     encode_record,
 )
@@ -15,7 +15,7 @@
 from firhook.errors import FirhookError, RecordMalformedError
 from firhook.instance import InstanceService
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, Store, encode_keyed_record
 from firhook.services._events import CALLERS_PARTITIONS, AppendRecord, ReplicaAge
 
 #: Timeout of one attempt to register.
@@ -46,7 +46,9 @@
 
 
 async def _read_peer_records(store: Store, replica: Replica, partition: int) -> int:
-    newest = await store.newest(CELL_TOPIC, partition, MEMBERS_AFTER, MEMBERS_UNTIL)
+    newest = await store.read_newest(
+        CELL_TOPIC, partition, INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE
+    )
     for row in newest.records:
         try:
             replica.apply(row.offset, row.key, row.value, partition)
@@ -113,7 +115,7 @@
                 AppendRecord(record, boot_time() + _REGISTER_TIMEOUT_S)
             )
             for number in self._service.replica.partitions_of(key):
-                content = [encode_keyed(record)]
+                content = [encode_keyed_record(record)]
                 await self._service.store.append(CELL_TOPIC, number, content)
         except FirhookError as exc:
             log("mesh.unregister_failed", level="warning", error=repr(exc))
--- /dev/null
+++ b/src/firhook/services/_order_sender.py
@@ -0,0 +1,274 @@
+"""Sends the orders of a lead's term to the workers: starts and stops of runs."""
+
+import asyncio
+import heapq
+from collections.abc import Callable, Coroutine, Mapping
+from typing import Any, Protocol
+
+from firhook.cell import JobTable, OrderAnswer, OrderOutcome, Run, StartOrder
+from firhook.cell.job_table import MAX_ORDER_DELAY_S
+from firhook.clock import boot_time
+from firhook.decide.tickets import TicketTable
+from firhook.logs import log
+from firhook.meters import Meters
+from firhook.platform.instance import Bounds
+from firhook.platform.workers import Workers
+from firhook.services._worker_link import WorkerLink
+
+#: The delay before an order without an answer is repeated.
+_ORDER_RETRY_S = 0.1
+#: A start is repeated for this time.  After that the run is stopped, which every
+#: worker that answers at all confirms.
+_START_RETRY_LIMIT_S = 2.5
+#: The maximum number of starts in flight.
+_MAX_CONCURRENT_STARTS = 24
+#: Urgent starts precede others that were queued up to this much earlier.
+_URGENT_HEAD_START_S = 0.4
+#: A start without an answer stops counting as in flight after this.
+_SLOT_HOLD_S = 0.1
+#: All members of a gang must have started within this fraction of the time for which
+#: they wait for each other.
+_GANG_START_FRACTION = 0.6
+#: The outcomes after which a start is sent again.
+_RETRIED_OUTCOMES = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.EXPIRED)
+
+
+class OrderOwner(Protocol):
+    """What an order sender needs of the lead's term.
+
+    :ivar fence: the fencing token of every order.
+    :ivar lost: whether the term is over, or is ending.
+    """
+
+    fence: int
+    lost: bool
+    job_table: JobTable
+    tickets: TicketTable
+    workers: Workers
+
+    @property
+    def links(self) -> Mapping[str, WorkerLink]:
+        """The known workers, by name."""
+
+    def may_act(self) -> bool:
+        """Return whether orders may be sent now."""
+
+    def on_fenced(self, worker: str) -> None:
+        """Handle that a worker has seen a higher fencing token."""
+
+
+class OrderSender:
+    """Sends the starts and stops of runs, each until it is settled.
+
+    :param spawn: starts a coroutine as a background task.
+    :param wake: called after a change that needs a round.
+    """
+
+    def __init__(
+        self,
+        term: OrderOwner,
+        bounds: Bounds,
+        meters: Meters,
+        spawn: Callable[[Coroutine[Any, Any, Any]], None],
+        wake: Callable[[], None],
+    ) -> None:
+        self._term = term
+        self._bounds = bounds
+        self._meters = meters
+        self._spawn = spawn
+        self._wake = wake
+        self._unanswered_starts: dict[str, dict[tuple[str, int], float]] = {}
+        self._queued_starts: list[tuple[float, int, Run]] = []
+        self._queued_count = 0
+        self._free_slots = _MAX_CONCURRENT_STARTS
+
+    def stop_late_starts(self, link: WorkerLink, now: float) -> None:
+        """Stop starts to a worker's previous incarnation that may still arrive.
+
+        A start without an answer was stopped in the previous incarnation, or its
+        lease expired there.  The new incarnation knows of neither.  If the start
+        arrives late, it would run the task beside the task's next run.
+        """
+        term = self._term
+        starts = self._unanswered_starts.pop(link.name, {})
+        for (task, number), sent_at in starts.items():
+            active = (task, number) in term.job_table.worker_runs.get(link.name, {})
+            if now - sent_at < MAX_ORDER_DELAY_S and not active:
+                self._spawn(term.workers.stop(link.entry, task, number, term.fence))
+
+    def start_runs(self, runs: list[Run]) -> None:
+        """Queue the starts of runs whose assignments are now stored."""
+        now = boot_time()
+        for run in runs:
+            run.stored = True
+            if run.stop_reason or run not in run.task.runs:
+                # Cancelled while its assignment was being stored; nothing was sent.
+                self._term.job_table.void(run, "not_sent", now)
+                continue
+            urgent = run.task.step.job.queue.priority == 0
+            self._queued_count += 1
+            due = now if urgent else now + _URGENT_HEAD_START_S
+            heapq.heappush(self._queued_starts, (due, self._queued_count, run))
+        self._send_queued()
+
+    def _send_queued(self) -> None:
+        """Send queued starts, a limited number at a time and urgent ones early.
+
+        A step of a hundred tasks may start while short urgent ones arrive.  Sent all
+        at once, its starts would occupy the network link and the event loop for half
+        a second, during which heartbeats, questions to the adviser and urgent starts
+        wait.  Sent only after all urgent starts, they could wait without end, and
+        their tickets would expire.
+        """
+        while self._queued_starts and self._free_slots > 0:
+            _, _, run = heapq.heappop(self._queued_starts)
+            self._free_slots -= 1
+            self._spawn(self._start(run))
+
+    def _release_slot(self) -> None:
+        self._free_slots += 1
+        self._send_queued()
+
+    async def _start(self, run: Run) -> None:
+        # A worker that does not answer delays other starts only briefly.
+        loop = asyncio.get_running_loop()
+        slot = loop.call_later(_SLOT_HOLD_S, self._release_slot)
+        began = boot_time()
+        try:
+            await self._start_until_settled(run, began)
+        finally:
+            if not slot.cancelled() and slot.when() > loop.time():
+                slot.cancel()
+                self._release_slot()
+
+    async def _start_until_settled(self, run: Run, began: float) -> None:
+        step = run.task.step
+        limit_s = (
+            self._bounds.gang_timeout_s * _GANG_START_FRACTION
+            if step.spec.gang
+            else _START_RETRY_LIMIT_S
+        )
+        while run in run.task.runs and not run.stop_reason and not self._term.lost:
+            if boot_time() - began > limit_s:
+                self._abandon_start(run, "start_unanswered")
+                return
+            answer = await self._send_start(run)
+            if self._handle_start_answer(run, answer, began):
+                return
+            await asyncio.sleep(_ORDER_RETRY_S)
+
+    async def _send_start(self, run: Run) -> OrderAnswer:
+        link = self._term.links[run.worker]
+        step = run.task.step
+        order = StartOrder(
+            task=run.task.name,
+            run=run.number,
+            text=step.job.accepted.spec.text,
+            fence=self._term.fence,
+            lease_until_s=link.lease_until(),
+            checkpoint=step.start_checkpoint(run.task),
+            ticket=run.ticket,
+        )
+        # Counted before it is sent, so that other tasks treat it as one that may
+        # still arrive.
+        run.unanswered_starts += 1
+        run.sent_at = boot_time()
+        call = link.pending_calls.note_sent(run.sent_at)
+        try:
+            answer = await self._term.workers.start(link.entry, order)
+        finally:
+            link.pending_calls.note_finished(call)
+        if answer.outcome is OrderOutcome.UNKNOWN:
+            link.suspected = True
+            self._unanswered_starts.setdefault(run.worker, {})[run.key] = run.sent_at
+        else:
+            run.unanswered_starts -= 1
+        if answer.incarnation:
+            link.on_order_answer(answer.incarnation, answer.clock_s, boot_time())
+        self._meters.count("starts", answer.outcome.value)
+        return answer
+
+    def _handle_start_answer(self, run: Run, answer: OrderAnswer, began: float) -> bool:
+        """Handle the answer to a start; return whether the start is settled."""
+        outcome = answer.outcome
+        step = run.task.step
+        if outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
+            # The worker has the run, so that earlier copies of the start are void.
+            run.unanswered_starts = 0
+            run.absence_conclusive_after = boot_time()
+            if answer.incarnation > run.incarnation:
+                run.incarnation = answer.incarnation
+            if outcome is OrderOutcome.APPLIED:
+                self._note_started(run, began)
+            return True
+        if outcome in _RETRIED_OUTCOMES:
+            return False
+        if outcome is OrderOutcome.FENCED:
+            self._term.on_fenced(run.worker)
+            return True
+        log(
+            "run.refused",
+            level="warning",
+            task=run.task.name,
+            run=run.number,
+            worker=run.worker,
+            reason=outcome.value,
+        )
+        if outcome is OrderOutcome.NO_TICKET:
+            self._term.tickets.advice_for(step).expire_ticket(run.worker)
+        self._abandon_start(run, outcome.value)
+        return True
+
+    def _abandon_start(self, run: Run, reason: str) -> None:
+        if run not in run.task.runs:
+            return
+        if run.unanswered_starts:
+            # A copy of the start may still be carried out.  Only a confirmed stop
+            # rules that out.
+            self._term.job_table.stop(run, reason)
+            if run.task.step.spec.gang:
+                self._term.job_table.stop_gang(run.task.step, run.number)
+        else:
+            self._term.job_table.void(run, reason, boot_time())
+        self._wake()
+
+    def _note_started(self, run: Run, began: float) -> None:
+        run.confirmed = True
+        now = boot_time()
+        self._term.tickets.record_start(now - run.assigned_at)
+        run.assigned_at = now
+        self._term.job_table.mark_begun(run.task.step.job, now)
+        self._meters.time("start", "", now - began)
+        log(
+            "run.started",
+            task=run.task.name,
+            run=run.number,
+            worker=run.worker,
+            took_ms=round((now - began) * 1000, 1),
+        )
+
+    async def stop(self, run: Run) -> None:
+        """Send a stop of a run until the worker confirms it."""
+        log(
+            "run.stopping",
+            task=run.task.name,
+            run=run.number,
+            worker=run.worker,
+            reason=run.stop_reason,
+        )
+        while run in run.task.runs and not self._term.lost:
+            if not run.stored:
+                return
+            link = self._term.links.get(run.worker)
+            if link is not None and self._term.may_act():
+                answer = await self._term.workers.stop(
+                    link.entry, run.task.name, run.number, self._term.fence
+                )
+                if answer.outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
+                    run.unanswered_starts = 0
+                    run.absence_conclusive_after = boot_time()
+                    return
+                if answer.outcome is OrderOutcome.FENCED:
+                    self._term.on_fenced(run.worker)
+                    return
+            await asyncio.sleep(_ORDER_RETRY_S)
--- /dev/null
+++ b/src/firhook/services/_placer.py
@@ -0,0 +1,167 @@
+"""The placement rounds of a lead's term, which assign tasks to workers."""
+
+from collections.abc import Callable, Mapping
+
+from firhook.cell import NO_RESOURCES, JobTable, Resources, WorkerEntry
+from firhook.clock import boot_time
+from firhook.decide.schedule import (
+    RoundResult,
+    WaitReason,
+    WorkerView,
+    urgent_headroom_m,
+)
+from firhook.decide.speeds import SpeedEstimator
+from firhook.decide.suspicion import suspected_zones
+from firhook.decide.tickets import TicketTable
+from firhook.decide.waiting import longest_waiting
+from firhook.logs import log
+from firhook.meters import Meters
+from firhook.services._adviser_client import AdviserClient
+from firhook.services._worker_link import WorkerLink
+
+#: The weight of the newest urgent step in the running mean of their CPU need.  About
+#: the last twenty steps count.
+_URGENT_WEIGHT = 0.1
+#: The interval at which the lead logs the steps that have waited longest.
+_LOG_INTERVAL_S = 1.0
+
+PlaceRound = Callable[
+    [JobTable, dict[str, WorkerView], TicketTable, float],
+    RoundResult,
+]
+
+
+class Placer:
+    """Runs placement rounds and carries out their decisions.
+
+    :param links: the known workers, by name.
+    :param place_round: decides which waiting tasks start, and on which workers.
+    """
+
+    def __init__(
+        self,
+        job_table: JobTable,
+        links: Mapping[str, WorkerLink],
+        speeds: SpeedEstimator,
+        tickets: TicketTable,
+        adviser_client: AdviserClient,
+        meters: Meters,
+        place_round: PlaceRound,
+    ) -> None:
+        self._job_table = job_table
+        self._links = links
+        self._speeds = speeds
+        self._tickets = tickets
+        self._adviser_client = adviser_client
+        self._meters = meters
+        self._place_round = place_round
+        self._urgent_need_m = 0
+        self._waits: dict[str, WaitReason] = {}
+        self._logged_at = float("-inf")
+        self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
+
+    def skip_round(self) -> None:
+        """Skip a round, after which the reasons why steps wait are unknown."""
+        self._waits = {}
+
+    def place(self, now: float) -> None:
+        """Assign the tasks that may run now, and ask the adviser about others."""
+        self._waits = {}
+        if not self._job_table.open_steps:
+            return
+        views = self._views(now)
+        result = self._place_round(self._job_table, views, self._tickets, now)
+        for placement in result.placements:
+            step = placement.step
+            for run in self._job_table.plan(step, placement.tasks, now):
+                run.ticket = self._tickets.ticket_text(step, run.worker)
+            if step.job.queue.priority == 0:
+                self._update_urgent_need(step.spec.reserved.cpu_m)
+            if not step.occurrence and step.number == 0:
+                queue = step.job.queue.name
+                self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
+        self._waits = result.wait_reasons
+        self._adviser_client.ask_all(result.advice_requests, now)
+        self._tickets.retain_jobs(self._job_table.jobs)
+        took_s = boot_time() - now
+        self._meters.time("round", "", took_s)
+
+    def log_waiting(self, now: float) -> None:
+        """Log the steps that have waited longest, and why they wait."""
+        if now - self._logged_at < _LOG_INTERVAL_S:
+            return
+        self._logged_at = now
+        answering = {n for n, link in self._links.items() if not link.suspected}
+        waiting = longest_waiting(
+            self._job_table, self._waits, self._tickets, answering, now
+        )
+        if waiting:
+            rows = [
+                {
+                    "step": row.step.name,
+                    "why": row.reason.value,
+                    "ready_s": round(row.ready_s, 2),
+                    "left": row.step.remaining,
+                    "workers": row.workers,
+                    "asked": row.asked,
+                    "permitted": row.permitted,
+                }
+                for row in waiting
+            ]
+            log("steps.waiting", steps=rows)
+
+    def _update_urgent_need(self, cpu_m: int) -> None:
+        """Update the running mean of the CPU need of urgent tasks, in millicores."""
+        self._urgent_need_m += int((cpu_m - self._urgent_need_m) * _URGENT_WEIGHT)
+
+    def _views(self, now: float) -> dict[str, WorkerView]:
+        views = {}
+        late = {
+            name: link.pending_calls.overdue_since(now)
+            for name, link in self._links.items()
+        }
+        cutoffs = suspected_zones(
+            (self._links[name].entry.zone, due)
+            for name, due in late.items()
+            if due is not None
+        )
+        for name, link in self._links.items():
+            if late[name] is not None or not link.usable(now):
+                continue
+            entry = link.entry
+            if cutoffs and link.last_reply_at < cutoffs.get(
+                entry.zone, link.last_reply_at
+            ):
+                continue
+            running = len(self._job_table.worker_runs.get(name, ()))
+            if not link.health.accepts(running, now):
+                continue
+            view = WorkerView(
+                name,
+                link.incarnation,
+                entry.pool,
+                entry.rack,
+                entry.labels,
+                self._free(link),
+            )
+            view.slow = self._speeds.is_slow(name)
+            view.urgent_cpu_m = urgent_headroom_m(
+                entry.capacity.cpu_m, self._urgent_need_m
+            )
+            views[name] = view
+        return views
+
+    def _free(self, link: WorkerLink) -> Resources:
+        """Return the free resources of a worker.
+
+        The result is cached, as most workers are unchanged since the last round.
+        With 270 workers and a round after each change of one of them, computing it
+        again for all took a quarter of a round, during which the lead does nothing
+        else.
+        """
+        use = self._job_table.worker_usage.get(link.name, NO_RESOURCES)
+        cached = self._free_cache.get(link.name)
+        if cached is None or cached[0] is not link.entry or cached[1] is not use:
+            free = link.entry.capacity.subtract(use)
+            cached = self._free_cache[link.name] = (link.entry, use, free)
+        return cached[2]
--- a/tests/services/test_appends.py
+++ b/tests/services/test_appends.py
@@ -6,7 +6,7 @@
 
 from firhook.platform.store import CELL_TOPIC
 from standins.model import ModelRequest, now, pause
-from tests.services.scenes import play
+from tests.services.scenarios import run_scenario
 
 JOB = b'{"specification":"x","steps":[{"count":1,"millicpus":1000}]}'
 JOB_ID = f"{7:016x}"
@@ -35,14 +35,14 @@
         other, _ = find_follower(cell)
         cell.store.slow = 110.0
         await pause(after_s)
-        cell.store.partly_down.add(1)
+        cell.store.down_partitions.add(1)
         req = ModelRequest("POST", f"/plan/{JOB_ID}", JOB, deadline_ms=590)
         status, body = await other.call(req)
         await pause(2.0)
         stored = is_stored(cell, f"job/{JOB_ID}")
         assert status in ((200, 504) if stored else (503, 504)), body
 
-    play(scenario, instances=3)
+    run_scenario(scenario, instances=3)
 
 
 def test_caller_is_answered_by_its_deadline_though_others_may_wait_longer():
@@ -50,7 +50,7 @@
 
     async def scenario(cell):
         other, name = find_follower(cell)
-        cell.cuts += [{name, peer} for peer in cell.instances if peer != name]
+        cell.cut_links += [{name, peer} for peer in cell.instances if peer != name]
         cell.store.slow = 60.0
         await pause(2.0)
         cell.store.mode[name] = "silent"
@@ -64,4 +64,4 @@
         assert status == 503
         await patient
 
-    play(scenario, instances=3)
+    run_scenario(scenario, instances=3)
--- a/tests/services/test_copying.py
+++ b/tests/services/test_copying.py
@@ -4,7 +4,7 @@
 
 from firhook.platform.store import CELL_TOPIC
 from standins.model import ModelCell, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 #: Two strong instances and a weak one in each of two zones.
 STRENGTHS = {"i0": 2.0, "i1": 2.0, "i2": 2.0, "i3": 2.0, "i4": 0.5, "i5": 0.5}
@@ -14,7 +14,7 @@
 
 async def _cell():
     cell = ModelCell(instances=6, workers=6, strengths=STRENGTHS, zones=ZONES)
-    cell.drops = 0.0
+    cell.drop_share = 0.0
     await cell.begin()
     return cell
 
@@ -60,14 +60,14 @@
             _slow_down_link(cell, name)
         for name in STRENGTHS:
             await cell.restart(name)
-        read_before = cell.store.wholly_read["i4"]
+        read_before = cell.store.full_reads["i4"]
         await cell.until(lambda: cell.lead() is not None, 3.0)
         assert STRENGTHS[cell.lead_name()] == 2.0
         await pause(1.0)
         assert await cell.instances["i4"].instance.services["callers"].ready()
-        assert cell.store.wholly_read["i4"] == read_before
+        assert cell.store.full_reads["i4"] == read_before
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -79,7 +79,7 @@
         await pause(1.0)
         cell.kill("i4")
         for name in ("i0", "i1", "i2", "i3"):
-            cell.cuts.append({name, "i4"})
+            cell.cut_links.append({name, "i4"})
         await cell.restart("i4")
         await pause(4.0)
         found = cell.instances["i4"]
@@ -106,9 +106,9 @@
                 _slow_down_link(cell, name)
         for name in ("i0", "i1", "i2", "i3"):
             cell.kill(name)
-        await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 20.0)
-        assert set(cell.lead().lead.term.book.jobs) >= set(jobs)
+        await cell.until(lambda: cell.lead() and cell.lead().lead.term.taken_over, 20.0)
+        assert set(cell.lead().lead.term.job_table.jobs) >= set(jobs)
         await cell.all_done(60.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
--- a/tests/services/test_fan_out.py
+++ b/tests/services/test_fan_out.py
@@ -4,7 +4,7 @@
 
 from firhook.cell.records import JOB_PREFIX
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 ZONES = ("z0", "z1", "z2")
 HEARTBEAT = "LeadAlive"
@@ -36,7 +36,7 @@
 
     async def scenario():
         cell = await _zoned_cell(6, workers=24)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         # Workers of different speed spread the ends of tasks.
         for number, worker in enumerate(cell.workers.values()):
@@ -50,7 +50,7 @@
         assert cell.longest_wait_s[lead] < 0.1
         assert cell.lead_name() == lead
         assert cell.instances[lead].lead.term.fence == 1
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -58,7 +58,7 @@
 def test_records_reach_zones_through_one_instance_each():
     async def scenario():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         cell.sent_bytes.clear()
         job, _ = await cell.submit([step(4)], work_s=0.5)
@@ -79,7 +79,7 @@
 
     async def scenario():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         job, _ = await cell.submit([step(2)], work_s=0.2)
         await cell.all_done(10.0)
@@ -107,7 +107,7 @@
 
     async def scenario():
         cell = await _zoned_cell(3, workers=12)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         plan = [step(12), step(4, after=[0])]
         jobs = [(await cell.submit(plan, work_s=2.0))[0] for _ in range(3)]
         await pause(1.0)
@@ -120,12 +120,12 @@
         assert len(standbys) < len(cell.instances) - 1
         for name in [lead, *standbys]:
             cell.kill(name)
-        await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 5.0)
-        book = cell.lead().lead.term.book
+        await cell.until(lambda: cell.lead() and cell.lead().lead.term.taken_over, 5.0)
+        book = cell.lead().lead.term.job_table
         assert all(book.jobs[job].accepted.spec.steps for job in jobs)
         assert sum(len(runs) for runs in book.worker_runs.values()) > 0
         await cell.all_done(40.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
         kept = {k for p in cell.store.partitions.values() for k in p.newest}
         assert {JOB_PREFIX + job for job in jobs} <= kept
 
@@ -135,7 +135,7 @@
 def test_standby_receives_full_records_and_takes_over():
     async def scenario():
         cell = await _zoned_cell(3, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         job, _ = await cell.submit([step(6)], work_s=3.0)
         await pause(1.0)
         lead = cell.lead_name()
@@ -146,14 +146,14 @@
         }
         standbys = [name for name, v in views.items() if not v.accepted.is_digest]
         runs = [
-            views[name].state.whole().steps for name in standbys if views[name].state
+            views[name].state.decode().steps for name in standbys if views[name].state
         ]
         assert len(runs) >= 2
         cell.kill(lead)
         await cell.until(lambda: cell.lead() is not None, 5.0)
         assert cell.lead_name() in standbys
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -163,7 +163,7 @@
 
     async def scenario():
         cell = await _zoned_cell(5, workers=6)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         lead = cell.lead_name()
         fence = cell.instances[lead].lead.term.fence
         relays = {n for n, _, kind in cell.sent_bytes if kind == HEARTBEAT} - {lead}
@@ -174,7 +174,7 @@
         assert cell.lead_name() == lead
         assert cell.instances[lead].lead.term.fence == fence
         elections = [i.lead._election for n, i in cell.instances.items() if i.alive]
-        assert not any(e.quiet(now()) for e in elections)
+        assert not any(e.lead_unresponsive(now()) for e in elections)
 
     run_virtual(scenario())
 
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -9,8 +9,7 @@
 from firhook.services._members import Registration
 from firhook.services._mesh import MeshService
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import play as run_scenario
-from tests.services.scenes import step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_instance_finds_its_peers_before_it_has_read_the_jobs():
@@ -26,7 +25,7 @@
             content = bytes((len(key),)) + key.encode() + encode_record(record)
             partition.add([content])
         known = cell.instances["i0"].instance
-        cell.store.transfer_s["i0", 1] = 12.0
+        cell.store.partition_read_s["i0", 1] = 12.0
         fresh = Instance(known.settings, known.platform, {"mesh": MeshService})
         began = now()
         assert await fresh.services["mesh"]._read_or_create_keys() == keys
@@ -42,21 +41,21 @@
 
     async def scenario(cell):
         cell.kill("i2")
-        cell.store.transfer_s["i2", 1] = 4.0
+        cell.store.partition_read_s["i2", 1] = 4.0
         await pause(1.0)
         await cell.restart("i2")
         await pause(0.5)
-        asked = cell.adviser.asked_through["i2"]
+        asked = cell.adviser.calls_by_instance["i2"]
         began = now()
         while now() - began < 2.5:
             await cell.submit([step(2)], work_s=0.1)
             await pause(0.02)
-        assert cell.adviser.asked_through["i2"] == asked
-        cell.store.transfer_s.clear()
+        assert cell.adviser.calls_by_instance["i2"] == asked
+        cell.store.partition_read_s.clear()
         await pause(6.0)
         for _ in range(100):
             await cell.submit([step(2)], work_s=0.1)
-        assert cell.adviser.asked_through["i2"] > asked
+        assert cell.adviser.calls_by_instance["i2"] > asked
         await cell.all_done(20.0)
 
     run_scenario(scenario, instances=3, workers=6, advised=True)
@@ -65,13 +64,13 @@
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
 def test_instance_that_has_read_everything_is_known_as_such(partitions):
     """Its two records may lie on two partitions and arrive in any order."""
-    reading = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=True)
-    done = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=False)
+    catching_up = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=True)
+    done = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=False)
     replica, key = Replica(), PEER_PREFIX + "p"
     replica.apply(5, key, encode_record(done), partitions[1])
-    replica.apply(9, key, encode_record(reading), partitions[0])
+    replica.apply(9, key, encode_record(catching_up), partitions[0])
     assert replica.peers["p"] == done
-    restarted = PeerRecord("p", "2", "a:1", "z0", 1.0, reading=True)
+    restarted = PeerRecord("p", "2", "a:1", "z0", 1.0, catching_up=True)
     replica.apply(10, key, encode_record(restarted), partitions[0])
     assert replica.peers["p"] == restarted
 
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -4,7 +4,7 @@
 
 from firhook.cell import OrderOutcome
 from standins.model import ModelRequest, now, pause
-from tests.services.scenes import play, step
+from tests.services.scenarios import run_scenario, step
 
 WAITING, RUNNING = ("queued", 1), ("running", 0)
 
@@ -57,7 +57,7 @@
 def assigned(cell, job):
     """Return whether the log holds a run of the job."""
     views = [i.instance.replica.find(job) for i in cell.instances.values() if i.alive]
-    return all(v and v.state and not v.state.over for v in views)
+    return all(v and v.state and not v.state.has_no_steps for v in views)
 
 
 def led_by_another(cell, first):
@@ -73,7 +73,7 @@
         set_mode(cell, "up")
         await check_starts(cell, job)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_job_whose_lead_is_lost_between_assignment_and_order_is_not_reported_running():
@@ -81,26 +81,26 @@
         first = cell.lead_name()
         # The successor reaches no worker, so it knows only what is stored.
         for worker in cell.workers.values():
-            worker.cut_from |= set(cell.instances) - {first}
-        orders = cell.instances[first].lead.term._orders
-        orders.begin = lambda run: cell.kill(first)
+            worker.unreachable_from |= set(cell.instances) - {first}
+        orders = cell.instances[first].lead.term._order_sender
+        orders.start_runs = lambda run: cell.kill(first)
         job, _ = await cell.submit([step(1)], work_s=5.0)
         await cell.until(lambda: led_by_another(cell, first), 5.0)
         await pause(0.5)
         assert assigned(cell, job)
         assert await collect_answers(cell, job) == {WAITING}
         for worker in cell.workers.values():
-            worker.cut_from.clear()
+            worker.unreachable_from.clear()
         await check_starts(cell, job)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 REFUSALS = [
     OrderOutcome.NO_TICKET,
-    OrderOutcome.NO_ROOM,
+    OrderOutcome.NO_CAPACITY,
     OrderOutcome.BUSY,
-    OrderOutcome.OLD,
+    OrderOutcome.SUPERSEDED,
 ]
 
 
@@ -122,7 +122,7 @@
             del worker.start
         await cell.all_done(20.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_job_whose_lead_is_lost_just_after_its_start_is_reported_running():
@@ -135,7 +135,7 @@
         await pause(1.0)
         await check_running(cell, job)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_job_whose_run_is_lost_with_its_worker_is_not_reported_queued_again():
@@ -148,7 +148,7 @@
         cell.workers["w0"].restart()
         await cell.all_done(20.0)
 
-    play(scenario, workers=1)
+    run_scenario(scenario, workers=1)
 
 
 def test_job_whose_start_was_not_answered_is_reported_running_once_its_run_is_listed():
@@ -160,4 +160,4 @@
         await pause(2.0)
         await check_running(cell, job)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/services/test_submissions.py
+++ b/tests/services/test_submissions.py
@@ -10,7 +10,7 @@
 from firhook.platform.store import CELL_TOPIC
 from firhook.services import _callers
 from standins.model import ModelCell, ModelRequest, TaskPlan, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 STEP = step(1)
 BODY = msgspec.json.encode({"specification": "other", "steps": [STEP]})
@@ -138,7 +138,7 @@
 
     async def scenario():
         cell = ModelCell(instances=4)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         for worker in cell.workers.values():
             record_texts(worker, texts)
@@ -166,6 +166,6 @@
             for method, expected in (("POST", 409), ("DELETE", 410)):
                 req = ModelRequest(method, path + job, BODY, key)
                 assert (await found.call(req))[0] == expected
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
