--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -235,8 +235,8 @@
     def _note_started(self, run: Run, began: float) -> None:
         run.confirmed = True
         now = boot_time()
-        self._term.tickets.record_start(now - run.assigned_at)
-        run.assigned_at = now
+        self._term.tickets.record_start(now - run.started_at)
+        run.started_at = now
         self._term.job_table.mark_begun(run.task.step.job, now)
         self._meters.record_duration("start", "", now - began)
         log(
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -422,10 +422,10 @@
             worker=link.name,
             end=end.value,
             gang=step.spec.gang,
-            ran_ms=round((now - run.assigned_at) * 1000),
+            ran_ms=round((now - run.started_at) * 1000),
         )
         if end is RunEnd.DONE:
-            self.speeds.record_run(step.name, link.name, now - run.assigned_at)
+            self.speeds.record_run(step.name, link.name, now - run.started_at)
         if step.remaining == 0:
             self.speeds.close_step(step.name)
         if link.health.record_end(step.job.id, end, now):
