--- a/src/firhook/_loop_socket.py
+++ b/src/firhook/_loop_socket.py
@@ -45,14 +45,14 @@
         """
         try:
             self.sock.send_multipart(frames, zmq.NOBLOCK)
-            taken = True
+            queued = True
         except zmq.ZMQError:
-            taken = False
+            queued = False
         # An attempt to send clears the notification of a received message, which
         # is not repeated.
         if self._reading and self.sock.getsockopt(zmq.EVENTS) & zmq.POLLIN:
             self._schedule_read()
-        return taken
+        return queued
 
     def _schedule_read(self) -> None:
         if not self._read_scheduled:
--- a/src/firhook/_mesh.py
+++ b/src/firhook/_mesh.py
@@ -48,7 +48,6 @@
 _CONNECT_TIMEOUT_MS = 500
 ONE_WAY_TAG = b""
 _TAG_BYTES = 8
-
 _log_unanswered = log_failure("peer.unanswered")
 #: Compression does not make shorter frames smaller.
 COMPRESSION_THRESHOLD_BYTES = 300
