--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -44,8 +44,8 @@
         # It may be about to end: percentages are rounded.
         return now - run.percent_at > 2 * stall_timeout_s(run)
     if run.percent <= 0:
-        return now - run.assigned_at > _first_progress_timeout_s(run)
-    return now - max(run.percent_at, run.assigned_at) > stall_timeout_s(run)
+        return now - run.started_at > _first_progress_timeout_s(run)
+    return now - max(run.percent_at, run.started_at) > stall_timeout_s(run)
 
 
 def stall_timeout_s(run: Run) -> float:
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -122,9 +122,9 @@
             self, self.leadership, self.lender.on_grant_ask
         )
         self.lender.borrower = self.borrower
-        self.bus.answer(AskPeer, self._ask_peer)
-        self.bus.answer(Append, self._append)
-        self.bus.answer(LogAge, self._log_age)
+        self.bus.register_handler(AskPeer, self._ask_peer)
+        self.bus.register_handler(Append, self._append)
+        self.bus.register_handler(LogAge, self._log_age)
         self.bus.subscribe(RecordApplied, self.lender.on_record)
         self.bus.subscribe(CapacityWanted, self.borrower.add_demand)
         self.bus.subscribe(CapacityChanged, lambda event: self.serve())
