--- a/src/firhook/_calls.py
+++ b/src/firhook/_calls.py
@@ -19,7 +19,7 @@
 PREFIX = "/r/"
 #: Headers that are for firhook only.  The key above all must not reach a
 #: runner, which could act in the team's name with it.
-_OWN_HEADERS = frozenset(("authorization", "x-class", "x-deadline-ms"))
+_FIRHOOK_HEADERS = frozenset(("authorization", "x-class", "x-deadline-ms"))
 
 
 @attrs.define(slots=True, eq=False)
@@ -64,8 +64,8 @@
     @property
     def kind(self) -> tuple[str, ...]:
         """What requests that take about as long have in common."""
-        first = self.path.split("?", 1)[0].split("/", 2)[1][:64]
-        return (self.team, self.klass, self.method, first)
+        first_segment = self.path.split("?", 1)[0].split("/", 2)[1][:64]
+        return (self.team, self.klass, self.method, first_segment)
 
     def once_digests(self) -> tuple[str, str]:
         """Return the digests of its Idempotency-Key and of all it asks for."""
@@ -89,24 +89,24 @@
     :raises RequestMalformedError: naming the part that is wrong.
     :raises ZoneStaleError: if the key may have been withdrawn unnoticed.
     """
-    who = await principal(bus, req)
-    if who.is_operator:
+    caller = await principal(bus, req)
+    if caller.is_operator:
         raise NotPermittedError("an operator's key runs no requests")
     await bus.ask(CheckFresh(req.method in IDEMPOTENT))
     service, path = split_target(req.raw_path)
-    klass = _single(req, "X-Class") or "standard"
+    klass = _single_header(req, "X-Class") or "standard"
     if klass not in CLASSES:
         raise RequestMalformedError(f"X-Class = {klass!r}: give one of {CLASSES}")
-    deadline_s = check_deadline(_single(req, "X-Deadline-Ms"), max_deadline_s)
+    deadline_s = check_deadline(_single_header(req, "X-Deadline-Ms"), max_deadline_s)
     once_key = ""
     if req.method not in IDEMPOTENT:
-        once_key = check_once_key(_single(req, "Idempotency-Key"))
+        once_key = check_once_key(_single_header(req, "Idempotency-Key"))
     headers = CIMultiDict(
-        (k, v) for k, v in req.headers.items() if k.lower() not in _OWN_HEADERS
+        (k, v) for k, v in req.headers.items() if k.lower() not in _FIRHOOK_HEADERS
     )
     return Call(
         rid=req[REQUEST_KEY],
-        team=who.team,
+        team=caller.team,
         service=service,
         method=req.method,
         path=path,
@@ -134,7 +134,7 @@
     return service, f"/{path}"
 
 
-def _single(req: web.Request, name: str) -> str | None:
+def _single_header(req: web.Request, name: str) -> str | None:
     values = req.headers.getall(name, [])
     if len(values) > 1:
         raise RequestMalformedError(f"{name}: give it once, not {len(values)} times")
@@ -180,19 +180,19 @@
     charge her by another way once more.
     """
     keyed = req.method not in IDEMPOTENT and "Idempotency-Key" in req.headers
-    settled = call is not None and call.claimed
-    if keyed and not settled and exc.ran == "no":
+    claim_confirmed = call is not None and call.claimed
+    if keyed and not claim_confirmed and exc.ran == "no":
         exc.extra.setdefault("earlier_attempts", "unknown")
 
 
-def build_response(answer: EndpointResponse, closing: bool) -> web.Response:
+def build_response(answer: EndpointResponse, close_connection: bool) -> web.Response:
     """Return a runner's answer to the caller.
 
-    :param closing: whether to close the caller's connection after it.
+    :param close_connection: whether to close the caller's connection after it.
     """
     resp = web.Response(
         status=answer.status, body=answer.body, headers=CIMultiDict(answer.headers)
     )
-    if closing:
+    if close_connection:
         resp.force_close()
     return resp
--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -16,9 +16,9 @@
 #: A team that was refused room asks again after so long at the earliest.
 _RETRY_S = 0.1
 #: Wants that come within this time go into one message.
-_GATHER_S = 0.01
+_BATCH_DELAY_S = 0.01
 #: Demand that is not renewed falls by half in this time.
-_HALF_LIFE_S = 2.0
+_DEMAND_HALF_LIFE_S = 2.0
 
 
 @attrs.frozen(slots=True)
@@ -53,21 +53,21 @@
         self._kernel = kernel
         self._leadership = leadership
         self._lend = lend
-        self._demand = Demand(_HALF_LIFE_S)
-        self._pressed: set[str] = set()
-        self._quiet_until: dict[str, float] = {}
+        self._demand = Demand(_DEMAND_HALF_LIFE_S)
+        self._pending_teams: set[str] = set()
+        self._retry_at: dict[str, float] = {}
         self._wake = asyncio.Event()
         self._seq = 0
         self._stamp = _Stamp(0, -1.0, float("-inf"))
-        self._lead: tuple[int, str] = (0, "")
-        self._left = False
+        self._announced_lead: tuple[int, str] = (0, "")
+        self._stopped = False
 
     def add_demand(self, event: CapacityWanted) -> None:
         """Note that work waits for room."""
         now = self._kernel.clock()
         self._demand.note(event.team, event.wanted, now)
-        if now >= self._quiet_until.get(event.team, 0.0):
-            self._pressed.add(event.team)
+        if now >= self._retry_at.get(event.team, 0.0):
+            self._pending_teams.add(event.team)
             self._wake.set()
 
     def teams(self) -> list[str]:
@@ -80,9 +80,9 @@
         # Whatever waits wants room for one at least: its want may have been
         # noted long ago, while the lead was away, and nothing would note it
         # again before its deadline.
-        least = self._kernel.account.running.get(team, 0)
-        least += bool(self._kernel.load.waiting.get(team))
-        return self._demand.wanted(team, least, now)
+        minimum = self._kernel.account.running.get(team, 0)
+        minimum += bool(self._kernel.load.waiting.get(team))
+        return self._demand.wanted(team, minimum, now)
 
     def holdings(self, teams: Iterable[str]) -> tuple[TeamRoom, ...]:
         """Return what is wanted and held for teams.
@@ -106,8 +106,8 @@
             # Another run of this instance held that; it may be paused only.
             raise NotLeadError(f"this is {self._kernel.lane}, not {ask.instance}")
         self._leadership.fence(ask.epoch)
-        if ask.epoch > self._lead[0]:
-            self._lead = (ask.epoch, ask.lead)
+        if ask.epoch > self._announced_lead[0]:
+            self._announced_lead = (ask.epoch, ask.lead)
         return self.all_holdings()
 
     def all_holdings(self) -> Holdings:
@@ -122,30 +122,34 @@
     def _known_lead(self) -> tuple[int, str]:
         lead = self._leadership.state
         if lead.released or not lead.instance:
-            return self._lead if self._lead[0] > lead.epoch else (0, "")
-        return max(self._lead, (lead.epoch, lead.instance))
+            return (
+                self._announced_lead
+                if self._announced_lead[0] > lead.epoch
+                else (0, "")
+            )
+        return max(self._announced_lead, (lead.epoch, lead.instance))
 
     async def run(self) -> None:
         """Ask again and again, for everything or for what is pressed."""
         ttl_s = self._kernel.cfg.grant_ttl_s
         next_full = 0.0
-        while not self._left:
+        while not self._stopped:
             now = self._kernel.clock()
             if now >= next_full:
-                self._pressed.clear()
-                done = await self._try_ask(self.teams())
+                self._pending_teams.clear()
+                done = await self._try_request(self.teams())
                 # One ask that gets no answer in its second still leaves time
                 # for another before the grants lapse.
                 next_full = now + (ttl_s / 2 if done else _RETRY_S)
-            elif self._pressed:
-                teams = sorted(self._pressed)
-                self._pressed.clear()
-                if not await self._try_ask(teams):
+            elif self._pending_teams:
+                teams = sorted(self._pending_teams)
+                self._pending_teams.clear()
+                if not await self._try_request(teams):
                     next_full = now + _RETRY_S
             self._wake.clear()
-            if not self._pressed:
+            if not self._pending_teams:
                 await self._pause(next_full - self._kernel.clock())
-            await asyncio.sleep(_GATHER_S)
+            await asyncio.sleep(_BATCH_DELAY_S)
 
     async def _pause(self, seconds: float) -> None:
         try:
@@ -153,21 +157,21 @@
         except TimeoutError:
             return
 
-    async def _try_ask(self, teams: Iterable[str]) -> bool:
+    async def _try_request(self, teams: Iterable[str]) -> bool:
         try:
-            return await self._ask(teams)
+            return await self._request(teams)
         except FirhookError as exc:
             # The lead is away or changing.  What is held stays held until it
             # lapses, and the next round finds the lead that is there then.
             log("room.ask_failed", level="debug", code=exc.code, detail=exc.detail)
             return False
 
-    async def _ask(self, teams: Iterable[str], leaving: bool = False) -> bool:
+    async def _request(self, teams: Iterable[str], leaving: bool = False) -> bool:
         epoch, lead = self._known_lead()
         if not lead:
             return False
         self._seq += 1
-        echo = self._promise(epoch)
+        echo = self._make_promise(epoch)
         sent_at = self._kernel.clock()
         rooms = self.holdings(teams)
         ask = GrantAsk(
@@ -177,17 +181,17 @@
             answer = await self._lend(ask)
         else:
             answer = await self._kernel.bus.ask(AskPeer(instance_name(lead), ask))
-        self._apply(ask, answer, sent_at)
+        self._apply_answer(ask, answer, sent_at)
         return answer.lent
 
-    def _promise(self, epoch: int) -> float:
+    def _make_promise(self, epoch: int) -> float:
         """Return the stamp to send back, by which this ask is a promise."""
         if self._stamp.epoch != epoch or not self._leadership.may_promise:
             return -1.0
         self._leadership.promised_at = self._stamp.read_at
         return self._stamp.stamp
 
-    def _apply(self, ask: GrantAsk, answer: GrantAnswer, sent_at: float) -> None:
+    def _apply_answer(self, ask: GrantAsk, answer: GrantAnswer, sent_at: float) -> None:
         if answer.epoch != ask.epoch or answer.epoch < self._known_lead()[0]:
             # A newer lead has been told what is held here; it does not know
             # of this grant.
@@ -205,15 +209,15 @@
             grown = amount > account.room_now(room.team)
             account.lend(room.team, amount, sent_at + answer.ttl_s)
             if amount < room.wanted:
-                self._quiet_until[room.team] = now + _RETRY_S
+                self._retry_at[room.team] = now + _RETRY_S
             else:
-                self._quiet_until.pop(room.team, None)
+                self._retry_at.pop(room.team, None)
             if grown:
                 self._kernel.bus.publish(CapacityChanged(room.team))
 
     def stop(self) -> None:
         """Ask no more."""
-        self._left = True
+        self._stopped = True
         self._wake.set()
 
     async def leave(self) -> bool:
@@ -229,7 +233,7 @@
         if account.running or self._kernel.grants.lent_to_guests(self._kernel.clock()):
             return False
         try:
-            await self._ask((), leaving=True)
+            await self._request((), leaving=True)
         except FirhookError:
             # The lead counts this instance as silent and waits it out.
             return True
--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -29,24 +29,24 @@
 )
 
 #: How long a new lead waits for what an instance holds, in seconds.
-_HOLDINGS_S = 0.5
+_HOLDINGS_TIMEOUT_S = 0.5
 #: What another zone said that it is short of is acted on for so long.
-_SHORT_LASTS_S = 2.5
+_SHORTAGE_TTL_S = 2.5
 #: How long to wait until another lead has heard it, in seconds.
-_SHORT_WAIT_S = 0.5
+_ANNOUNCE_TIMEOUT_S = 0.5
 #: How long the outcome of a transfer is waited for, in seconds.
-_MOVE_S = 2.0
+_MOVE_TIMEOUT_S = 2.0
 
 
 @attrs.define(slots=True, eq=False)
-class _Unsettled:
+class _UnresolvedMove:
     """A transfer whose outcome the log has not told."""
 
     move: LimitMoved
     failed_at: float
 
 
-def _held(rooms: Iterable[TeamRoom]) -> dict[str, int]:
+def _held_by_team(rooms: Iterable[TeamRoom]) -> dict[str, int]:
     """Return how much is held, by team."""
     return {room.team: room.held for room in rooms}
 
@@ -60,12 +60,12 @@
     def __init__(self, kernel: Kernel, leadership: Leadership) -> None:
         self._kernel = kernel
         self._leadership = leadership
-        self._book = kernel.grants
-        self._book.host = kernel.lane
+        self._grants = kernel.grants
+        self._grants.host = kernel.lane
         self._epoch = 0
-        self._unsettled: list[_Unsettled] = []
-        self._given_at: dict[str, float] = {}
-        self._shorts: dict[str, tuple[float, ZoneShort]] = {}
+        self._unresolved_moves: list[_UnresolvedMove] = []
+        self._received_at: dict[str, float] = {}
+        self._zone_shortages: dict[str, tuple[float, ZoneShort]] = {}
         self.borrower: CapacityBorrower | None = None
 
     def zone_limit(self, team: str) -> int:
@@ -83,64 +83,69 @@
 
     def roster(self) -> frozenset[str]:
         """Return the instances to lend to from the next renewal on."""
-        stays, grown = self._stays(), self._grown()
-        if self._book.opened and self._book.fits(len(grown), self.zone_limit):
-            return grown
-        return stays
+        remaining, with_joiners = (
+            self._remaining_holders(),
+            self._holders_with_joiners(),
+        )
+        if self._grants.opened and self._grants.fits(
+            len(with_joiners), self.zone_limit
+        ):
+            return with_joiners
+        return remaining
 
-    def _stays(self) -> frozenset[str]:
+    def _remaining_holders(self) -> frozenset[str]:
         now = self._kernel.clock()
         roster = self._leadership.state.roster
-        if not self._book.opened:
+        if not self._grants.opened:
             return frozenset(roster) | {self._kernel.lane}
-        stays = frozenset(h for h in roster if not self._gone(h, now))
-        return stays | {self._kernel.lane}
+        remaining = frozenset(h for h in roster if not self._has_left(h, now))
+        return remaining | {self._kernel.lane}
 
-    def _grown(self) -> frozenset[str]:
+    def _holders_with_joiners(self) -> frozenset[str]:
         lead = self._leadership
-        return self._stays() | (lead.joining - lead.leaving)
+        return self._remaining_holders() | (lead.joining - lead.leaving)
 
     def published_holders(self) -> int:
         """Return the number of holders to publish with the roster."""
-        return self._book.capped_by(self._kernel.clock(), len(self.roster()))
+        return self._grants.capped_by(self._kernel.clock(), len(self.roster()))
 
-    def _gone(self, holder: str, now: float) -> bool:
+    def _has_left(self, holder: str, now: float) -> bool:
         if holder in self._leadership.leaving:
             return True
-        unheard = not self._book.asked_lately(holder, now)
-        return unheard and self._book.lapsed(holder, now)
+        not_asking = not self._grants.asked_lately(holder, now)
+        return not_asking and self._grants.lapsed(holder, now)
 
     async def sync_with_lead(self) -> None:
         """Open the book after a won claim; close it after a loss."""
         lead = self._leadership
         if not lead.is_lead:
-            if self._book.opened:
-                self._book.close()
+            if self._grants.opened:
+                self._grants.close()
             self._epoch = 0
             return
         if self._epoch != lead.state.epoch and lead.is_held(self._kernel.clock()):
             await self._take_over(lead.state.epoch)
-        elif self._book.opened:
-            await self._ask_silent()
+        elif self._grants.opened:
+            await self._poll_silent_holders()
 
     async def _take_over(self, epoch: int) -> None:
         assert self.borrower is not None
         lead = self._leadership
-        self._book.close()
+        self._grants.close()
         roster = frozenset(lead.state.roster) - {self._kernel.lane}
-        answers = await self._holdings(epoch, roster)
+        answers = await self._fetch_holdings(epoch, roster)
         if not lead.is_lead or lead.state.epoch != epoch:
             return
         now = self._kernel.clock()
-        known: dict[str, dict[str, int]] = {}
+        holdings: dict[str, dict[str, int]] = {}
         for h in (*answers, self.borrower.all_holdings()):
-            known[h.instance] = _held(h.teams)
+            holdings[h.instance] = _held_by_team(h.teams)
             if h.guests:
-                known[guests_of(h.instance)] = _held(h.guests)
-        silent = roster - set(known)
-        until = lead.silent_until(frozenset(known), now)
+                holdings[guests_of(h.instance)] = _held_by_team(h.guests)
+        silent = roster - set(holdings)
+        until = lead.silent_until(frozenset(holdings), now)
         holders = len(roster) + 1
-        self._book.open(now, known, silent, until, lead.previous_holders, holders)
+        self._grants.open(now, holdings, silent, until, lead.previous_holders, holders)
         self._epoch = epoch
         log(
             "lead.opened",
@@ -150,29 +155,35 @@
             silent_s=round(until - now, 1) if silent else 0,
         )
 
-    async def _ask_silent(self) -> None:
+    async def _poll_silent_holders(self) -> None:
         now = self._kernel.clock()
-        silent = self._book.silent(now)
-        for h in await self._holdings(self._epoch, silent):
+        silent = self._grants.silent(now)
+        for h in await self._fetch_holdings(self._epoch, silent):
             now = self._kernel.clock()
-            self._book.heard(h.instance, _held(h.teams), now)
-            self._note_guests(h.instance, h.guests, now)
+            self._grants.heard(h.instance, _held_by_team(h.teams), now)
+            self._record_guests(h.instance, h.guests, now)
 
-    async def _holdings(self, epoch: int, lanes: frozenset[str]) -> list[Holdings]:
+    async def _fetch_holdings(
+        self, epoch: int, lanes: frozenset[str]
+    ) -> list[Holdings]:
         me = self._kernel.lane
         asks = [
             self._kernel.bus.ask(
-                AskPeer(instance_name(lane), HoldingsAsk(epoch, me, lane), _HOLDINGS_S)
+                AskPeer(
+                    instance_name(lane),
+                    HoldingsAsk(epoch, me, lane),
+                    _HOLDINGS_TIMEOUT_S,
+                )
             )
             for lane in sorted(lanes)
         ]
         answers = await asyncio.gather(*asks, return_exceptions=True)
         return [a for a in answers if isinstance(a, Holdings) and a.instance in lanes]
 
-    def _note_guests(
+    def _record_guests(
         self, holder: str, guests: tuple[TeamRoom, ...], now: float
     ) -> None:
-        self._book.note_guests(holder, _held(guests), now)
+        self._grants.note_guests(holder, _held_by_team(guests), now)
 
     # -- lending ---------------------------------------------------------
 
@@ -180,23 +191,23 @@
         """Answer an instance of the zone that wants room."""
         now = self._kernel.clock()
         lead = self._leadership
-        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._book.opened:
+        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._grants.opened:
             raise NotLeadError(f"epoch {ask.epoch} is not led from here")
         if ask.echo >= 0:
             lead.record_promise(ask.instance, ask.echo)
         if not lead.may_lend(now):
             # The stamp alone goes back, so that the asker can promise anew;
             # an error would leave every promise lapsed until the log returns.
-            return GrantAnswer(ask.epoch, now, self._book.ttl_s, False)
-        if self._book.is_late(ask.instance, ask.seq, now):
+            return GrantAnswer(ask.epoch, now, self._grants.ttl_s, False)
+        if self._grants.is_late(ask.instance, ask.seq, now):
             raise NotLeadError(f"ask {ask.seq} came after a later one")
         if ask.instance != self._kernel.lane:
-            self._note_guests(ask.instance, ask.guests, now)
+            self._record_guests(ask.instance, ask.guests, now)
         if ask.leaving:
-            self._book.left(ask.instance)
+            self._grants.left(ask.instance)
             lead.leaving.add(ask.instance)
             lead.wake.set()
-            return GrantAnswer(ask.epoch, now, self._book.ttl_s, False)
+            return GrantAnswer(ask.epoch, now, self._grants.ttl_s, False)
         if ask.instance not in lead.state.roster:
             lead.joining.add(ask.instance)
             lead.wake.set()
@@ -204,22 +215,24 @@
                 raise NotLeadError("the roster does not name the asker yet")
             # The log is out, so no record can name an instance that started
             # since; without room it would refuse all that it is sent.
-            self._book.seat(ask.instance)
+            self._grants.seat(ask.instance)
         else:
-            self._book.unseat(ask.instance)
+            self._grants.unseat(ask.instance)
         # Loans are held to the smaller cap of all who want to join from now on,
         # so that they come to fit it; the larger cap of fewer holders is used
         # only once the log has the smaller roster.
-        self._book.holders = max(len(lead.state.roster), len(self._grown()))
+        self._grants.holders = max(
+            len(lead.state.roster), len(self._holders_with_joiners())
+        )
         grants = (self._grant(ask.instance, room, now) for room in ask.teams)
         changed = tuple(grant for grant in grants if grant is not None)
-        return GrantAnswer(ask.epoch, now, self._book.ttl_s, True, changed)
+        return GrantAnswer(ask.epoch, now, self._grants.ttl_s, True, changed)
 
     def _grant(self, holder: str, room: TeamRoom, now: float) -> TeamGrant | None:
         """Lend what a holder wants; return the grant if it is something else."""
         wanted, held = max(room.wanted, 0), max(room.held, 0)
-        part = self.zone_limit(room.team)
-        granted = self._book.ask(room.team, holder, wanted, held, part, now)
+        limit = self.zone_limit(room.team)
+        granted = self._grants.ask(room.team, holder, wanted, held, limit, now)
         return None if granted == room.wanted else TeamGrant(room.team, granted)
 
     # -- transfers between zones -----------------------------------------
@@ -230,10 +243,10 @@
         if not isinstance(body, LimitMoved):
             return
         if event.verdict is Verdict.APPLIED and body.receiver == self._kernel.cfg.zone:
-            self._given_at[body.team] = self._kernel.clock()
+            self._received_at[body.team] = self._kernel.clock()
         if event.envelope.lane == self._kernel.lane:
-            for item in [u for u in self._unsettled if u.move == body][:1]:
-                self._settle(item)
+            for item in [u for u in self._unresolved_moves if u.move == body][:1]:
+                self._resolve_move(item)
 
     def settle_moves_before(self, sent_at: float) -> None:
         """Settle transfers given up before a record that was read back.
@@ -241,39 +254,39 @@
         Readers pass over a record that lands after a later one of its lane,
         so such a transfer can no longer take effect.
         """
-        for item in [u for u in self._unsettled if u.failed_at < sent_at]:
-            self._settle(item)
+        for item in [u for u in self._unresolved_moves if u.failed_at < sent_at]:
+            self._resolve_move(item)
 
-    def _settle(self, item: _Unsettled) -> None:
-        self._unsettled.remove(item)
-        self._release(item.move)
+    def _resolve_move(self, item: _UnresolvedMove) -> None:
+        self._unresolved_moves.remove(item)
+        self._release_move(item.move)
 
-    def _release(self, move: LimitMoved) -> None:
+    def _release_move(self, move: LimitMoved) -> None:
         if move.epoch != self._epoch:
             # The book was closed since, and counts only this epoch's.
             return
-        left = self._book.moving.get(move.team, 0) - move.amount
-        self._book.moving[move.team] = max(left, 0)
+        remaining = self._grants.moving.get(move.team, 0) - move.amount
+        self._grants.moving[move.team] = max(remaining, 0)
 
     async def transfer_spare(self) -> None:
         """Give spare room to zones where teams are short of it."""
         now = self._kernel.clock()
-        if not self._leadership.is_held(now) or not self._book.opened:
+        if not self._leadership.is_held(now) or not self._grants.opened:
             return
         moves = []
-        own = self._book.short(now)
+        own = self._grants.short(now)
         if own:
-            await self._tell_short(own)
+            await self._announce_shortages(own)
         now = self._kernel.clock()
         if not self._leadership.is_held(now):
             return
-        for team, short in self._short(own, now).items():
-            move = self._choose(team, short, now)
+        for team, short in self._shortages(own, now).items():
+            move = self._choose_move(team, short, now)
             if move is not None:
-                moves.append(self._move(move))
+                moves.append(self._append_move(move))
         await asyncio.gather(*moves)
 
-    def _choose(
+    def _choose_move(
         self, team: str, short: dict[str, int], now: float
     ) -> LimitMoved | None:
         cfg = self._kernel.cfg
@@ -282,10 +295,10 @@
             return None
         view = TeamView(
             zone_parts(plan.limit, cfg.zones)[cfg.zone],
-            self._book.spare(team, self.zone_limit(team), now),
+            self._grants.spare(team, self.zone_limit(team), now),
             short,
             len(cfg.zones),
-            self._given_at.get(team, float("-inf")),
+            self._received_at.get(team, float("-inf")),
         )
         chosen = choose_move(cfg.zone, view, now)
         if chosen is None:
@@ -294,35 +307,35 @@
         epoch = self._leadership.state.epoch
         move = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
         # Counted as gone from now on, whatever becomes of the append.
-        moving = self._book.moving
+        moving = self._grants.moving
         moving[team] = moving.get(team, 0) + amount
         return move
 
-    async def on_zone_short(self, word: ZoneShort) -> Ack:
+    async def on_zone_short(self, message: ZoneShort) -> Ack:
         """Note what another zone is short of."""
-        if word.zone in self._kernel.cfg.zones:
-            self._shorts[word.zone] = (self._kernel.clock(), word)
+        if message.zone in self._kernel.cfg.zones:
+            self._zone_shortages[message.zone] = (self._kernel.clock(), message)
         return Ack()
 
-    def _short(self, own: dict[str, int], now: float) -> dict[str, dict[str, int]]:
+    def _shortages(self, own: dict[str, int], now: float) -> dict[str, dict[str, int]]:
         """Return the teams that other zones are short of, with how much by zone."""
         result: dict[str, dict[str, int]] = {}
-        for zone, (at, word) in self._shorts.items():
-            if now - at > _SHORT_LASTS_S:
+        for zone, (at, message) in self._zone_shortages.items():
+            if now - at > _SHORTAGE_TTL_S:
                 continue
-            for short in word.teams:
+            for short in message.teams:
                 result.setdefault(short.team, {})[zone] = short.amount
         for team, by_zone in result.items():
             by_zone[self._kernel.cfg.zone] = own.get(team, 0)
         return result
 
-    async def _tell_short(self, own: dict[str, int]) -> None:
-        word = ZoneShort(
+    async def _announce_shortages(self, own: dict[str, int]) -> None:
+        message = ZoneShort(
             self._kernel.cfg.zone, tuple(TeamShort(t, n) for t, n in own.items())
         )
         asks = [
             self._kernel.bus.ask(
-                AskPeer(instance_name(lead.instance), word, _SHORT_WAIT_S)
+                AskPeer(instance_name(lead.instance), message, _ANNOUNCE_TIMEOUT_S)
             )
             for zone, lead in self._kernel.states.cell.leads.items()
             if zone != self._kernel.cfg.zone and lead.instance and not lead.released
@@ -330,18 +343,18 @@
         # A lead that does not hear of it gives nothing; it is told again.
         await asyncio.gather(*asks, return_exceptions=True)
 
-    async def _move(self, move: LimitMoved) -> None:
+    async def _append_move(self, move: LimitMoved) -> None:
         try:
             applied = await self._kernel.bus.ask(
-                Append("cell", move, deadline_s=_MOVE_S)
+                Append("cell", move, deadline_s=_MOVE_TIMEOUT_S)
             )
         except LogUnavailableError:
             # Certainly never sent.
-            self._release(move)
+            self._release_move(move)
         except FirhookError:
-            self._unsettled.append(_Unsettled(move, self._kernel.clock()))
+            self._unresolved_moves.append(_UnresolvedMove(move, self._kernel.clock()))
         else:
-            self._release(move)
+            self._release_move(move)
             log(
                 "limit.moved",
                 team=move.team,
--- a/src/firhook/_daemon.py
+++ b/src/firhook/_daemon.py
@@ -65,23 +65,23 @@
 
 
 async def _serve(kernel: Kernel) -> int:
-    told = kernel.stop_requested
+    stop_requested = kernel.stop_requested
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, told.set)
+        loop.add_signal_handler(sig, stop_requested.set)
     await kernel.start()
     log("instance.started", ports=kernel.ports)
     print(json.dumps({"listening": kernel.ports}), flush=True)
-    crashed = asyncio.create_task(kernel.wait_until_stopped())
-    waiting = asyncio.create_task(told.wait())
-    await asyncio.wait({crashed, waiting}, return_when=asyncio.FIRST_COMPLETED)
-    if not told.is_set():
+    crash_task = asyncio.create_task(kernel.wait_until_stopped())
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait({crash_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    if not stop_requested.is_set():
         reason = kernel.crash_reason
         log("instance.crashed", level="error", error=repr(reason))
         return EXIT_CRASHED
     await kernel.drain()
     await kernel.stop()
-    crashed.cancel()
+    crash_task.cancel()
     log("instance.stopped")
     return 0
 
--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -13,17 +13,17 @@
 #: Slot seconds served lose half their weight in so many seconds: long enough
 #: to even out single requests, short enough that a team which was idle over
 #: lunch is not paid back for it.
-_SERVED_HALF_S = 5.0
+_SERVED_HALF_LIFE_S = 5.0
 #: Words get rarer as the fleet grows; so many missed make a peer silent.
-_WORDS_MISSED = 3
-_LEAST_SERVED_S = 1e-3
+_MAX_MISSED_GOSSIP = 3
+_MIN_SERVED_S = 1e-3
 
 
 @attrs.define(slots=True, eq=False)
-class _Heard:
-    """A peer's latest word."""
+class _ReceivedGossip:
+    """A peer's latest gossip."""
 
-    at: float
+    received_at: float
     gossip: Gossip
 
 
@@ -31,32 +31,34 @@
     """The peers' latest words, and this instance's own use.
 
     :param name: this instance.
-    :param silent_s: a peer not heard for so long counts as silent.
+    :param gossip_timeout_s: a peer not received for so long counts as silent.
     :param now: the time, in seconds.
     """
 
-    def __init__(self, name: str, silent_s: float, now: float) -> None:
+    def __init__(self, name: str, gossip_timeout_s: float, now: float) -> None:
         self._name = name
-        self._silent_s = silent_s
-        self._entries: set[str] = {name}
-        self._heard: dict[str, _Heard] = {}
+        self._gossip_timeout_s = gossip_timeout_s
+        self._entry_instances: set[str] = {name}
+        self._received: dict[str, _ReceivedGossip] = {}
         self._served_s: dict[str, float] = {}
-        self._noted_at = now
+        self._updated_at = now
 
     def set_instances(self, instances: Iterable[Endpoint]) -> None:
         """Take over the instances that the platform lists."""
-        self._entries = {e.name for e in instances if e.kind == "entry"}
-        self._heard = {n: h for n, h in self._heard.items() if n in self._entries}
+        self._entry_instances = {e.name for e in instances if e.kind == "entry"}
+        self._received = {
+            n: h for n, h in self._received.items() if n in self._entry_instances
+        }
 
-    def add_gossip(self, peer: str, word: Gossip, now: float) -> None:
-        """Take in a peer's word."""
-        self._heard[peer] = _Heard(now, word)
+    def add_gossip(self, peer: str, gossip: Gossip, now: float) -> None:
+        """Take in a peer's gossip."""
+        self._received[peer] = _ReceivedGossip(now, gossip)
 
     def beyond_parts(self, now: float) -> dict[str, int]:
         """Return what the peers have at each runner beyond their parts."""
         counts: dict[str, int] = {}
-        for word in self._live(now).values():
-            for load in word.runners:
+        for gossip in self._live_gossip(now).values():
+            for load in gossip.runners:
                 counts[load.runner] = counts.get(load.runner, 0) + load.in_flight
         return counts
 
@@ -64,15 +66,17 @@
         """Return the fleet's use as far as it is known here."""
         # Listed instances that were not heard may be serving all the same, cut
         # off from here; they keep the least part.
-        demand: dict[str, Mapping[str, float]] = {name: {} for name in self._entries}
+        demand: dict[str, Mapping[str, float]] = {
+            name: {} for name in self._entry_instances
+        }
         demand[self._name] = {
             team: float(account.running.get(team, 0) + load.waiting.get(team, 0))
             for team in {*account.running, *load.waiting}
         }
         served = dict(load.served_s)
-        for name, word in self._live(now).items():
-            demand[name] = {t.team: float(t.running + t.waiting) for t in word.teams}
-            for team in word.teams:
+        for name, gossip in self._live_gossip(now).items():
+            demand[name] = {t.team: float(t.running + t.waiting) for t in gossip.teams}
+            for team in gossip.teams:
                 served[team.team] = served.get(team.team, 0.0) + team.served_s
         return FleetUse(demand, served)
 
@@ -80,7 +84,7 @@
         self, account: Account, services: Iterable[Dispatcher], load: Load, now: float
     ) -> None:
         """Fill in what the peers are told of this instance."""
-        self._note_served(account.running, now)
+        self._update_served(account.running, now)
         load.served_s = dict(self._served_s)
         load.waiting = {}
         load.excess_in_flight = {}
@@ -95,19 +99,19 @@
                 load.waiting[team] = load.waiting.get(team, 0) + n
         load.leaving &= known
 
-    def _note_served(self, running: Mapping[str, int], now: float) -> None:
-        passed_s, self._noted_at = now - self._noted_at, now
-        fade = 0.5 ** (passed_s / _SERVED_HALF_S)
+    def _update_served(self, running: Mapping[str, int], now: float) -> None:
+        elapsed_s, self._updated_at = now - self._updated_at, now
+        decay = 0.5 ** (elapsed_s / _SERVED_HALF_LIFE_S)
         for team in {*self._served_s, *running}:
-            served = self._served_s.get(team, 0.0) * fade
-            self._served_s[team] = served + running.get(team, 0) * passed_s
-            if self._served_s[team] < _LEAST_SERVED_S:
+            served = self._served_s.get(team, 0.0) * decay
+            self._served_s[team] = served + running.get(team, 0) * elapsed_s
+            if self._served_s[team] < _MIN_SERVED_S:
                 del self._served_s[team]
 
-    def _live(self, now: float) -> dict[str, Gossip]:
+    def _live_gossip(self, now: float) -> dict[str, Gossip]:
         return {
-            name: heard.gossip
-            for name, heard in self._heard.items()
-            if now - heard.at
-            <= max(self._silent_s, _WORDS_MISSED * heard.gossip.every_s)
+            name: received.gossip
+            for name, received in self._received.items()
+            if now - received.received_at
+            <= max(self._gossip_timeout_s, _MAX_MISSED_GOSSIP * received.gossip.every_s)
         }
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -32,7 +32,7 @@
 
     Nothing here is believed by having been told so: every use of the lead
     compares the clock at that moment with the lease.  A process that was
-    paused finds the lease lapsed whichever coroutine runs first.
+    paused finds the lease expired whichever coroutine runs first.
 
     :param kernel: for settings, states, clock and bus.
     """
@@ -41,16 +41,16 @@
         cfg = kernel.cfg
         self._kernel = kernel
         self._cfg = cfg
-        self._held = HeldLease()
-        self._hold = HeldLease()
-        self._outage = HeldLease()
-        self._seen = SeenLease()
+        self._log_lease = HeldLease()
+        self._hold_lease = HeldLease()
+        self._outage_lease = HeldLease()
+        self._seen_lease = SeenLease()
         self._seen_offset: int | None = None
-        self._before: TakeOver | None = None
-        self._offered: frozenset[str] = frozenset()
+        self._takeover: TakeOver | None = None
+        self._possible_roster: frozenset[str] = frozenset()
         self.previous_holders = 1
         self._promises: dict[str, float] = {}
-        self._fenced = 0
+        self._fencing_epoch = 0
         self.promised_at = float("-inf")
         self.may_promise = True
         self.joining: set[str] = set()
@@ -81,20 +81,20 @@
         return (
             lead.instance == self._kernel.lane
             and not lead.released
-            and lead.epoch >= self._fenced
+            and lead.epoch >= self._fencing_epoch
         )
 
     def is_held(self, now: float) -> bool:
         """Return whether the lease by the log is held for certain."""
-        return self.is_lead and self._held.held(now)
+        return self.is_lead and self._log_lease.held(now)
 
     def may_lend(self, now: float) -> bool:
         """Return whether room may be lent at this moment."""
         if not self.is_lead:
             return False
-        others = (self._offered | set(self.state.roster)) - {self._kernel.lane}
+        others = (self._possible_roster | set(self.state.roster)) - {self._kernel.lane}
         promises = [self._promises.get(o, float("-inf")) for o in others]
-        return may_lend(self._held.until, self._outage.until, promises, now)
+        return may_lend(self._log_lease.until, self._outage_lease.until, promises, now)
 
     def view(self, now: float) -> Lead:
         """Return the lead for other roles."""
@@ -105,8 +105,8 @@
             lead.epoch,
             lead.instance,
             self.is_held(now),
-            self._hold.until - now,
-            self._held.until - now,
+            self._hold_lease.until - now,
+            self._log_lease.until - now,
         )
 
     def record_promise(self, holder: str, stamp: float) -> None:
@@ -116,19 +116,19 @@
 
     def fence(self, epoch: int) -> None:
         """Follow no lead of an older epoch from now on, this one included."""
-        self._fenced = max(self._fenced, epoch)
+        self._fencing_epoch = max(self._fencing_epoch, epoch)
         if self.state.epoch < epoch:
             self.void()
 
     def void(self) -> None:
         """Forget everything believed held until the log confirms it again."""
-        self._held.void()
-        self._hold.void()
-        self._outage.void()
+        self._log_lease.void()
+        self._hold_lease.void()
+        self._outage_lease.void()
 
     def on_loop_stall(self) -> None:
         """Void the lease by the log after a stall of the event loop."""
-        self._held.void()
+        self._log_lease.void()
 
     def observe_record(self, now: float) -> None:
         """Note when the lead's latest record was read.
@@ -138,15 +138,15 @@
         """
         if self.state.offset != self._seen_offset:
             self._seen_offset = self.state.offset
-            self._seen.read_at = now
+            self._seen_lease.read_at = now
 
     def silent_until(self, answered: frozenset[str], now: float) -> float:
         """Return when what silent holders have has certainly ended."""
-        if self._before is None:
+        if self._takeover is None:
             return now + self.times.outage_s
-        seen = self._before
+        takeover = self._takeover
         return silent_until(
-            attrs.evolve(seen, answered=answered),
+            attrs.evolve(takeover, answered=answered),
             self.times,
             max(now, self.promised_until),
         )
@@ -168,15 +168,15 @@
             return
         if self._kernel.stopping:
             return
-        age = await self._kernel.bus.ask(LogAge("cell"))
-        lapsed = self._seen.lapsed(now, self.times.lease_s, self.times.margin_s)
+        log_age_s = await self._kernel.bus.ask(LogAge("cell"))
+        expired = self._seen_lease.lapsed(now, self.times.lease_s, self.times.margin_s)
         # In an outage of the log for everybody the last sight of it is older
-        # than a lease once the lead's has lapsed, and nobody claims in vain.
+        # than a lease once the lead's has expired, and nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
         # A lead that the log has lost, but this instance has not, must be
         # replaced although it still answers, or nobody places the zone's tasks.
-        self.may_promise = not (lapsed and age <= max_age_s)
-        sight = Sight(lead.released, lapsed, age, self.promised_at)
+        self.may_promise = not (expired and log_age_s <= max_age_s)
+        sight = Sight(lead.released, expired, log_age_s, self.promised_at)
         if not may_claim(sight, self.times, now, max_age_s):
             return
         await asyncio.sleep(random.uniform(0, _CLAIM_SPREAD_S))
@@ -186,41 +186,41 @@
 
     async def _claim(self, lead: LeadState) -> None:
         me = self._kernel.lane
-        self._before = TakeOver(
+        self._takeover = TakeOver(
             lead.released,
             frozenset(lead.roster),
             me,
             frozenset(),
-            self._seen.read_at,
+            self._seen_lease.read_at,
         )
         body = LeadClaimed(self._cfg.zone, lead.epoch + 1, me, lead.offset)
         self.previous_holders = lead.holders
         self._promises.clear()
-        self._offered = frozenset(lead.roster) | {me}
-        if await self._confirmed(body):
+        self._possible_roster = frozenset(lead.roster) | {me}
+        if await self._append_and_extend(body):
             log("lead.claimed", epoch=body.epoch, holder=me)
 
     async def _renew(
         self, lead: LeadState, roster: frozenset[str], holders: int
     ) -> None:
-        self._offered |= roster
+        self._possible_roster |= roster
         names = tuple(sorted(roster))
         body = LeadRenewed(self._cfg.zone, lead.epoch, lead.instance, names, holders)
-        if await self._confirmed(body):
+        if await self._append_and_extend(body):
             # Records of a lane that are read back settle all earlier ones, so
             # no older roster can come into force any more.
-            self._offered = roster
+            self._possible_roster = roster
             self.joining -= roster
             self.leaving &= roster
 
-    async def _confirmed(self, body: LeadClaimed | LeadRenewed) -> bool:
+    async def _append_and_extend(self, body: LeadClaimed | LeadRenewed) -> bool:
         sent_at = self._kernel.clock()
         if not await self._append(body):
             self.void()
             return False
-        self._held.renewed(sent_at, self.times.lease_s)
-        self._hold.renewed(sent_at, self._cfg.hold_s)
-        self._outage.renewed(sent_at, self.times.outage_s)
+        self._log_lease.renewed(sent_at, self.times.lease_s)
+        self._hold_lease.renewed(sent_at, self._cfg.hold_s)
+        self._outage_lease.renewed(sent_at, self.times.outage_s)
         return True
 
     async def release(self, roster: frozenset[str]) -> None:
--- a/src/firhook/_lists.py
+++ b/src/firhook/_lists.py
@@ -91,21 +91,21 @@
     known = {"share", "limit", "urgent", "slo_ms", "slo_target", *_CLASS_OPTIONS}
     for option in sorted(set(row.values or {}) - known):
         problems.append(f"[{row.name}] {option} is unknown: use {sorted(known)}")
-    share, bad = _number(row, "share", None, 0.001, 1e6)
-    problems += bad
-    limit, bad = _number(row, "limit", None, 0, 1e6)
-    problems += bad or (
+    share, errors = _number(row, "share", None, 0.001, 1e6)
+    problems += errors
+    limit, errors = _number(row, "limit", None, 0, 1e6)
+    problems += errors or (
         [f"[{row.name}] limit = {limit!r}: give a whole number"] if limit % 1 else []
     )
-    slo_ms, bad = _number(row, "slo_ms", "1000", 1, 1e7)
-    problems += bad
-    target, bad = _number(row, "slo_target", "0.99", 0.5, 0.99999)
-    problems += bad
+    slo_ms, errors = _number(row, "slo_ms", "1000", 1, 1e7)
+    problems += errors
+    target, errors = _number(row, "slo_target", "0.99", 0.5, 0.99999)
+    problems += errors
     by_class: list[float | None] = []
     for option in _CLASS_OPTIONS:
-        value, bad = _number(row, option, "1000", 1, 1e7)
+        value, errors = _number(row, option, "1000", 1, 1e7)
         by_class.append(value if option in (row.values or {}) else None)
-        problems += bad
+        problems += errors
     urgent = (row.values or {}).get("urgent", "no")
     if urgent not in ("yes", "no"):
         problems.append(f"[{row.name}] urgent = {urgent!r}: give yes or no")
--- a/src/firhook/_principal.py
+++ b/src/firhook/_principal.py
@@ -17,7 +17,7 @@
 
     :raises NotPermittedError: if it is a team's key.
     """
-    who = await principal(bus, req)
-    if not who.is_operator:
+    caller = await principal(bus, req)
+    if not caller.is_operator:
         raise NotPermittedError("this needs an operator's key")
-    return who
+    return caller
--- a/src/firhook/_report.py
+++ b/src/firhook/_report.py
@@ -90,8 +90,8 @@
 def worst_alert(burn_rates: Mapping[str, float]) -> str:
     """Return the gravest alert whose two windows both burn fast enough."""
     for alert in ALERTS:
-        slower = min(burn_rates[alert.short_window], burn_rates[alert.long_window])
-        if slower >= alert.burn_rate:
+        lower_rate = min(burn_rates[alert.short_window], burn_rates[alert.long_window])
+        if lower_rate >= alert.burn_rate:
             return alert.name
     return ""
 
@@ -127,7 +127,7 @@
     }
     longest = entry.windows[max(WINDOWS_S, key=WINDOWS_S.__getitem__)]
     waits = entry.waits
-    known = waits.get_total_count() > 0
+    has_waits = waits.get_total_count() > 0
     return BurnRow(
         team=team,
         klass=klass,
@@ -136,8 +136,8 @@
         requests=sum(longest),
         slow=longest[1],
         refused=longest[2],
-        p50_ms=waits.get_value_at_percentile(50) / 1000 if known else 0.0,
-        p99_ms=waits.get_value_at_percentile(99) / 1000 if known else 0.0,
+        p50_ms=waits.get_value_at_percentile(50) / 1000 if has_waits else 0.0,
+        p99_ms=waits.get_value_at_percentile(99) / 1000 if has_waits else 0.0,
         burn_rates=rates,
         alert=worst_alert(rates),
     )
--- a/src/firhook/_settings.py
+++ b/src/firhook/_settings.py
@@ -67,10 +67,10 @@
     return digest
 
 
-def _number(low: float, high: float, kind: Callable[[str], Any] = float) -> Any:
+def _number(low: float, high: float, parse: Callable[[str], Any] = float) -> Any:
     def convert(value: str) -> Any:
         try:
-            number = kind(value)
+            number = parse(value)
         except ValueError:
             number = None
         if number is None or not low <= number <= high:
@@ -199,14 +199,14 @@
         Option(
             field.metadata["section"],
             field.name,
-            _written(field.default),
+            _format_default(field.default),
             (field.metadata["check"].__doc__ or "").rstrip("."),
         )
         for field in attrs.fields(Settings)
     )
 
 
-def _written(default: Any) -> str | None:
+def _format_default(default: Any) -> str | None:
     """Return a default as one would write it."""
     if default is attrs.NOTHING:
         return None
--- a/src/firhook/_stats.py
+++ b/src/firhook/_stats.py
@@ -18,7 +18,7 @@
 _DECODED_WORD_BYTES = 8
 
 #: Histograms are changed this often; a report merges the last two.
-_HISTOGRAM_S = 1800
+_HISTOGRAM_PERIOD_S = 1800
 
 #: Counts are kept by the minute for the longest window.
 _SLOT_S = 60
@@ -27,7 +27,7 @@
 
 #: Refusals with these codes are the caller's own doing, so that they burn no
 #: error budget; every other refusal is a request that the service missed.
-_CALLERS_FAULTS = (
+_CALLER_ERROR_PREFIXES = (
     "key.",
     "request.",
     "once.in_progress",
@@ -44,7 +44,7 @@
 
 def counts_as_miss(code: str) -> bool:
     """Return whether a refusal with the code counts as a miss."""
-    return not code.startswith(_CALLERS_FAULTS)
+    return not code.startswith(_CALLER_ERROR_PREFIXES)
 
 
 def new_histogram(word_bytes: int = _WORD_BYTES) -> HdrHistogram:
@@ -96,16 +96,16 @@
 class _RollingHistogram:
     """The histogram in use and the one before it."""
 
-    age: int
-    now: HdrHistogram = attrs.field(factory=new_histogram)
-    before: HdrHistogram | None = None
+    period: int
+    current: HdrHistogram = attrs.field(factory=new_histogram)
+    previous: HdrHistogram | None = None
 
-    def rotate(self, age: int) -> None:
+    def rotate(self, period: int) -> None:
         """Change histograms if their time is over."""
-        if age == self.age:
+        if period == self.period:
             return
-        self.before = self.now if age == self.age + 1 else None
-        self.now, self.age = new_histogram(), age
+        self.previous = self.current if period == self.period + 1 else None
+        self.current, self.period = new_histogram(), period
 
 
 @attrs.define(slots=True)
@@ -159,18 +159,18 @@
         self.refusals: Counter[str] = Counter()
         self.answers: Counter[ClassKey] = Counter()
         self.wait_sums_s: Counter[ClassKey] = Counter()
-        self._recent: dict[ClassKey, _RollingHistogram] = {}
+        self._histograms: dict[ClassKey, _RollingHistogram] = {}
         self._counts: dict[ClassKey, MinuteCounts] = {}
 
     def count_answer(self, team: str, klass: str, wait_s: float, took_s: float) -> None:
         """Count a request that got a runner's answer."""
         key = (team, klass)
-        age = int(self._clock() // _HISTOGRAM_S)
-        recent = self._recent.get(key)
+        period = int(self._clock() // _HISTOGRAM_PERIOD_S)
+        recent = self._histograms.get(key)
         if recent is None:
-            recent = self._recent[key] = _RollingHistogram(age)
-        recent.rotate(age)
-        recent.now.record_value(min(max(_LOW_US, int(wait_s * 1e6)), _HIGH_US))
+            recent = self._histograms[key] = _RollingHistogram(period)
+        recent.rotate(period)
+        recent.current.record_value(min(max(_LOW_US, int(wait_s * 1e6)), _HIGH_US))
         self.answers[key] += 1
         self.wait_sums_s[key] += wait_s
         slow = wait_s * 1000 > self.objective_ms(team, klass)
@@ -212,10 +212,10 @@
 
     def _merged_waits(self, key: ClassKey) -> HdrHistogram:
         merged = new_histogram()
-        recent = self._recent.get(key)
+        recent = self._histograms.get(key)
         if recent is not None:
-            recent.rotate(int(self._clock() // _HISTOGRAM_S))
-            merged.add(recent.now)
-            if recent.before is not None:
-                merged.add(recent.before)
+            recent.rotate(int(self._clock() // _HISTOGRAM_PERIOD_S))
+            merged.add(recent.current)
+            if recent.previous is not None:
+                merged.add(recent.previous)
         return merged
--- a/src/firhook/_stream_client.py
+++ b/src/firhook/_stream_client.py
@@ -34,7 +34,7 @@
 
 _BACKOFF_S = 0.3
 #: An answer is on its way back for no longer than this, or counts as old.
-_ANSWER_S = 1.0
+_MAX_RESPONSE_DELAY_S = 1.0
 _RETRY_AFTER_S = 2.0
 
 
@@ -76,7 +76,7 @@
         self._poll_s = poll_s
         self._outbox = Outbox(lane)
         self._rebuild: Rebuild | None = None
-        self._reached = True
+        self._log_reachable = True
         self._wake = asyncio.Event()
         self.appends = 0
         self.sent_bytes = 0
@@ -108,7 +108,7 @@
         try:
             return await asyncio.wait_for(fut, query.deadline_s)
         except TimeoutError as exc:
-            raise self._give_up(item) from exc
+            raise self._abandon(item) from exc
         except asyncio.CancelledError:
             self._outbox.give_up(item)
             raise
@@ -124,7 +124,7 @@
             kind = type(body).__name__
             raise RecordMalformedError(f"{kind} cannot be encoded: {exc!r}") from exc
 
-    def _give_up(self, item: Outgoing) -> FirhookError:
+    def _abandon(self, item: Outgoing) -> FirhookError:
         if self._outbox.give_up(item):
             return LogOutcomeUnknownError(
                 "the log has not confirmed in time", retry_after_s=_RETRY_AFTER_S
@@ -168,26 +168,26 @@
         while not self.should_stop:
             try:
                 await self._follow_once()
-                self._note_reached(None)
+                self._log_reachability(None)
             except LogTrimmedError as exc:
                 self._on_trimmed(exc)
                 await self.sleep(_BACKOFF_S)
             except LogUnavailableError as exc:
-                self._note_reached(exc)
+                self._log_reachability(exc)
                 await self.sleep(_BACKOFF_S)
             except Exception as exc:
                 log("log.failed", level="error", stream=self.stream, error=repr(exc))
                 await self.sleep(_BACKOFF_S)
 
-    def _note_reached(self, exc: LogUnavailableError | None) -> None:
+    def _log_reachability(self, exc: LogUnavailableError | None) -> None:
         """Log that the log went away or came back, and not each try between.
 
         Outages last for long stretches; a line for each of three tries a
         second would bury what else happens meanwhile.
         """
-        if (exc is None) == self._reached:
+        if (exc is None) == self._log_reachable:
             return
-        self._reached = exc is None
+        self._log_reachable = exc is None
         if exc is None:
             log("log.back", stream=self.stream)
         else:
@@ -207,7 +207,7 @@
                 f"{self.stream} ends at {page.end}, before {source.next_offset}"
             )
         if self._rebuild is not None:
-            self._scan(self._rebuild, page)
+            self._scan_for_snapshot(self._rebuild, page)
             return
         for entry in page.entries:
             self._apply(entry)
@@ -215,7 +215,7 @@
             # The answer may have lain unread while this process was paused.
             # It was made at the latest when the wait that was asked for ended,
             # so it counts as no fresher than that.
-            latest = asked_at + self._poll_s + _ANSWER_S
+            latest = asked_at + self._poll_s + _MAX_RESPONSE_DELAY_S
             self.end_seen_at = min(time.monotonic(), latest)
             self.ready = True
 
@@ -231,12 +231,12 @@
         if envelope is None:
             state.skip(entry.offset)
             return
-        carried = state.carried_upto
+        carried_before = state.carried_upto
         verdict = state.apply(entry.offset, envelope)
-        if state.carried_upto != carried:
+        if state.carried_upto != carried_before:
             self.snapshot_read_at = time.monotonic()
         if verdict is Verdict.IGNORED:
-            self._report_ignored(entry.offset, envelope)
+            self._log_ignored(entry.offset, envelope)
         event = RecordApplied(self.stream, entry.offset, envelope, verdict)
         self._bus.publish(event)
         if envelope.lane == self._lane:
@@ -256,7 +256,7 @@
             )
             return None
 
-    def _report_ignored(self, offset: int, envelope: Envelope) -> None:
+    def _log_ignored(self, offset: int, envelope: Envelope) -> None:
         if isinstance(envelope.body, (Marker, SnapshotChunk)):
             return
         log(
@@ -296,19 +296,19 @@
             first=first,
         )
 
-    def _scan(self, rebuild: Rebuild, page: LogPage) -> None:
+    def _scan_for_snapshot(self, rebuild: Rebuild, page: LogPage) -> None:
         for entry in page.entries:
             rebuild.next_offset = entry.offset + 1
             envelope = self._decode(entry)
             if envelope is None or not isinstance(envelope.body, SnapshotChunk):
                 continue
             snapshot = rebuild.add(envelope.lane, envelope.body)
-            if snapshot is not None and self._load_carried(snapshot):
+            if snapshot is not None and self._install_snapshot(snapshot):
                 return
 
-    def _load_carried(self, snapshot: Snapshot) -> bool:
+    def _install_snapshot(self, snapshot: Snapshot) -> bool:
         try:
-            self._load(snapshot.upto, snapshot.text)
+            self._install_state(snapshot.upto, snapshot.text)
         except RecordMalformedError as exc:
             log("snapshot.malformed", level="error", stream=self.stream, why=str(exc))
             return False
@@ -325,11 +325,11 @@
         ahead = offset > self.stream_state.next_offset or not self.ready
         if not ahead or offset < self.stream_state.next_offset:
             return False
-        self._load(offset, text)
+        self._install_state(offset, text)
         self.ready = True
         return True
 
-    def _load(self, offset: int, text: str) -> None:
+    def _install_state(self, offset: int, text: str) -> None:
         self.stream_state.from_text(offset, text)
         self._rebuild = None
         log("stream.rebuilt", stream=self.stream, offset=offset)
--- a/src/firhook/_web.py
+++ b/src/firhook/_web.py
@@ -23,7 +23,7 @@
 
 REQUEST_ID = "X-Request-Id"
 #: How often a stopping instance looks whether callers still hold connections.
-_LET_GO_STEP_S = 0.05
+_CONNECTION_POLL_S = 0.05
 #: Where a request keeps its id.
 REQUEST_KEY = web.RequestKey("request_id", str)
 
@@ -50,12 +50,12 @@
     member ``retry_after`` of the document says it exactly.
     """
     headers = {} if rid is None else {REQUEST_ID: rid}
-    named = {} if rid is None else {"request_id": rid}
+    members = {} if rid is None else {"request_id": rid}
     if exc.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(exc.retry_after_s))
     return web.Response(
         status=exc.status,
-        body=msgspec.json.encode({**exc.to_problem(), **named}),
+        body=msgspec.json.encode({**exc.to_problem(), **members}),
         headers=headers,
         content_type="application/problem+json",
     )
@@ -79,8 +79,8 @@
     except web.HTTPRequestEntityTooLarge:
         return problem_response(BodyTooLargeError("the body is over the limit"), rid)
     except web.HTTPException as exc:
-        wrong = RequestMalformedError(f"{req.method} {req.path}: {exc.reason}")
-        resp = problem_response(wrong, rid)
+        error = RequestMalformedError(f"{req.method} {req.path}: {exc.reason}")
+        resp = problem_response(error, rid)
         resp.set_status(exc.status)
         return resp
     except Exception as exc:
@@ -123,22 +123,22 @@
     def __init__(self, runner: web.BaseRunner, sock: socket.socket) -> None:
         super().__init__(runner, sock, backlog=BACKLOG)
         self._app_runner = runner
-        self._listening = sock
+        self._listener = sock
         self._accepted: set[asyncio.Task[Any]] = set()
 
     async def stop(self) -> None:
         """Accept what waits, and close."""
-        self._accept_waiting()
+        self._accept_pending()
         await super().stop()
         if self._accepted:
             await asyncio.wait(self._accepted)
 
-    def _accept_waiting(self) -> None:
+    def _accept_pending(self) -> None:
         loop = asyncio.get_running_loop()
         assert self._app_runner.server is not None
         while True:
             try:
-                conn, _ = self._listening.accept()
+                conn, _ = self._listener.accept()
             except OSError:
                 # Nothing waits any more, or the socket is closed already.
                 return
@@ -151,7 +151,7 @@
             task.add_done_callback(log_failure("caller.not_accepted", level="warning"))
 
 
-async def wait_connections_closed(runner: web.BaseRunner, most_s: float) -> None:
+async def wait_connections_closed(runner: web.BaseRunner, timeout_s: float) -> None:
     """Wait until no caller holds a connection any more.
 
     A caller that keeps its connection between two requests cannot know that
@@ -160,29 +160,29 @@
     whether it was run.  So connections stay open until their callers have used
     them once more, which tells them to close, or have let go of them.
 
-    :param most_s: a caller that comes back later than this finds its connection
+    :param timeout_s: a caller that comes back later than this finds its connection
         closed, which it sees before it sends.
     """
     server = runner.server
     waited_s = 0.0
-    while server is not None and server.connections and waited_s < most_s:
-        await asyncio.sleep(_LET_GO_STEP_S)
-        waited_s += _LET_GO_STEP_S
+    while server is not None and server.connections and waited_s < timeout_s:
+        await asyncio.sleep(_CONNECTION_POLL_S)
+        waited_s += _CONNECTION_POLL_S
 
 
-async def drain_and_close(runner: web.BaseRunner, most_s: float) -> None:
+async def drain_and_close(runner: web.BaseRunner, timeout_s: float) -> None:
     """Close a runner without cutting callers who connected just before.
 
     A connection whose request has not come yet looks idle, and closing the
     runner would close it while its caller sends.
 
-    :param most_s: callers that have sent nothing after this are cut.
+    :param timeout_s: callers that have sent nothing after this are cut.
     """
     for site in list(runner.sites):
         await site.stop()
     # The loop may have accepted connections that the server does not know yet.
-    await asyncio.sleep(_LET_GO_STEP_S)
-    await wait_connections_closed(runner, most_s)
+    await asyncio.sleep(_CONNECTION_POLL_S)
+    await wait_connections_closed(runner, timeout_s)
     await runner.cleanup()
 
 
--- a/src/firhook/cli/_cell.py
+++ b/src/firhook/cli/_cell.py
@@ -72,7 +72,7 @@
     """
     common = common or Common()
     data = common.ask("GET", path("endpoints"))
-    chosen = [
+    selected = [
         e
         for e in data["endpoints"]
         if kind in ("", e["kind"]) and zone in ("", e["zone"])
@@ -87,10 +87,10 @@
             e["in_flight"],
             "leaving" if e["leaving"] else e["mark"] or "live",
         ]
-        for e in chosen
+        for e in selected
     ]
     headers = ["NAME", "KIND", "ZONE", "ADDRESS", "SERVICE/RACK", "IN FLIGHT", "STATE"]
-    common.show({"endpoints": chosen}, table(headers, rows))
+    common.show({"endpoints": selected}, table(headers, rows))
 
 
 def drain(
@@ -117,12 +117,12 @@
     """
     common = common or Common()
 
-    def each(step: dict[str, Any]) -> None:
+    def print_step(step: dict[str, Any]) -> None:
         if common.json:
             print(msgspec.json.encode(step).decode(), flush=True)
         else:
             line = f"{step['seq']:>7} {step['kind']:<9} {step['subject']}: "
             print(line + step["detail"], flush=True)
 
-    where = path("events", after=str(after), wait=f"{wait:g}")
-    stream(common.url.rstrip("/"), common.key, where, each)
+    target = path("events", after=str(after), wait=f"{wait:g}")
+    stream(common.url.rstrip("/"), common.key, target, print_step)
--- a/src/firhook/cli/_client.py
+++ b/src/firhook/cli/_client.py
@@ -40,12 +40,12 @@
     return asyncio.run(_call(url, key, method, path, body))
 
 
-def stream(url: str, key: str, path: str, each: Callable[[Any], None]) -> None:
+def stream(url: str, key: str, path: str, on_line: Callable[[Any], None]) -> None:
     """Call an instance and hand over each JSON line of its answer as it comes.
 
     :raises RefusedError: with the instance's problem document.
     """
-    asyncio.run(_stream(url, key, path, each))
+    asyncio.run(_stream(url, key, path, on_line))
 
 
 def _unreachable(url: str, exc: Exception) -> RefusedError:
@@ -57,7 +57,7 @@
     )
 
 
-def _checked(status: int, text: bytes) -> Any:
+def _decode_answer(status: int, text: bytes) -> Any:
     """Return the decoded answer of an instance, or raise its refusal."""
     answer = msgspec.json.decode(text or b"null")
     if status < 400:
@@ -84,12 +84,14 @@
             aiohttp.ClientSession(timeout=timeout, headers=_headers(key)) as session,
             session.request(method, url + path, data=data) as resp,
         ):
-            return _checked(resp.status, await resp.read())
+            return _decode_answer(resp.status, await resp.read())
     except (aiohttp.ClientError, TimeoutError, ValueError) as exc:
         raise _unreachable(url, exc) from exc
 
 
-async def _stream(url: str, key: str, path: str, each: Callable[[Any], None]) -> None:
+async def _stream(
+    url: str, key: str, path: str, on_line: Callable[[Any], None]
+) -> None:
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=_TIMEOUT_S)
     try:
         async with (
@@ -97,9 +99,9 @@
             session.get(url + path) as resp,
         ):
             if resp.status >= 400:
-                _checked(resp.status, await resp.read())
+                _decode_answer(resp.status, await resp.read())
             async for line in resp.content:
-                each(msgspec.json.decode(line))
+                on_line(msgspec.json.decode(line))
     except (aiohttp.ClientError, TimeoutError, ValueError) as exc:
         raise _unreachable(url, exc) from exc
 
--- a/src/firhook/cli/_config.py
+++ b/src/firhook/cli/_config.py
@@ -28,10 +28,10 @@
     """
     common = common or Common()
     data = common.ask("GET", path("config"))
-    mark = f"# version {data['version']}\n"
+    version_line = f"# version {data['version']}\n"
     if save is not None:
         for name in ("plans", "teams"):
-            write_file(save / f"{name}.ini", mark + data[name])
+            write_file(save / f"{name}.ini", version_line + data[name])
     text = f"version {data['version']}\n\n# plans\n{data['plans']}\n# teams\n"
     common.show(data, text + data["teams"])
 
@@ -61,7 +61,7 @@
     if not body:
         raise _usage("give --plans FILE, --teams FILE or both")
     if base is None:
-        base = _base_of(*body.values())
+        base = _base_version(*body.values())
     if base is None:
         base = common.ask("GET", path("config"))["version"]
     body["base"] = base
@@ -75,7 +75,7 @@
     )
 
 
-def _base_of(*texts: str) -> int | None:
+def _base_version(*texts: str) -> int | None:
     """Return the version that the files say they were made from."""
     found = {int(v) for text in texts for v in _VERSION_LINE.findall(text)}
     if len(found) > 1:
@@ -83,7 +83,7 @@
     return found.pop() if found else None
 
 
-def _edit(
+def _change_row(
     common: Common, list_name: str, name: str, values: dict[str, str] | None
 ) -> None:
     """Change one row, made from the version that is in force now."""
@@ -113,7 +113,7 @@
 
     :param plan: the plan's name.
     """
-    _edit(common or Common(), "teams", name, {"plan": plan})
+    _change_row(common or Common(), "teams", name, {"plan": plan})
 
 
 @app.command(name="set-plan")
@@ -152,19 +152,19 @@
         values["urgent"] = "yes" if urgent else "no"
     if not values:
         raise _usage("give at least one option to set")
-    _edit(common or Common(), "plans", name, values)
+    _change_row(common or Common(), "plans", name, values)
 
 
 @app.command(name="remove-team")
 def remove_team(name: str, *, common: Common | None = None) -> None:
     """Remove a team; its keys run nothing from then on."""
-    _edit(common or Common(), "teams", name, None)
+    _change_row(common or Common(), "teams", name, None)
 
 
 @app.command(name="remove-plan")
 def remove_plan(name: str, *, common: Common | None = None) -> None:
     """Remove a plan that no team has."""
-    _edit(common or Common(), "plans", name, None)
+    _change_row(common or Common(), "plans", name, None)
 
 
 def _versions(common: Common) -> dict[str, int]:
@@ -195,13 +195,13 @@
     :param version: as ``config apply`` printed it.
     """
     common = common or Common()
-    give_up = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     while True:
         found = _versions(common)
         behind = sorted(name for name, v in found.items() if v < version)
         if not behind:
             break
-        if time.monotonic() >= give_up:
+        if time.monotonic() >= deadline:
             raise local_error(
                 "wait.timed_out",
                 "The version is not in force everywhere yet",
--- a/src/firhook/cli/_report_page.py
+++ b/src/firhook/cli/_report_page.py
@@ -7,9 +7,9 @@
 
 _WINDOWS = ("5m", "30m", "1h", "6h")
 _COLOURS = {"5m": "#c0392b", "30m": "#e67e22", "1h": "#2980b9", "6h": "#7f8c8d"}
-_LEFT, _WIDTH, _BAR, _GAP = 220, 520, 9, 14
+_LABEL_WIDTH, _PLOT_WIDTH, _BAR_HEIGHT, _ROW_GAP = 220, 520, 9, 14
 #: The two alerts' burn rates are drawn as lines for the eye.
-_LINES = ((1.0, "budget"), (6.0, "ticket"), (14.4, "page"))
+_REFERENCE_RATES = ((1.0, "budget"), (6.0, "ticket"), (14.4, "page"))
 
 _STYLE = """
 body { font: 15px/1.4 sans-serif; margin: 2em auto; max-width: 70em; color: #222 }
@@ -19,22 +19,23 @@
 """
 
 
-def _x(rate: float, top: float) -> float:
+def _x_position(rate: float, top: float) -> float:
     """Return where a burn rate lies; by logarithm, so that 0.1 and 100 both show."""
-    return _LEFT + _WIDTH * math.log1p(rate) / math.log1p(top)
+    return _LABEL_WIDTH + _PLOT_WIDTH * math.log1p(rate) / math.log1p(top)
 
 
 def render_plot(rows: Sequence[dict[str, Any]]) -> str:
     """Return an SVG of the burn rates: for each team and class a bar a window."""
     rates = [rate for row in rows for rate in row["burn_rates"].values()]
     top = max([20.0, *rates])
-    height = len(rows) * (len(_WINDOWS) * _BAR + _GAP) + 40
+    height = len(rows) * (len(_WINDOWS) * _BAR_HEIGHT + _ROW_GAP) + 40
     parts = [
-        f'<svg xmlns="http://www.w3.org/2000/svg" width="{_LEFT + _WIDTH + 60}" '
+        f'<svg xmlns="http://www.w3.org/2000/svg" '
+        f'width="{_LABEL_WIDTH + _PLOT_WIDTH + 60}" '
         f'height="{height}" font-family="sans-serif" font-size="12">'
     ]
-    for rate, name in _LINES:
-        x = _x(rate, top)
+    for rate, name in _REFERENCE_RATES:
+        x = _x_position(rate, top)
         parts.append(
             f'<line x1="{x:.1f}" x2="{x:.1f}" y1="18" y2="{height}" stroke="#bbb"/>'
             f'<text x="{x:.1f}" y="12" text-anchor="middle">{name} {rate:g}</text>'
@@ -42,20 +43,21 @@
     y = 26.0
     for row in rows:
         label = escape(f"{row['team']} {row['class']}")
-        middle = y + len(_WINDOWS) * _BAR / 2 + 4
+        middle = y + len(_WINDOWS) * _BAR_HEIGHT / 2 + 4
         parts.append(
-            f'<text x="{_LEFT - 8}" y="{middle:.0f}" text-anchor="end">{label}</text>'
+            f'<text x="{_LABEL_WIDTH - 8}" y="{middle:.0f}" text-anchor="end">'
+            f"{label}</text>"
         )
         for window in _WINDOWS:
             rate = row["burn_rates"][window]
-            width = max(_x(rate, top) - _LEFT, 1.0)
+            width = max(_x_position(rate, top) - _LABEL_WIDTH, 1.0)
             parts.append(
-                f'<rect x="{_LEFT}" y="{y:.0f}" width="{width:.1f}" '
-                f'height="{_BAR - 2}" fill="{_COLOURS[window]}">'
+                f'<rect x="{_LABEL_WIDTH}" y="{y:.0f}" width="{width:.1f}" '
+                f'height="{_BAR_HEIGHT - 2}" fill="{_COLOURS[window]}">'
                 f"<title>{label} {window}: {rate:g}</title></rect>"
             )
-            y += _BAR
-        y += _GAP
+            y += _BAR_HEIGHT
+        y += _ROW_GAP
     parts.append("</svg>")
     return "".join(parts)
 
@@ -84,7 +86,7 @@
 
 def render_page(data: dict[str, Any]) -> str:
     """Return the report as a page that needs no other file."""
-    key = " ".join(
+    legend = " ".join(
         f'<span style="color:{colour}">&#9632; {name}</span>'
         for name, colour in _COLOURS.items()
     )
@@ -98,6 +100,6 @@
         "<h1>Service-level burn</h1>"
         f"<p>Figures of {len(data['instances'])} instances. A burn rate of 1 uses "
         "the error budget up exactly; refusals that are not the caller's fault "
-        f"count as misses.</p>{missing}<p>{key}</p>"
+        f"count as misses.</p>{missing}<p>{legend}</p>"
         f"{render_plot(data['rows'])}{_table(data['rows'])}</html>\n"
     )
