--- a/src/firhook/_daemon.py
+++ b/src/firhook/_daemon.py
@@ -65,17 +65,17 @@
 
 
 async def _serve(kernel: Kernel) -> int:
-    stop_requested = kernel.stop_requested
+    stop_event = kernel.stop_requested
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, stop_requested.set)
+        loop.add_signal_handler(sig, stop_event.set)
     await kernel.start()
     log("instance.started", ports=kernel.ports)
     print(json.dumps({"listening": kernel.ports}), flush=True)
     crash_task = asyncio.create_task(kernel.wait_until_stopped())
-    stop_task = asyncio.create_task(stop_requested.wait())
+    stop_task = asyncio.create_task(stop_event.wait())
     await asyncio.wait({crash_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
-    if not stop_requested.is_set():
+    if not stop_event.is_set():
         reason = kernel.crash_reason
         log("instance.crashed", level="error", error=repr(reason))
         return EXIT_CRASHED
--- a/src/firhook/_web.py
+++ b/src/firhook/_web.py
@@ -79,8 +79,8 @@
     except web.HTTPRequestEntityTooLarge:
         return problem_response(BodyTooLargeError("the body is over the limit"), rid)
     except web.HTTPException as exc:
-        error = RequestMalformedError(f"{req.method} {req.path}: {exc.reason}")
-        resp = problem_response(error, rid)
+        malformed = RequestMalformedError(f"{req.method} {req.path}: {exc.reason}")
+        resp = problem_response(malformed, rid)
         resp.set_status(exc.status)
         return resp
     except Exception as exc:
