--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -68,7 +68,8 @@
 _READING_LIMIT_S = 12.0
 #: An instance whose takeover failed is not a candidate for this time.
 _FAILED_TAKEOVER_PAUSE_S = 6.0
-#: A superseded lead is not a candidate until it can have heard from its successor.
+#: An instance whose term was lost is not a candidate for this time, in which it
+#: receives its successor's announcements.
 _SUPERSEDED_PAUSE_S = 0.5
 #: The lead offers the cell to a successor if the store accepted none of its appends
 #: for this time.  It appends a proof every 0.2 s.
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -319,7 +319,7 @@
             state = view.state.whole() if view.state else None
         except RecordMalformedError as exc:
             # Without its state the job would run from the start, beside tasks
-            # that may still run.  It is skipped, and the log line tells operators.
+            # that may still run.  It is skipped, and the log line alerts operators.
             log("record.malformed", level="error", job=job_id, detail=exc.detail)
             return
         self.job_table.add(view.accepted, state, now, unix)
--- a/tests/services/test_adviser_client.py
+++ b/tests/services/test_adviser_client.py
@@ -1,14 +1,15 @@
-"""The lead asks the adviser, over the model: answers that come late."""
+"""The lead's questions to the adviser on the platform model: late answers."""
 
 from standins.model import pause
 from tests.services.scenarios import run_scenario, step
 
 
-def test_answers_that_are_late_are_used():
-    """Answers took a quarter of a second longer than they should, and were dropped.
+def test_late_answers_are_used():
+    """Late answers must be used rather than dropped.
 
-    Each question was put again, behind the one that was given up, and was given up
-    too: the adviser was busy, and no job began.
+    When answers took a quarter of a second longer than expected, each question was
+    given up and repeated.  The repeat waited behind the first question at the adviser
+    and was given up as well, so that the adviser was busy and no job began.
     """
 
     async def scenario(cell):
@@ -17,14 +18,14 @@
             await cell.submit([step(2)], work_s=0.3)
         calls = cell.adviser.calls
         await cell.all_done(4.0)
-        # Each was asked about again where its answer was late, and no more.
+        # Each question was repeated at most once.
         assert cell.adviser.calls - calls <= 2 * 6
 
     run_scenario(scenario, instances=4, workers=6, advised=True)
 
 
-def test_instance_whose_answers_are_late_is_asked_no_more_until_they_came():
-    """A question that is given up still stands in the instance's turn."""
+def test_instance_with_late_answers_is_not_asked_until_they_arrive():
+    """A late question still occupies the instance's queue at the adviser."""
 
     async def scenario(cell):
         slow = next(n for n in cell.instances if n != cell.lead_name())
@@ -34,21 +35,21 @@
             await cell.submit([step(1, cpu_m=100)], work_s=0.3)
             await pause(0.05)
         await cell.all_done(10.0)
-        # What was under way to it when the first answer was found to be late.
+        # The questions in flight when the first answer was found to be late.
         assert cell.adviser.asked_through[slow] - before <= 8
 
     run_scenario(scenario, instances=3, workers=6, advised=True)
 
 
-def test_ticket_is_not_used_beyond_its_time_when_its_answer_was_late():
-    """Tickets hold from when the adviser gives them, not from when they arrive.
+def test_ticket_of_a_late_answer_is_not_used_after_it_expired():
+    """A ticket's validity must count from its issue, not from its arrival.
 
-    Starts with tickets that had ended were refused, and gangs fell apart.
+    Otherwise starts with expired tickets were refused, and gangs broke up.
     """
 
     async def scenario(cell):
         cell.adviser.late_s = dict.fromkeys(cell.instances, 0.2)
-        # The workers are full until the first tickets of the others are about to end.
+        # The workers are full until the first tickets of the other jobs nearly expire.
         for _ in range(12):
             await cell.submit([step(6, cpu_m=4000)], work_s=0.93)
         await cell.all_done(30.0)
--- a/tests/services/test_faults.py
+++ b/tests/services/test_faults.py
@@ -1,25 +1,25 @@
-"""Random faults over the model of the platform, by seed.
+"""Random faults on the platform model, by seed.
 
-Jobs come for 25 s of virtual time while instances, workers and the store fail in
-all the ways that the model knows; afterwards everything is well again.  No task
-may run twice, nor after its end was acknowledged, no worker may be given more
-than it has, and every accepted job must end as it should.
+Jobs arrive for 25 s of virtual time while instances, workers and the store fail in
+all ways that the model supports.  Then all faults are removed.  No task may run
+twice or after its end was acknowledged, no worker may be assigned more than its
+capacity, and every accepted job must end as expected.
 """
 
 import pytest
 
 from standins.model import FIRST_KINDS, Trouble, run_virtual
 
-#: Seeds that once failed, each with what was wrong then.
-FAILED_ONCE = {
-    2: "the room kept for quotes kept a gang of whole workers from ever starting",
-    4: "an old life's acknowledgement made a restarted worker forget its ends",
-    18: "a job accepted in the middle of a takeover was never taken in",
-    48: "a job accepted in the middle of a takeover was never taken in",
-    442: "a late start reached a worker's next life after its stop had been confirmed",
-    612: "what a late start took on a worker was not accounted for",
-    644: "a late start reached a worker's next life after its stop had been confirmed",
-    651: "what a late start took on a worker was not accounted for",
+#: Seeds that failed before, each with the defect that it found.
+REGRESSION_SEEDS = {
+    2: "capacity reserved for quotes kept a gang of whole workers from starting",
+    4: "an old acknowledgement made a restarted worker delete its ends",
+    18: "a job accepted during a takeover was never handled",
+    48: "a job accepted during a takeover was never handled",
+    442: "a late start reached a restarted worker after its stop was confirmed",
+    612: "resources of a late start were not accounted for",
+    644: "a late start reached a restarted worker after its stop was confirmed",
+    651: "resources of a late start were not accounted for",
 }
 
 
@@ -28,27 +28,29 @@
     assert outcome.good, f"seed {seed}: {outcome}"
 
 
-@pytest.mark.parametrize("seed", sorted(FAILED_ONCE))
-def test_a_seed_that_failed_once_keeps_every_promise(seed):
+@pytest.mark.parametrize("seed", sorted(REGRESSION_SEEDS))
+def test_no_invariant_is_violated_under_regression_seeds(seed):
     check(seed, FIRST_KINDS)
 
 
 @pytest.mark.parametrize("seed", range(1000, 1010))
-def test_no_promise_is_broken_under_random_faults(seed):
+def test_no_invariant_is_violated_under_random_faults(seed):
     check(seed)
 
 
 @pytest.mark.parametrize("seed", range(2000, 2006))
-def test_no_promise_is_broken_among_unlike_instances_and_relays(seed):
-    """Of nine instances one tells five others what the lead writes, and weak ones
-    copy from strong ones what they need of it.
+def test_no_invariant_is_violated_with_relays_and_unequal_instances(seed):
+    """Of nine instances, one relays the lead's records to five others, and weak ones
+    copy records from strong ones.
     """
     check(seed, instances=9)
 
 
 @pytest.mark.parametrize("seed", range(3000, 3004))
-def test_work_whose_answers_are_lost_runs_once(seed):
-    """A worker runs what it was told, its answer is lost, and a caller is charged
-    twice if that is taken for a refusal.
+def test_task_whose_order_answer_is_lost_runs_once(seed):
+    """A lost answer to an order must not count as a refusal.
+
+    The worker carries out the order.  If it were sent to another worker as well, the
+    task would run twice and the caller be charged twice.
     """
     check(seed, ("answers_lost", "kill", "worker_reborn"))
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -1,4 +1,4 @@
-"""The lead over the model of the platform: takeovers, lapses, unanswered orders."""
+"""The lead on the platform model: takeovers, expired leases, unanswered orders."""
 
 import asyncio
 
@@ -17,14 +17,14 @@
 from tests.services.scenarios import step
 
 
-def test_job_runs_to_its_end_and_every_instance_says_so():
+def test_completed_job_is_reported_by_every_instance():
     async def scenario():
         cell = ModelCell()
         await cell.begin()
         job, status = await cell.submit([step(3), step(2, after=[0])])
         assert status == 200
         await cell.all_done(10.0)
-        # The others learn from the lead, which gathers for 15 ms.
+        # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         states = {await cell.status(job, i) for i in cell.instances.values()}
         assert states == {"completed"}
@@ -33,8 +33,8 @@
     run_virtual(scenario())
 
 
-def test_lead_decides_by_what_its_class_says():
-    """Decisions are compared by cells whose leads differ in nothing else."""
+def test_lead_places_tasks_with_the_function_of_its_class():
+    """Policies are compared by cells whose leads differ only in these functions."""
 
     class IdleLead(load_services()["lead"]):
         place = staticmethod(lambda book, workers, tickets, now: RoundResult())
@@ -54,10 +54,11 @@
 
 
 def test_tasks_of_a_worker_that_is_gone_for_good_run_elsewhere_under_a_new_lead():
-    """A worker dies for good, its entry lapses, and then the lead dies too.
+    """Tasks of a worker that a new lead never sees registered must run elsewhere.
 
-    The new lead never hears of the worker other than from what was stored.  A
-    user would see a job that is "running" for ever while the cell stands idle.
+    A worker is lost for good, its entry expires, and then the lead is killed.  The
+    new lead knows of the worker only from stored records.  The job would stay
+    "running" forever while the cell is idle.
     """
 
     async def scenario():
@@ -69,7 +70,7 @@
         cell.unregister("w0")
         cell.kill(cell.lead_name())
         await cell.all_done(40.0)
-        # The others learn from the lead, which gathers for 15 ms.
+        # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
         assert cell.checks.broken == []
@@ -77,13 +78,13 @@
     run_virtual(scenario())
 
 
-def test_jobs_that_ended_long_ago_are_forgotten_and_their_records_dropped():
+def test_expired_jobs_and_their_records_are_deleted():
     async def scenario():
         cell = ModelCell(bounds=Bounds(status_s=2.0))
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
         await cell.all_done(5.0)
-        # The others learn from the lead, which gathers for 15 ms.
+        # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
         await pause(15.0)
@@ -94,11 +95,11 @@
     run_virtual(scenario())
 
 
-def test_a_late_repeat_of_a_submission_starts_nothing_anew():
-    """The first answer to a submission is late, and the caller sends it again.
+def test_late_repeat_of_a_submission_does_not_start_the_job_again():
+    """A repeated submission must not run the job twice and charge its user twice.
 
-    The repeat reaches another instance after the job has ended; a user must not
-    be charged twice.
+    The answer to the first submission is late, and the caller sends it again.  The
+    repeat reaches another instance after the job has ended.
     """
 
     async def scenario():
@@ -115,11 +116,11 @@
     run_virtual(scenario())
 
 
-def test_a_silent_store_refuses_new_jobs_truly_and_at_once():
-    """The store is away without a word for some seconds.
+def test_new_jobs_are_refused_at_once_while_the_store_is_silent():
+    """A caller must get a definite refusal while the store does not answer.
 
-    A caller that gets neither a yes nor a no does not dare to submit again; told
-    that nothing was recorded, and when to come back, it does.
+    Without a definite answer a caller cannot safely submit again.  The refusal says
+    that nothing was recorded and when to retry.
     """
 
     async def scenario():
@@ -139,9 +140,11 @@
     run_virtual(scenario())
 
 
-def test_an_instance_that_cannot_read_the_keys_answers_for_none_of_them():
-    """An instance is cut off from the store and from the others; a key is
-    withdrawn meanwhile.
+def test_instance_with_stale_keys_serves_no_caller():
+    """An instance must not accept a key that may have been withdrawn.
+
+    The instance is partitioned from the store and the other instances while a key
+    is withdrawn.
     """
 
     async def scenario():
@@ -160,19 +163,19 @@
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
-def test_instance_that_the_store_turns_away_serves_callers_through_the_lead(mode):
-    """The store serves all instances but one, which is not the lead.
+def test_instance_that_the_store_refuses_serves_callers_through_the_lead(mode):
+    """Callers of an instance that the store does not serve must not be refused.
 
-    Its callers would wait for a second and then be refused, for as long as the
-    platform goes on sending them there.
+    The store serves all other instances, including the lead.  Callers would wait
+    for a second and be refused, for as long as the platform sends them there.
     """
 
     async def scenario():
         cell = ModelCell()
         await cell.begin()
-        away = next(n for n in cell.instances if n != cell.lead_name())
-        found = cell.instances[away]
-        cell.store.mode[away] = mode
+        isolated = next(n for n in cell.instances if n != cell.lead_name())
+        found = cell.instances[isolated]
+        cell.store.mode[isolated] = mode
         await pause(1.0)
         assert not await found.instance.services["callers"].ready()
         body = b'{"specification":"x","steps":[{"count":1,"millicpus":1}]}'
@@ -183,10 +186,10 @@
         assert now() - began < 0.1
         cell.configure(2, tenants=[{"name": "a", "api_keys": ["another"]}])
         await pause(cell.bounds.revocation_s + 1.0)
-        asked = ModelRequest("GET", "/plan/00000000000000ff")
-        assert (await found.call(asked))[0] == 401
-        asked = ModelRequest("GET", "/plan/00000000000000ff", key="another")
-        assert (await found.call(asked))[0] == 200
+        get_req = ModelRequest("GET", "/plan/00000000000000ff")
+        assert (await found.call(get_req))[0] == 401
+        get_req = ModelRequest("GET", "/plan/00000000000000ff", key="another")
+        assert (await found.call(get_req))[0] == 200
         cell.store.mode.clear()
         await pause(1.0)
         assert await found.instance.services["callers"].ready()
@@ -194,19 +197,22 @@
     run_virtual(scenario())
 
 
-def test_instance_in_a_zone_that_is_cut_off_refuses_at_once_and_says_it_did_not_run():
-    """A zone loses its way to the store and to all instances elsewhere.
+def test_instance_in_a_partitioned_zone_refuses_at_once_and_reports_not_run():
+    """An instance in a partitioned zone must refuse callers without delay.
 
-    Callers that are held until a time-out have no time left to go elsewhere.
+    The zone has lost its connection to the store and to all other zones.  Callers
+    that wait for a timeout have no time left to try another zone.
     """
 
     async def scenario():
         cell = ModelCell(instances=4)
         await cell.begin()
-        away = next(n for n in cell.instances if n != cell.lead_name())
-        found = cell.instances[away]
-        cell.store.mode[away] = "silent"
-        cell.cuts += [{away, other} for other in cell.instances if other != away]
+        isolated = next(n for n in cell.instances if n != cell.lead_name())
+        found = cell.instances[isolated]
+        cell.store.mode[isolated] = "silent"
+        cell.cuts += [
+            {isolated, other} for other in cell.instances if other != isolated
+        ]
         await pause(0.9)
         assert not await found.instance.services["callers"].ready()
         body = b'{"specification":"x","steps":[{"count":1,"millicpus":1}]}'
@@ -220,7 +226,7 @@
     run_virtual(scenario())
 
 
-def test_a_successor_gives_its_first_order_soon_after_the_lead_falls_silent():
+def test_successor_sends_its_first_order_soon_after_the_lead_falls_silent():
     async def scenario():
         cell = ModelCell()
         await cell.begin()
@@ -234,11 +240,11 @@
     run_virtual(scenario())
 
 
-def test_tasks_start_and_end_while_one_of_the_leads_partitions_is_away():
-    """The store loses some of its partitions for some seconds.
+def test_tasks_start_and_end_while_one_lead_partition_is_unavailable():
+    """Accepted jobs must start while one of the lead's partitions is unavailable.
 
-    Jobs are still accepted; with the lead's records on a lost partition alone, a
-    user would see none of them begin until it is back.
+    If the lead wrote its records to the lost partition only, no job would begin
+    until that partition is back.
     """
 
     async def scenario():
@@ -260,7 +266,7 @@
     run_virtual(scenario())
 
 
-def test_jobs_are_accepted_while_one_of_the_callers_partitions_is_away():
+def test_jobs_are_accepted_while_one_caller_partition_is_unavailable():
     async def scenario():
         cell = ModelCell()
         await cell.begin()
@@ -274,12 +280,13 @@
     run_virtual(scenario())
 
 
-def test_the_lead_stays_while_no_message_between_instances_arrives():
-    """All connections between the instances hang, and the cell is idle.
+def test_lead_stays_while_no_message_between_instances_arrives():
+    """The lead must not change because messages between instances are lost.
 
-    None of them hears the lead.  Were another to stand for that, the lead would go
-    round for as long as the connections hang, and a user would wait for each turn;
-    what the lead appends says that it lives.
+    All connections between instances hang while the cell is idle, so that no
+    instance receives the lead's announcements.  If others became candidates, the
+    lead would move repeatedly, and users would wait for each change.  The lead's
+    appends to the store show that it is alive.
     """
 
     async def scenario():
@@ -298,7 +305,7 @@
 
 
 def longest_gap(cell, changes, seconds):
-    """Watch the lead; return the longest time without one."""
+    """Record changes of the lead; return the longest time without a lead."""
 
     async def watch():
         worst = since = 0.0
@@ -317,11 +324,12 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_silent_lead_is_replaced_within_600_ms_and_nobody_moves_the_lead_again(seed):
-    """The lead's machine loses power, and it comes back seconds later.
+def test_silent_lead_is_replaced_once_within_600_ms(seed):
+    """A lost lead must be replaced quickly, and only once.
 
-    Until there is another lead nothing starts, so that every quote of that time is
-    late; a lead that moved back to the first would cost as much once more.
+    The lead's machine loses power and returns seconds later.  Without a lead nothing
+    starts, and every quote of that time is late.  Moving the lead back would cost
+    the same time again.
     """
 
     async def scenario():
@@ -340,7 +348,7 @@
 
 
 async def longest_gap_from(cell, changes, seconds):
-    """Like the watch above, from a moment without a lead."""
+    """Like :func:`longest_gap`, started at a moment without a lead."""
     began = now()
     await cell.until(lambda: cell.lead() is not None, 5.0)
     gap = now() - began
@@ -350,9 +358,10 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_restart_of_every_instance_in_turn_leaves_no_time_without_a_lead(seed):
-    """Operators stop and start all instances, one after the other.
+    """A rolling restart must not interrupt service.
 
-    A lead that is told to stop hands over first; callers should notice nothing.
+    Operators stop and start all instances in turn.  A stopping lead hands over
+    first, so that callers notice nothing.
     """
 
     async def scenario():
@@ -371,10 +380,10 @@
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
-def test_lead_that_the_store_turns_away_hands_over_to_one_that_reaches_it(mode):
-    """The store serves all instances but the one that leads.
+def test_lead_that_the_store_refuses_hands_over_to_one_that_reaches_it(mode):
+    """A lead that the store does not serve must hand over by itself.
 
-    That one still reaches its peers, so that nobody needs to wait for its silence.
+    It still reaches its peers, so that they need not wait until it falls silent.
     """
 
     async def scenario():
@@ -394,7 +403,7 @@
     run_virtual(scenario())
 
 
-def test_lead_stays_while_the_store_is_away_for_all():
+def test_lead_stays_while_the_store_is_unavailable_for_all():
     async def scenario():
         cell = ModelCell(instances=5)
         await cell.begin()
@@ -408,12 +417,12 @@
     run_virtual(scenario())
 
 
-def test_strong_instance_leads_and_a_weak_one_only_while_there_is_none():
-    """Instances differ fourfold in processor, and the strong ones are lost.
+def test_weak_instance_leads_only_while_there_is_no_strong_one():
+    """A strong instance must lead whenever one is available.
 
-    A weak lead falls behind and its rounds come later and later: a user would
-    see nothing of a busy cell started for a minute.  With all strong ones gone a
-    weak lead is better than none, until one of them is back.
+    The processors of the instances differ by a factor of four, and the strong ones
+    are lost.  A weak lead falls behind, and in a busy cell nothing would start for
+    a minute.  It is still better than none until a strong instance is back.
     """
 
     async def scenario():
@@ -441,7 +450,7 @@
         await cell.until(lambda: leads(first), 5.0)
         job, _ = await cell.submit([step(2)], work_s=0.5)
         await cell.all_done(5.0)
-        # The others learn from the lead, which gathers for 15 ms.
+        # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
         assert cell.checks.broken == []
@@ -450,10 +459,11 @@
 
 
 def test_weak_instance_that_was_cut_off_from_the_store_does_not_take_the_lead():
-    """The store turns some instances away for seconds, and then serves them.
+    """Weak instances must not take the lead after an outage of their store access.
 
-    They saw no other member meanwhile.  Were they to join at once, the lead
-    would move to a weak one and on to a strong one; nothing is started in between.
+    The store refuses some instances for seconds, during which they see no other
+    instance.  If they became candidates at once, the lead would move to a weak
+    instance and then back to a strong one, and nothing starts in between.
     """
 
     async def scenario():
@@ -474,12 +484,13 @@
     run_virtual(scenario())
 
 
-def test_records_that_overtake_each_other_between_instances_are_not_read_again():
-    """Many instances accept jobs at once and tell each other of them.
+def test_records_that_arrive_out_of_order_are_not_read_from_the_store():
+    """Records that arrive out of order must not cause reads of the store.
 
-    What arrives out of order is complete a moment later.  Reading the store
-    for each of these would be most of the calls to it, which are paid for, and
-    most of what an idle instance does: 2,900 calls here, now 340.
+    Many instances accept jobs at once and send the records to each other.  A gap
+    is filled a moment later.  Reading the store for each gap took 2,900 calls here
+    instead of 340.  Calls to the store are charged for, and would be most of the
+    work of an idle instance.
     """
 
     async def scenario():
@@ -492,20 +503,21 @@
                 *(cell.submit([step(1)], work_s=0.2) for _ in range(4))
             )
             await pause(0.05)
-        # Each instance reads 5 times a second, the list of workers and the
-        # configuration beside.
+        # Each instance reads the log 5 times a second, and also the worker list and
+        # the configuration.
         assert (cell.store.reads - reads) / 5.0 / 8 < 9
         await cell.all_done(20.0)
 
     run_virtual(scenario())
 
 
-def test_lead_tells_all_what_each_instance_accepted():
-    """Callers hand in jobs at many instances, and ask for them at any other.
+def test_lead_broadcasts_what_each_instance_accepted():
+    """The number of messages must not grow with the square of the instances.
 
-    Told to all by each instance, the messages grow with the square of their
-    number: 486 here, with 60 jobs and 10 instances.  Each tells the lead alone,
-    and the lead tells all what it gathers, together with its states: 196.
+    Callers submit jobs at many instances and ask for them at any other.  If each
+    instance sent its records to all others, 60 jobs at 10 instances would take 486
+    messages.  Each sends them to the lead only, which broadcasts them in batches
+    together with its job states, in 196 messages.
     """
 
     async def scenario():
@@ -529,7 +541,7 @@
             for instance in cell.instances.values()
         ]
         assert all(known)
-        # None of them had to read the store for that.
+        # The instances did not have to read the store for that.
         assert cell.store.reads - reads < 20
         await cell.all_done(10.0)
         assert cell.told - told < 300
@@ -538,10 +550,11 @@
 
 
 def test_large_records_of_many_instances_at_once_fit_into_messages():
-    """Six instances append 0.75 MB each for their callers in the same moment.
+    """A batch of large records must not exceed the maximum message size.
 
-    The lead gathered all of it in one message, which was too long to be sent; its
-    process ended, and after it that of the next lead.
+    Six instances append 0.75 MB each at the same moment.  A lead that put all of it
+    into one message could not send it.  Its process crashed, and then the process
+    of the next lead.
     """
     size = 250_000
 
@@ -569,12 +582,12 @@
     run_virtual(scenario())
 
 
-def test_two_instances_that_take_themselves_for_the_lead_do_not_echo_each_other():
-    """A lead was cut off, does not know yet that it was replaced, and hears its
-    successor again.
+def test_two_instances_that_both_believe_to_lead_do_not_echo_each_other():
+    """Relayed records must not circulate between two instances forever.
 
-    Each hands on to all what the other hands on.  Without an end to that, every
-    record would go back and forth for ever, and more with each that comes.
+    A lead was partitioned, does not know yet that it was superseded, and receives
+    messages of its successor again.  Each relays what the other relays, so that
+    every new record would add messages that never end.
     """
 
     async def scenario():
@@ -594,52 +607,54 @@
     run_virtual(scenario())
 
 
-def test_job_is_found_by_an_instance_whose_place_in_the_log_has_expired():
-    """An instance was cut off from its peers and the log's history expires.
+def test_job_is_found_by_an_instance_whose_log_position_has_expired():
+    """An instance must not deny a job because its position in the log has expired.
 
-    Asked for a job that it does not know yet, it reads on from a place that is
-    gone.  A user who is told "no such job" then submits the work again elsewhere
-    or gives it up, though it is accepted and runs.
+    The instance was partitioned from its peers, and the log's history expires.
+    Asked for an unknown job, it reads on from a position that no longer exists.  A
+    user who is told "no such job" submits the work again or gives it up, although
+    the job was accepted and runs.
     """
 
     async def scenario():
         cell = ModelCell(instances=3)
         await cell.begin()
-        behind = next(n for n in cell.instances if n != cell.lead_name())
-        cell.cuts += [{behind, other} for other in cell.instances if other != behind]
-        # It is asked at all moments between two readings of its own.
+        lagging = next(n for n in cell.instances if n != cell.lead_name())
+        cell.cuts += [{lagging, other} for other in cell.instances if other != lagging]
+        # It is asked at various moments between two of its own reads.
         for wait_s in (0.0, 0.1, 0.2, 0.3, 0.4):
             job, status = await cell.submit([step(1)], work_s=0.3)
             assert status == 200
             cell.store.forget_history()
             await pause(wait_s)
-            asked = ModelRequest("GET", f"/plan/{job}")
-            status, _ = await cell.instances[behind].call(asked)
+            req = ModelRequest("GET", f"/plan/{job}")
+            status, _ = await cell.instances[lagging].call(req)
             assert status == 200
 
     run_virtual(scenario())
 
 
-def test_instance_whose_replica_lags_says_what_the_lead_knows_of_waiting_jobs():
-    """An instance on a thin link gets neither pushes nor pages for seconds.
+def test_instance_with_a_stale_replica_reports_the_leads_count_of_waiting_jobs():
+    """The count of waiting jobs must not come from a stale replica.
 
-    It would say that nothing waits, while a hundred jobs do; operators who add
-    workers by that figure add none.
+    An instance on a slow link receives neither pushed records nor pages for
+    seconds.  It would report that nothing waits while a hundred jobs do, and
+    operators who scale workers by that figure would add none.
     """
 
     async def scenario():
         cell = ModelCell(workers=1)
         await cell.begin()
-        behind = next(n for n in cell.instances if n != cell.lead_name())
-        found = cell.instances[behind]
-        cell.store.mode[behind] = "silent"
-        cell.deafen(behind)
+        lagging = next(n for n in cell.instances if n != cell.lead_name())
+        found = cell.instances[lagging]
+        cell.store.mode[lagging] = "silent"
+        cell.deafen(lagging)
         jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(10)]
         assert {status for _, status in jobs} == {200}
         await pause(4.0)
         status, body = await found.call(ModelRequest("GET", "/plan/"))
         assert (status, body["pending"]) == (200, 9)
-        cell.cuts += [{behind, other} for other in cell.instances if other != behind]
+        cell.cuts += [{lagging, other} for other in cell.instances if other != lagging]
         await pause(0.5)
         status, _ = await found.call(ModelRequest("GET", "/plan/"))
         assert status == 503
@@ -649,10 +664,12 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_no_two_instances_lead_under_one_epoch(seed):
-    """Several instances stand at once and do not hear each other, as in a cut.
+    """Concurrent candidates must never get the same epoch.
 
-    The store and the workers tell two leads apart by their epoch alone.  Under one
-    epoch both start every task, and a user is charged twice.
+    Several candidates campaign at once and receive nothing from each other, as in a
+    network partition.  The store and the workers distinguish leads by their epoch
+    only.  Two leads with one epoch would both start every task and charge users
+    twice.
     """
 
     async def scenario():
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -1,8 +1,8 @@
-"""Defects put in on purpose are caught by the random faults.
+"""Injected defects are caught by the random-fault simulation.
 
-A check that finds nothing is worth little unless it is known to find what it
-looks for.  Each defect here is one that a change could bring in unnoticed, and
-that would let a task run twice or a job be lost.
+The simulation is only useful if it is known to find the defects that it looks for.
+Each defect here could be introduced unnoticed by a change, and would let a task run
+twice or lose a job.
 """
 
 import math
@@ -18,8 +18,8 @@
 SEEDS = range(40)
 
 
-def caught(kinds=()):
-    """Return the first seed under which a promise is broken."""
+def first_failing_seed(kinds=()):
+    """Return the first seed under which an invariant is violated, or ``None``."""
     for seed in SEEDS:
         if not run_virtual(Trouble(seed, kinds).play()).good:
             return seed
@@ -27,76 +27,78 @@
 
 
 def test_starting_before_the_assignment_is_stored_is_caught(monkeypatch):
-    store = Term._store_changes
+    store_changes = Term._store_changes
 
-    async def hasty(self):
+    async def defective(self):
         self._order_sender.start_runs(self.job_table.take_planned())
-        await store(self)
+        await store_changes(self)
 
-    monkeypatch.setattr(Term, "_store_changes", hasty)
+    monkeypatch.setattr(Term, "_store_changes", defective)
     kinds = ("kill", "store_down", "freeze")
-    assert caught(kinds) is not None
+    assert first_failing_seed(kinds) is not None
 
 
 def test_acknowledging_ends_before_they_are_stored_is_caught(monkeypatch):
-    look = Term.on_poll
+    original_on_poll = Term.on_poll
 
-    def hasty(self, link, seen, sent_at):
-        look(self, link, seen, sent_at)
-        if seen.ended:
-            link.set_ack(seen.ended[-1].number)
+    def defective(self, link, reply, sent_at):
+        original_on_poll(self, link, reply, sent_at)
+        if reply.ended:
+            link.set_ack(reply.ended[-1].number)
 
-    monkeypatch.setattr(Term, "on_poll", hasty)
-    assert caught(("kill", "store_down")) is not None
+    monkeypatch.setattr(Term, "on_poll", defective)
+    assert first_failing_seed(("kill", "store_down")) is not None
 
 
-def test_leads_that_share_one_fencing_token_are_caught(monkeypatch):
-    start = Term.__init__
+def test_leads_with_one_fencing_token_are_caught(monkeypatch):
+    init = Term.__init__
 
-    def same(self, lead, epoch):
-        start(self, lead, epoch)
+    def defective(self, lead, epoch):
+        init(self, lead, epoch)
         self.fence = 1
 
-    monkeypatch.setattr(Term, "__init__", same)
-    assert caught(("freeze", "deal_anew", "orders_late", "kill")) is not None
+    monkeypatch.setattr(Term, "__init__", defective)
+    assert (
+        first_failing_seed(("freeze", "deal_anew", "orders_late", "kill")) is not None
+    )
 
 
-def test_taking_a_silent_worker_for_dead_too_soon_is_caught(monkeypatch):
+def test_assuming_too_early_that_a_lease_expired_is_caught(monkeypatch):
     monkeypatch.setattr(WorkerLink, "lease_until", _short_lease)
-    assert caught(("worker_cut", "worker_cut_from_some")) is not None
+    assert first_failing_seed(("worker_cut", "worker_cut_from_some")) is not None
 
 
 def _short_lease(self):
-    until = WorkerLink._plain_lease_until(self)
+    until = WorkerLink._original_lease_until(self)
     self.leases_expire_at = 0.0
     return until
 
 
-WorkerLink._plain_lease_until = WorkerLink.lease_until
+WorkerLink._original_lease_until = WorkerLink.lease_until
 
 
-def test_forgetting_a_start_without_an_answer_is_caught(monkeypatch):
-    give_up = OrderSender._abandon_start
+def test_ignoring_a_start_without_an_answer_is_caught(monkeypatch):
+    abandon_start = OrderSender._abandon_start
 
-    def careless(self, run, reason):
+    def defective(self, run, reason):
         run.unanswered = 0
-        give_up(self, run, reason)
+        abandon_start(self, run, reason)
 
-    monkeypatch.setattr(OrderSender, "_abandon_start", careless)
-    assert caught(("orders_late", "worker_cut")) is not None
+    monkeypatch.setattr(OrderSender, "_abandon_start", defective)
+    assert first_failing_seed(("orders_late", "worker_cut")) is not None
 
 
-def test_taking_a_look_from_before_an_order_for_proof_is_caught(monkeypatch):
-    absent = Book._take_absence
+def test_trusting_a_poll_from_before_an_order_is_caught(monkeypatch):
+    take_absence = Book._take_absence
 
-    def hasty(self, run, look, sent_at, now):
+    def defective(self, run, reply, sent_at, now):
         run.settled_at = -math.inf
-        absent(self, run, look, sent_at, now)
+        take_absence(self, run, reply, sent_at, now)
 
-    monkeypatch.setattr(Book, "_take_absence", hasty)
-    assert caught() is not None
+    monkeypatch.setattr(Book, "_take_absence", defective)
+    assert first_failing_seed() is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_without_a_defect_nothing_is_caught(seed):
+def test_no_seed_fails_without_a_defect(seed):
     assert run_virtual(Trouble(seed).play()).good
--- a/tests/services/test_starts.py
+++ b/tests/services/test_starts.py
@@ -1,4 +1,4 @@
-"""The order in which a lead sends starts, over the model of links."""
+"""The order in which a lead sends starts over links of limited bandwidth."""
 
 from standins.model import ModelCell, now, pause, run_virtual
 from tests.services.scenarios import step
@@ -7,14 +7,16 @@
 
 
 def _began_after(cell, job, since):
-    """Return how long after a moment the first task of a job began."""
+    """Return the seconds from a moment until the first task of a job began."""
     starts = cell.checks.last_start.items()
     return min(at for task, at in starts if task.startswith(job)) - since
 
 
 def test_urgent_starts_overtake_those_of_a_wide_step():
-    """A hundred starts of a plan were sent at once, and filled the link for half a
-    second; the quotes that came behind it began late.
+    """Starts of a wide step must not delay urgent ones.
+
+    A hundred starts of a plan, sent at once, filled the link for half a second, and
+    the quotes behind them began late.
     """
 
     async def scenario():
@@ -26,21 +28,24 @@
         cell.order_bytes = 900
         await cell.submit([step(120, cpu_m=100)], work_s=2.0)
         await pause(0.03)
-        waits = []
+        delays_s = []
         for _ in range(5):
             since = now()
             job, _ = await cell.submit([step(2)], work_s=0.5, prefix="/quote/")
             await pause(0.25)
-            waits.append(_began_after(cell, job, since))
-        assert max(waits) < 0.2
+            delays_s.append(_began_after(cell, job, since))
+        assert max(delays_s) < 0.2
         await cell.all_done(20.0)
         assert cell.checks.broken == []
 
     run_virtual(scenario())
 
 
-def test_starts_that_get_no_answer_do_not_hold_up_the_others():
-    """A zone of workers is dark, and starts to it are waited for for 0.8 s."""
+def test_starts_without_an_answer_do_not_delay_the_others():
+    """Starts to an unreachable zone must not occupy all slots of the lead.
+
+    Half of the workers do not answer, and each start to them takes 0.8 s to time out.
+    """
 
     async def scenario():
         cell = ModelCell(workers=60)
@@ -49,7 +54,7 @@
             cell.workers[name].late_share = 1.0
         await cell.submit([step(60, cpu_m=8000)], work_s=2.0)
         await pause(0.5)
-        lit = [w for w in cell.workers.values() if not w.late_share]
-        assert [len(w.runs) for w in lit] == [1] * 30
+        reachable = [w for w in cell.workers.values() if not w.late_share]
+        assert [len(w.runs) for w in reachable] == [1] * 30
 
     run_virtual(scenario())
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -1,4 +1,4 @@
-"""Accepted work that waits although it could run."""
+"""Accepted work that could run must not wait."""
 
 from firhook.services._term import Term
 from standins.model import ModelCell, pause, run_virtual
@@ -18,8 +18,12 @@
         await cell.restart(name)
 
 
-def test_gang_accepted_before_a_new_lead_has_heard_most_workers_starts():
-    """The adviser is asked about the one worker that is heard, which cannot hold it."""
+def test_gang_accepted_before_most_workers_answered_a_new_lead_starts():
+    """A gang must start once the workers are reachable, whatever was asked before.
+
+    At first only one worker answers, and the adviser is asked about that one, which
+    cannot hold the gang.
+    """
 
     async def scenario():
         cell = ModelCell(workers=10, advised=True)
@@ -27,8 +31,8 @@
         await lose_all_power(cell)
         job_id = cell.new_job_id()
         gang = f"{job_id}.0.0"
-        heard = next(w for w in cell.workers if cell.adviser.may_run(gang, w))
-        others = [w for name, w in cell.workers.items() if name != heard]
+        reachable = next(w for w in cell.workers if cell.adviser.may_run(gang, w))
+        others = [w for name, w in cell.workers.items() if name != reachable]
         for worker in others:
             worker.mode = "cut"
         await cell.submit([step(6, 4000, all_or_nothing=True)], job_id=job_id)
@@ -41,8 +45,8 @@
     run_virtual(scenario())
 
 
-def test_lead_tells_once_a_second_why_the_oldest_steps_wait(caplog):
-    """Step after step waits for room that no worker has."""
+def test_lead_logs_once_a_second_why_the_oldest_steps_wait(caplog):
+    """The log must show why steps wait that no worker has the capacity for."""
 
     async def scenario():
         cell = ModelCell(workers=2)
@@ -53,14 +57,17 @@
 
     with caplog.at_level("INFO", logger="firhook.events"):
         run_virtual(scenario())
-    told = [r for r in caplog.records if r.message == "steps.waiting"]
-    assert 6 <= len(told) <= 8
-    for line in told:
+    logged = [r for r in caplog.records if r.message == "steps.waiting"]
+    assert 6 <= len(logged) <= 8
+    for line in logged:
         assert [row["why"] for row in line.steps] == ["no_room"] * 5
 
 
-def test_ends_that_follow_the_end_of_their_job_are_told_as_those_of_a_gang(caplog):
-    """One member's end stands for all, whose own are listed a moment later."""
+def test_gang_ends_that_follow_the_end_of_their_job_are_logged(caplog):
+    """Ends of gang members that are reported after their job ended must be logged.
+
+    One member's end ends the whole gang.  The others report theirs a moment later.
+    """
 
     async def scenario():
         cell = ModelCell(workers=6)
@@ -75,19 +82,19 @@
 
     with caplog.at_level("INFO", logger="firhook.events"):
         job_id = run_virtual(scenario())
-    told = [r for r in caplog.records if r.message in ("run.ended", "job.ended")]
-    assert [r.message for r in told] == ["run.ended"] * 5 + ["job.ended", "run.ended"]
-    assert told[-1].task.startswith(job_id)
-    assert told[-1].gang
+    logged = [r for r in caplog.records if r.message in ("run.ended", "job.ended")]
+    assert [r.message for r in logged] == ["run.ended"] * 5 + ["job.ended", "run.ended"]
+    assert logged[-1].task.startswith(job_id)
+    assert logged[-1].gang
 
 
-def test_worker_is_looked_at_again_after_a_failure_in_the_middle_of_its_silence(
+def test_worker_is_polled_again_after_a_failure_while_it_was_unreachable(
     caplog, monkeypatch
 ):
-    """A worker falls silent, and taking note of that fails once.
+    """A failure while handling an unreachable worker must not end its link.
 
-    Nothing told so; the worker was never looked at again, and a task on it
-    neither ended nor ran elsewhere.
+    It ended the link without a log line.  The worker was never polled again, and a
+    task on it neither ended nor ran elsewhere.
     """
     failures = [RuntimeError("once")]
     on_unreachable = Term.on_unreachable
--- a/tests/services/test_work_survives.py
+++ b/tests/services/test_work_survives.py
@@ -1,4 +1,4 @@
-"""Work goes on through lost leads, workers and zones, and nothing runs twice."""
+"""Work survives lost leads, workers and zones, and nothing runs twice."""
 
 import pytest
 
@@ -7,13 +7,13 @@
 from tests.services.scenarios import run_scenario, step
 
 SEEDS = range(8)
-HERE, AWAY = ("i0", "i1"), ("i2", "i3")
-#: What the workers of the scenes have together, in cores.
-CORES = 6 * 8
+REMAINING_ZONE, CUT_ZONE = ("i0", "i1"), ("i2", "i3")
+#: The cores of all workers of a scenario.
+TOTAL_CORES = 6 * 8
 
 
-async def lead_from(cell, names):
-    """Let one of some instances lead."""
+async def move_lead_to(cell, names):
+    """Make one of the named instances the lead."""
     others = [name for name in cell.instances if name not in names]
     if cell.lead_name() in names:
         return
@@ -26,35 +26,35 @@
     assert cell.lead_name() in names
 
 
-def cut_zone(cell):
-    """Part half of the instances and workers from the store and all others."""
-    for worker in workers_away(cell):
-        worker.cut_from |= set(HERE)
-    for worker in workers_here(cell):
-        worker.cut_from |= set(AWAY)
-    for name in AWAY:
+def partition_zone(cell):
+    """Partition half of the instances and workers from the store and the rest."""
+    for worker in workers_of_cut_zone(cell):
+        worker.cut_from |= set(REMAINING_ZONE)
+    for worker in workers_of_remaining_zone(cell):
+        worker.cut_from |= set(CUT_ZONE)
+    for name in CUT_ZONE:
         cell.store.mode[name] = "silent"
-    cell.cuts += [{a, b} for a in HERE for b in AWAY]
+    cell.cuts += [{a, b} for a in REMAINING_ZONE for b in CUT_ZONE]
 
 
-def heal_zone(cell):
-    """Undo :func:`cut_zone`."""
+def heal_partition(cell):
+    """Undo :func:`partition_zone`."""
     for worker in cell.workers.values():
         worker.cut_from.clear()
     cell.store.mode.clear()
     cell.cuts.clear()
 
 
-def workers_here(cell):
+def workers_of_remaining_zone(cell):
     return [cell.workers[f"w{i}"] for i in range(3)]
 
 
-def workers_away(cell):
+def workers_of_cut_zone(cell):
     return [cell.workers[f"w{i}"] for i in range(3, 6)]
 
 
 def runs_on(workers):
-    """Return the runs that go on there, by task."""
+    """Return the active runs on some workers, by task."""
     return {run.task: run for worker in workers for run in worker.runs.values()}
 
 
@@ -68,11 +68,11 @@
 
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_blend_plan_finishes_once_though_the_lead_is_killed(seed):
-    """The instance that leads dies while blend plans run at night.
+def test_blend_plan_finishes_once_although_the_lead_is_killed(seed):
+    """Work must survive the loss of the lead without an operator.
 
-    Nobody is there to restart them: they must go on or start elsewhere by
-    themselves, and at no time run in two places.
+    The lead's instance is killed while blend plans run at night.  Their tasks must
+    continue or start elsewhere by themselves, and must never run in two places.
     """
 
     async def scenario(cell):
@@ -81,7 +81,7 @@
         cell.kill(cell.lead_name())
         await cell.all_done(20.0)
         assert cell.final(job) is JobStatus.COMPLETED
-        # The workers were never lost, so that nothing had to start again.
+        # The workers stayed available, so that no task had to start again.
         assert cell.checks.last_start == began
 
     run_scenario(scenario, seed=seed)
@@ -89,11 +89,11 @@
 
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_lead_held_up_past_its_proof_starts_nothing_when_it_goes_on(seed):
-    """The machine of the lead stands still and goes on much later.
+def test_lead_that_was_frozen_past_its_proof_starts_nothing_afterwards(seed):
+    """A superseded lead that resumes must not start anything.
 
-    By then another instance leads.  What the old lead still believes and sends
-    must not run a reconciliation a second time.
+    The lead's machine freezes and resumes after another instance has become lead.
+    The stale orders of the old lead must not run a reconciliation a second time.
     """
 
     async def scenario(cell):
@@ -111,12 +111,12 @@
     run_scenario(scenario, seed=seed)
 
 
-def lose_zone(cell):
-    """Lose half of the instances and workers for good; return what ran there."""
-    lost = set(runs_on(workers_away(cell)))
-    for name in AWAY:
+def kill_zone(cell):
+    """Lose half of the instances and workers for good; return the tasks on them."""
+    lost = set(runs_on(workers_of_cut_zone(cell)))
+    for name in CUT_ZONE:
         cell.kill(name)
-    for worker in workers_away(cell):
+    for worker in workers_of_cut_zone(cell):
         worker.crash()
         cell.unregister(worker.name)
     return lost
@@ -124,23 +124,24 @@
 
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_work_of_a_lost_zone_goes_on_elsewhere_from_its_checkpoints(seed):
-    """A zone is lost in the night, its workers with it; the lead is in another one.
+def test_work_of_a_lost_zone_resumes_elsewhere_from_its_checkpoints(seed):
+    """Tasks of a lost zone must resume elsewhere from their checkpoints.
 
-    In the morning the reconciliation must be done, without anybody having done
-    anything; and what was saved of it must not have been done again.
+    A zone without the lead is lost at night, with its workers.  The reconciliation
+    must be complete in the morning without an operator, and work that was saved in a
+    checkpoint must not be repeated.
     """
 
     async def scenario(cell):
-        await lead_from(cell, HERE)
+        await move_lead_to(cell, REMAINING_ZONE)
         job = await submit_running(cell, 18, 12.0, enable_checkpoints=True)
         await pause(4.0)
-        lost = lose_zone(cell)
+        lost = kill_zone(cell)
         assert lost
         resumed = {}
 
         def all_resumed():
-            found = runs_on(workers_here(cell))
+            found = runs_on(workers_of_remaining_zone(cell))
             resumed.update({task: run for task, run in found.items() if task in lost})
             return resumed.keys() == lost
 
@@ -154,19 +155,19 @@
 
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_work_of_a_zone_that_is_lost_with_the_lead_finishes_elsewhere(seed):
-    """Instances, workers and the lead are gone in the same moment.
+def test_work_of_a_zone_lost_with_the_lead_finishes_elsewhere(seed):
+    """Work must survive the simultaneous loss of the lead and its zone.
 
-    The successor knows what ran there from the store alone.  Were it forgotten,
-    or started before the leases there have lapsed, the work would be missing in
-    the morning or be done twice.
+    The successor knows the lost runs only from the store.  If it ignored them, the
+    work would be missing in the morning.  If it started them before their leases
+    have expired, the work would be done twice.
     """
 
     async def scenario(cell):
-        await lead_from(cell, AWAY)
+        await move_lead_to(cell, CUT_ZONE)
         job = await submit_running(cell, 18, 12.0)
         await pause(4.0)
-        lost, lost_at = lose_zone(cell), now()
+        lost, lost_at = kill_zone(cell), now()
         assert lost
         await cell.all_done(60.0)
         assert cell.final(job) is JobStatus.COMPLETED
@@ -178,20 +179,21 @@
 @pytest.mark.row(2)
 @pytest.mark.parametrize("cut_s", [2.0, 16.0])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_zone_with_the_lead_that_is_cut_and_healed_runs_no_task_twice(seed, cut_s):
-    """A zone is parted from all else for a while and then comes back.
+def test_partition_of_the_leads_zone_runs_no_task_twice(seed, cut_s):
+    """A temporary partition of the lead's zone must not run a task twice.
 
-    Its lead renews its tasks for a time, then lets them lapse; the other zone
-    takes the work over.  Back again, the old lead must not go on with it.
+    The old lead renews the leases of its tasks for a limited time and then lets them
+    expire, and the other zone takes the work over.  After the partition heals, the
+    old lead must not continue that work.
     """
 
     async def scenario(cell):
-        await lead_from(cell, AWAY)
+        await move_lead_to(cell, CUT_ZONE)
         job = await submit_running(cell, 18, 25.0)
-        cut_zone(cell)
+        partition_zone(cell)
         await pause(cut_s)
-        assert cell.lead_name() in HERE
-        heal_zone(cell)
+        assert cell.lead_name() in REMAINING_ZONE
+        heal_partition(cell)
         await cell.all_done(100.0)
         assert cell.final(job) is JobStatus.COMPLETED
 
@@ -201,16 +203,17 @@
 @pytest.mark.row(1)
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_workers_are_never_given_more_than_they_have(seed):
-    """Three times the work that fits is submitted while the lead changes.
+def test_workers_are_never_assigned_more_than_their_capacity(seed):
+    """A change of the lead must not over-commit workers.
 
-    A worker given more than it has would kill tasks for want of memory.
+    Three times the work that fits is submitted while the lead changes.  A worker
+    that gets more than its capacity would kill tasks for lack of memory.
     """
 
     async def scenario(cell):
         for _ in range(12):
             await cell.submit([step(4, 3000)], work_s=1.0)
-        await cell.until(lambda: used_cores(cell) > CORES / 2, 5.0)
+        await cell.until(lambda: used_cores(cell) > TOTAL_CORES / 2, 5.0)
         cell.kill(cell.lead_name())
         began = now()
         await cell.all_done(60.0)
@@ -226,10 +229,7 @@
 @pytest.mark.row(2)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_tasks_of_a_worker_that_restarts_run_again(seed):
-    """A worker is restarted and has forgotten its tasks.
-
-    They must start again, there or elsewhere, and finish.
-    """
+    """Tasks that a restarted worker lost must start again somewhere and finish."""
 
     async def scenario(cell):
         job = await submit_running(cell, 12, 5.0)
--- a/tests/services/test_worker_link.py
+++ b/tests/services/test_worker_link.py
@@ -5,12 +5,12 @@
 from tests.services.scenarios import run_scenario, step
 
 
-def test_link_that_is_cancelled_as_its_ends_are_stored_ends():
-    """A lead is told to stop in the very moment in which the ends of runs were stored.
+def test_link_that_is_cancelled_while_its_ends_are_stored_stops():
+    """A link must not lose a cancellation that coincides with another event.
 
-    The link has been told so, and has not gone on yet.  If it lost the cancelling
-    over that, it would look at its worker for ever, and the instance would not come
-    to rest until the platform kills it.
+    A lead is stopped just as the ends of runs were stored: the link's event is set,
+    but the link has not resumed yet.  If it lost the cancellation, it would poll its
+    worker forever, and the instance would not stop until the platform kills it.
     """
 
     async def scenario(cell):
