--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -19,32 +19,32 @@
 from firhook.cell import LeadRecord
 from firhook.cell.records import LEAD_KEY, encode_record, state_version
 from firhook.clock import boot_time
+from firhook.decide.adviser_slots import SlotPlan
 from firhook.decide.election import (
     Election,
-    line_of_succession,
-    much_stronger,
+    is_much_stronger,
+    succession_order,
 )
 from firhook.decide.schedule import place_round
-from firhook.decide.seats import SeatPlan
 from firhook.errors import FirhookError, LogMovedError, PeerUnreachableError
 from firhook.instance import InstanceService, StopBegun, register_service
 from firhook.logs import log
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._events import (
     LEAD_PARTITIONS,
+    AnnounceLead,
     AskInstance,
     ConfigApplied,
-    Following,
-    HeardLead,
+    IsFollowingStore,
     JobChanged,
-    LeadSeen,
-    LeadSpoke,
+    LeadRecordSeen,
+    LiveLead,
     PartitionRebuilt,
     ReadToEnd,
-    ServeInstance,
-    StoreTime,
-    TellInstance,
-    TellInstances,
+    RegisterMessageHandler,
+    SendToInstance,
+    SendToInstances,
+    StoreLatency,
 )
 from firhook.services._members import candidates
 from firhook.services._term import PROOF_S, Term
@@ -103,7 +103,7 @@
     """
 
     place = staticmethod(place_round)
-    slot_plan = SeatPlan
+    slot_plan = SlotPlan
 
     def wire(self) -> None:
         """Initialise the state and subscribe to what the lead depends on."""
@@ -122,17 +122,17 @@
         self.adviser = self.instance.platform.adviser
         self.bus.subscribe(JobChanged, self._on_job)
         self.bus.subscribe(ConfigApplied, self._on_config)
-        self.bus.subscribe(LeadSeen, self._on_lead_seen)
+        self.bus.subscribe(LeadRecordSeen, self._on_lead_seen)
         self.bus.subscribe(PartitionRebuilt, self._on_rebuilt)
         self.bus.subscribe(StopBegun, self._on_stop_begun)
-        self.bus.answer(HeardLead, self._current_lead)
+        self.bus.answer(LiveLead, self._current_lead)
 
     async def on_started(self) -> None:
         """Serve messages of other instances, and start the main loop."""
-        self.bus.publish(ServeInstance(AdviceAsk, self._serve_advice))
-        self.bus.publish(ServeInstance(LeadAlive, self._on_alive))
-        self.bus.publish(ServeInstance(LeadOffer, self._on_offer))
-        self.bus.publish(ServeInstance(StrongerHere, self._on_stronger_peer))
+        self.bus.publish(RegisterMessageHandler(AdviceAsk, self._serve_advice))
+        self.bus.publish(RegisterMessageHandler(LeadAlive, self._on_alive))
+        self.bus.publish(RegisterMessageHandler(LeadOffer, self._on_offer))
+        self.bus.publish(RegisterMessageHandler(StrongerHere, self._on_stronger_peer))
         self.add_future(self._run())
 
     def _on_job(self, event: JobChanged) -> None:
@@ -180,19 +180,19 @@
 
     # Tracking the lead.
 
-    def _on_lead_seen(self, event: LeadSeen) -> None:
-        self._election.read(event.epoch, event.version, boot_time())
+    def _on_lead_seen(self, event: LeadRecordSeen) -> None:
+        self._election.observe_record(event.epoch, event.version, boot_time())
         self._step_down_if_superseded(event.epoch)
 
     def _on_rebuilt(self, event: PartitionRebuilt) -> None:
         if event.partition == LEAD_PARTITIONS[0]:
-            self._election.note_listening(boot_time())
+            self._election.mark_log_read(boot_time())
 
     def _on_alive(self, msg: LeadAlive) -> PassedOn:
         if msg.relay_to:
             message = attrs.evolve(msg, relay_to=())
-            self.bus.publish(TellInstances(message, msg.relay_to))
-        self._election.hear(msg.epoch, msg.name, msg.newest, boot_time())
+            self.bus.publish(SendToInstances(message, msg.relay_to))
+        self._election.record_heartbeat(msg.epoch, msg.name, msg.newest, boot_time())
         self._step_down_if_superseded(msg.epoch)
         return PassedOn()
 
@@ -202,9 +202,9 @@
             self.term.step_down("replaced", by_epoch=epoch)
             self._wake.set()
 
-    async def _current_lead(self, query: HeardLead) -> str:
+    async def _current_lead(self, query: LiveLead) -> str:
         name = self._election.lead
-        if name == self.settings.name or self._election.quiet(boot_time()):
+        if name == self.settings.name or self._election.lead_unresponsive(boot_time()):
             return ""
         return name
 
@@ -218,7 +218,7 @@
             return False
         if self.settings.name not in self.replica.peers:
             return False
-        return await self.bus.ask(Following())
+        return await self.bus.ask(IsFollowingStore())
 
     async def _run(self) -> None:
         while not self.should_stop and not self._drained:
@@ -236,16 +236,16 @@
     async def _step(self) -> None:
         now = boot_time()
         self._update_known_lead()
-        self._election.note_ready(await self._can_lead(), now)
+        self._election.set_ready(await self._can_lead(), now)
         if self.term is not None:
             if self.term.lost:
-                self._election.rest(now + _SUPERSEDED_PAUSE_S)
+                self._election.back_off(now + _SUPERSEDED_PAUSE_S)
                 await self._end_term(self.term.lost_reason)
             else:
                 self._maintain_lead(self.term, now)
             return
         offered, self._offer_accepted = self._offer_accepted, False
-        if offered or self._election.stands(candidates(self.replica), now):
+        if offered or self._election.should_campaign(candidates(self.replica), now):
             await self._campaign(offered)
         else:
             self._announce_strength(now)
@@ -253,7 +253,7 @@
     def _update_known_lead(self) -> None:
         last = self.replica.lead
         if last is not None:
-            self._election.know(last.epoch, last.name)
+            self._election.learn_lead(last.epoch, last.name)
 
     # Claiming the lead.
 
@@ -294,7 +294,7 @@
         if self._election.epoch > known:
             log("lead.claimed_by_another", epoch=self._election.epoch)
             return None
-        if not offered and not self._election.silent(boot_time()):
+        if not offered and not self._election.lead_timed_out(boot_time()):
             log("lead.alive_in_store", epoch=self._election.epoch)
             return None
         epoch = self._election.epoch + 1
@@ -305,7 +305,7 @@
             await self.store.append(
                 CELL_TOPIC,
                 partition,
-                [encode_keyed(record)],
+                [encode_keyed_record(record)],
                 expected_end=end,
                 timeout_s=_CLAIM_TIMEOUT_S,
             )
@@ -325,7 +325,7 @@
             return LeadOfferReply(False)
         if not await self._can_lead():
             return LeadOfferReply(False)
-        if await self.bus.ask(StoreTime()) == math.inf:
+        if await self.bus.ask(StoreLatency()) == math.inf:
             log("lead.offer_refused", epoch=msg.epoch, reason="store_out_of_reach")
             return LeadOfferReply(False)
         self._offer_accepted = True
@@ -341,10 +341,10 @@
         if not term.taken_over:
             if self._stronger_peer_ready:
                 # The stronger instance has the jobs, or reads them sooner.
-                self._election.rest(now + _FAILED_TAKEOVER_PAUSE_S)
+                self._election.back_off(now + _FAILED_TAKEOVER_PAUSE_S)
                 term.step_down("stronger_instance", doing=term.takeover_stage)
             elif now - self._term_began_at > _takeover_limit_s(term):
-                self._election.rest(now + _FAILED_TAKEOVER_PAUSE_S)
+                self._election.back_off(now + _FAILED_TAKEOVER_PAUSE_S)
                 term.step_down("takeover_slow", doing=term.takeover_stage)
             return
         if self.instance.stopping:
@@ -362,9 +362,9 @@
             return
         self._announced_at = now
         name = self.settings.name
-        self._election.hear(term.fence, name, term.newest_version, now)
+        self._election.record_heartbeat(term.fence, name, term.newest_version, now)
         message = LeadAlive(term.fence, name, term.newest_version)
-        self.bus.publish(LeadSpoke(message))
+        self.bus.publish(AnnounceLead(message))
 
     def _start_offer(self, reason: str, now: float) -> None:
         """Start an offer of the lead, unless one is under way or was made recently."""
@@ -380,17 +380,17 @@
 
         An offer also counts as accepted if the term ended meanwhile.
         """
-        store_s = await self.bus.ask(StoreTime())
+        store_s = await self.bus.ask(StoreLatency())
         if reason == "unproven" and store_s < math.inf:
             # The store answers this instance, so another lead would do no better.
             return False
         if reason == "stopping" and store_s > _SLOW_STORE_S:
             stopping_for_s = boot_time() - self._stop_began_at
-            if stopping_for_s < self.settings.bounds.stop_s * _STOP_WAIT_FRACTION:
+            if stopping_for_s < self.settings.bounds.stop_grace_s * _STOP_WAIT_FRACTION:
                 # A takeover makes six calls one after the other.  With a store
                 # that is 36 times slower than usual, no task starts for a second.
                 return False
-        succession = line_of_succession(candidates(self.replica), self.settings.name)
+        succession = succession_order(candidates(self.replica), self.settings.name)
         names = [c.name for c, _ in succession if c.name != self.settings.name]
         for name in names[:_MAX_OFFERS]:
             term = self.term
@@ -412,14 +412,14 @@
     def _announce_strength(self, now: float) -> None:
         """Notify a much weaker lead that this instance is ready."""
         lead = self.replica.peers.get(self._election.lead)
-        if lead is None or not much_stronger(self.settings.strength, lead.strength):
+        if lead is None or not is_much_stronger(self.settings.strength, lead.strength):
             return
-        if self._election.ready_for(now) < _MIN_SETTLED_S:
+        if self._election.ready_duration_s(now) < _MIN_SETTLED_S:
             return
         if now - self._announced_at >= _STRONGER_INTERVAL_S:
             self._announced_at = now
             message = StrongerHere(self.settings.name)
-            self.bus.publish(TellInstance(lead.name, message))
+            self.bus.publish(SendToInstance(lead.name, message))
 
     async def _on_stronger_peer(self, msg: StrongerHere) -> None:
         self._stronger_peer_ready = self.term is not None
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any, Protocol
 
-from firhook.cell import Book, OrderAnswer, OrderOutcome, Run, StartOrder
-from firhook.cell.book import LATE_ORDER_S
+from firhook.cell import JobTable, OrderAnswer, OrderOutcome, Run, StartOrder
+from firhook.cell.job_table import MAX_ORDER_DELAY_S
 from firhook.clock import boot_time
-from firhook.decide.tickets import TicketBook
+from firhook.decide.tickets import TicketTable
 from firhook.logs import log
 from firhook.meters import Meters
 from firhook.platform.instance import Bounds
@@ -30,7 +30,7 @@
 #: they wait for each other.
 _GANG_START_FRACTION = 0.6
 #: The outcomes after which a start is sent again.
-_RETRIED_OUTCOMES = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.LATE)
+_RETRIED_OUTCOMES = (OrderOutcome.UNKNOWN, OrderOutcome.NOT_SENT, OrderOutcome.EXPIRED)
 
 
 class OrderOwner(Protocol):
@@ -42,8 +42,8 @@
 
     fence: int
     lost: bool
-    job_table: Book
-    tickets: TicketBook
+    job_table: JobTable
+    tickets: TicketTable
     workers: Workers
 
     @property
@@ -93,7 +93,7 @@
         starts = self._unanswered_starts.pop(link.name, {})
         for (task, number), sent_at in starts.items():
             active = (task, number) in term.job_table.worker_runs.get(link.name, {})
-            if now - sent_at < LATE_ORDER_S and not active:
+            if now - sent_at < MAX_ORDER_DELAY_S and not active:
                 self._spawn(term.workers.stop(link.entry, task, number, term.fence))
 
     def start_runs(self, runs: list[Run]) -> None:
@@ -101,7 +101,7 @@
         now = boot_time()
         for run in runs:
             run.stored = True
-            if run.stopping or run not in run.task.runs:
+            if run.stop_reason or run not in run.task.runs:
                 # Cancelled while its assignment was being stored; nothing was sent.
                 self._term.job_table.void(run, "not_sent", now)
                 continue
@@ -144,11 +144,11 @@
     async def _start_until_settled(self, run: Run, began: float) -> None:
         step = run.task.step
         limit_s = (
-            self._bounds.gang_s * _GANG_START_FRACTION
+            self._bounds.gang_timeout_s * _GANG_START_FRACTION
             if step.spec.gang
             else _START_RETRY_LIMIT_S
         )
-        while run in run.task.runs and not run.stopping and not self._term.lost:
+        while run in run.task.runs and not run.stop_reason and not self._term.lost:
             if boot_time() - began > limit_s:
                 self._abandon_start(run, "start_unanswered")
                 return
@@ -171,20 +171,20 @@
         )
         # Counted before it is sent, so that other tasks treat it as one that may
         # still arrive.
-        run.unanswered += 1
+        run.unanswered_starts += 1
         run.sent_at = boot_time()
-        call = link.pending_calls.sent(run.sent_at)
+        call = link.pending_calls.note_sent(run.sent_at)
         try:
             answer = await self._term.workers.start(link.entry, order)
         finally:
-            link.pending_calls.over(call)
+            link.pending_calls.note_finished(call)
         if answer.outcome is OrderOutcome.UNKNOWN:
             link.suspected = True
             self._unanswered_starts.setdefault(run.worker, {})[run.key] = run.sent_at
         else:
-            run.unanswered -= 1
-        if answer.life:
-            link.on_order_answer(answer.life, answer.clock_s, boot_time())
+            run.unanswered_starts -= 1
+        if answer.incarnation:
+            link.on_order_answer(answer.incarnation, answer.clock_s, boot_time())
         self._meters.count("starts", answer.outcome.value)
         return answer
 
@@ -192,13 +192,13 @@
         """Handle the answer to a start; return whether the start is settled."""
         outcome = answer.outcome
         step = run.task.step
-        if outcome in (OrderOutcome.TAKEN, OrderOutcome.OLD):
+        if outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
             # The worker has the run, so that earlier copies of the start are void.
-            run.unanswered = 0
-            run.settled_at = boot_time()
-            if answer.life > run.life:
-                run.life = answer.life
-            if outcome is OrderOutcome.TAKEN:
+            run.unanswered_starts = 0
+            run.absence_conclusive_after = boot_time()
+            if answer.incarnation > run.incarnation:
+                run.incarnation = answer.incarnation
+            if outcome is OrderOutcome.APPLIED:
                 self._note_started(run, began)
             return True
         if outcome in _RETRIED_OUTCOMES:
@@ -215,19 +215,19 @@
             reason=outcome.value,
         )
         if outcome is OrderOutcome.NO_TICKET:
-            self._term.tickets.of(step).drop_ticket(run.worker)
+            self._term.tickets.advice_for(step).expire_ticket(run.worker)
         self._abandon_start(run, outcome.value)
         return True
 
     def _abandon_start(self, run: Run, reason: str) -> None:
         if run not in run.task.runs:
             return
-        if run.unanswered:
+        if run.unanswered_starts:
             # A copy of the start may still be carried out.  Only a confirmed stop
             # rules that out.
             self._term.job_table.stop(run, reason)
             if run.task.step.spec.gang:
-                self._term.job_table.break_gang(run.task.step, run.number)
+                self._term.job_table.stop_gang(run.task.step, run.number)
         else:
             self._term.job_table.void(run, reason, boot_time())
         self._wake()
@@ -235,9 +235,9 @@
     def _note_started(self, run: Run, began: float) -> None:
         run.confirmed = True
         now = boot_time()
-        self._term.tickets.note_start(now - run.begun_at)
-        run.begun_at = now
-        self._term.job_table.note_begun(run.task.step.job, now)
+        self._term.tickets.record_start(now - run.assigned_at)
+        run.assigned_at = now
+        self._term.job_table.mark_begun(run.task.step.job, now)
         self._meters.time("start", "", now - began)
         log(
             "run.started",
@@ -254,7 +254,7 @@
             task=run.task.name,
             run=run.number,
             worker=run.worker,
-            reason=run.stopping,
+            reason=run.stop_reason,
         )
         while run in run.task.runs and not self._term.lost:
             if not run.stored:
@@ -264,9 +264,9 @@
                 answer = await self._term.workers.stop(
                     link.entry, run.task.name, run.number, self._term.fence
                 )
-                if answer.outcome in (OrderOutcome.TAKEN, OrderOutcome.OLD):
-                    run.unanswered = 0
-                    run.settled_at = boot_time()
+                if answer.outcome in (OrderOutcome.APPLIED, OrderOutcome.SUPERSEDED):
+                    run.unanswered_starts = 0
+                    run.absence_conclusive_after = boot_time()
                     return
                 if answer.outcome is OrderOutcome.FENCED:
                     self._term.on_fenced(run.worker)
--- a/src/firhook/services/_placer.py
+++ b/src/firhook/services/_placer.py
@@ -2,12 +2,17 @@
 
 from collections.abc import Callable, Mapping
 
-from firhook.cell import NOTHING, Book, Resources, WorkerEntry
+from firhook.cell import NO_RESOURCES, JobTable, Resources, WorkerEntry
 from firhook.clock import boot_time
-from firhook.decide.schedule import RoundResult, Wait, WorkerView, urgent_room_m
-from firhook.decide.speeds import SpeedBook
-from firhook.decide.suspicion import dark_zones
-from firhook.decide.tickets import TicketBook
+from firhook.decide.schedule import (
+    RoundResult,
+    WaitReason,
+    WorkerView,
+    urgent_headroom_m,
+)
+from firhook.decide.speeds import SpeedEstimator
+from firhook.decide.suspicion import suspected_zones
+from firhook.decide.tickets import TicketTable
 from firhook.decide.waiting import longest_waiting
 from firhook.logs import log
 from firhook.meters import Meters
@@ -21,7 +26,7 @@
 _LOG_INTERVAL_S = 1.0
 
 PlaceRound = Callable[
-    [Book, dict[str, WorkerView], TicketBook, float],
+    [JobTable, dict[str, WorkerView], TicketTable, float],
     RoundResult,
 ]
 
@@ -35,10 +40,10 @@
 
     def __init__(
         self,
-        job_table: Book,
+        job_table: JobTable,
         links: Mapping[str, WorkerLink],
-        speeds: SpeedBook,
-        tickets: TicketBook,
+        speeds: SpeedEstimator,
+        tickets: TicketTable,
         adviser_client: AdviserClient,
         meters: Meters,
         place_round: PlaceRound,
@@ -51,7 +56,7 @@
         self._meters = meters
         self._place_round = place_round
         self._urgent_need_m = 0
-        self._waits: dict[str, Wait] = {}
+        self._waits: dict[str, WaitReason] = {}
         self._logged_at = float("-inf")
         self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
@@ -69,15 +74,15 @@
         for placement in result.placements:
             step = placement.step
             for run in self._job_table.plan(step, placement.tasks, now):
-                run.ticket = self._tickets.text(step, run.worker)
+                run.ticket = self._tickets.ticket_text(step, run.worker)
             if step.job.queue.priority == 0:
-                self._update_urgent_need(step.spec.held.cpu_m)
+                self._update_urgent_need(step.spec.reserved.cpu_m)
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
-        self._waits = result.waits
-        self._adviser_client.ask_all(result.wishes, now)
-        self._tickets.keep_only(self._job_table.jobs)
+        self._waits = result.wait_reasons
+        self._adviser_client.ask_all(result.advice_requests, now)
+        self._tickets.retain_jobs(self._job_table.jobs)
         took_s = boot_time() - now
         self._meters.time("round", "", took_s)
 
@@ -94,9 +99,9 @@
             rows = [
                 {
                     "step": row.step.name,
-                    "why": row.why.value,
+                    "why": row.reason.value,
                     "ready_s": round(row.ready_s, 2),
-                    "left": row.step.left,
+                    "left": row.step.remaining,
                     "workers": row.workers,
                     "asked": row.asked,
                     "permitted": row.permitted,
@@ -112,10 +117,10 @@
     def _views(self, now: float) -> dict[str, WorkerView]:
         views = {}
         late = {
-            name: link.pending_calls.late_since(now)
+            name: link.pending_calls.overdue_since(now)
             for name, link in self._links.items()
         }
-        cutoffs = dark_zones(
+        cutoffs = suspected_zones(
             (self._links[name].entry.zone, due)
             for name, due in late.items()
             if due is not None
@@ -139,8 +144,10 @@
                 entry.labels,
                 self._free(link),
             )
-            view.slow = self._speeds.slow(name)
-            view.urgent_cpu_m = urgent_room_m(entry.capacity.cpu_m, self._urgent_need_m)
+            view.slow = self._speeds.is_slow(name)
+            view.urgent_cpu_m = urgent_headroom_m(
+                entry.capacity.cpu_m, self._urgent_need_m
+            )
             views[name] = view
         return views
 
@@ -152,9 +159,9 @@
         again for all took a quarter of a round, during which the lead does nothing
         else.
         """
-        use = self._job_table.worker_use.get(link.name, NOTHING)
+        use = self._job_table.worker_usage.get(link.name, NO_RESOURCES)
         cached = self._free_cache.get(link.name)
         if cached is None or cached[0] is not link.entry or cached[1] is not use:
-            free = link.entry.capacity.minus(use)
+            free = link.entry.capacity.subtract(use)
             cached = self._free_cache[link.name] = (link.entry, use, free)
         return cached[2]
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -8,14 +8,14 @@
 import attrs
 
 from firhook.cell import (
-    Book,
     CellConfig,
-    End,
     JobStatus,
+    JobTable,
     JobView,
     LeadRecord,
-    Look,
+    PollReply,
     Run,
+    RunEnd,
     WorkerEntry,
 )
 from firhook.cell.records import (
@@ -26,10 +26,10 @@
     state_version,
 )
 from firhook.clock import boot_time, unix_time
-from firhook.decide.seats import SeatPlan
-from firhook.decide.speeds import SpeedBook
-from firhook.decide.stalls import standing_still
-from firhook.decide.tickets import TicketBook
+from firhook.decide.adviser_slots import SlotPlan
+from firhook.decide.speeds import SpeedEstimator
+from firhook.decide.stalls import stalled_runs
+from firhook.decide.tickets import TicketTable
 from firhook.errors import (
     FirhookError,
     LogFencedError,
@@ -38,20 +38,20 @@
 )
 from firhook.instance import Instance
 from firhook.logs import log
-from firhook.platform.store import KeyedRecord, encode_keyed
+from firhook.platform.store import KeyedRecord, encode_keyed_record
 from firhook.services._adviser_client import AdviserClient
 from firhook.services._batches import split_records
 from firhook.services._events import (
     LEAD_PARTITIONS,
     CatchUp,
-    HoldWhole,
+    HoldFullReplica,
     RecordsAppended,
     TermEnded,
 )
 from firhook.services._fenced_writer import FencedWriter
-from firhook.services._forgetting import forget_old_jobs
 from firhook.services._order_sender import OrderSender
 from firhook.services._placer import Placer, PlaceRound
+from firhook.services._retention import delete_expired_jobs
 from firhook.services._worker_link import WorkerLink
 from firhook.services._worker_list import WorkerList
 from firhook.tasks import log_failure
@@ -93,7 +93,7 @@
 
     instance: Instance
     place: PlaceRound
-    slot_plan: type[SeatPlan]
+    slot_plan: type[SlotPlan]
 
     def may_act(self) -> bool:
         """Return whether this instance may act as the lead now."""
@@ -134,11 +134,11 @@
         self._bounds = instance.settings.bounds
         self.workers = instance.platform.workers(self.may_act)
         self.links: dict[str, WorkerLink] = {}
-        self.tickets = TicketBook()
-        self.speeds = SpeedBook()
+        self.tickets = TicketTable()
+        self.speeds = SpeedEstimator()
         config = instance.config.config
         assert config is not None
-        self.job_table = Book(config)
+        self.job_table = JobTable(config)
         self._known_jobs: set[str] = set()
         self._writer = FencedWriter(self._store, epoch, lead.note_proof)
         self._version_count = 0
@@ -248,7 +248,7 @@
         while True:
             try:
                 self.takeover_stage = "reading"
-                await self._instance.bus.ask(HoldWhole())
+                await self._instance.bus.ask(HoldFullReplica())
                 self.takeover_stage = "log"
                 await self._instance.bus.ask(CatchUp(LEAD_PARTITIONS))
                 break
@@ -257,7 +257,7 @@
                 await asyncio.sleep(_RETRY_S)
         self.takeover_stage = "jobs"
         now, unix = boot_time(), unix_time()
-        for job_id, job in list(self._replica.unended()):
+        for job_id, job in list(self._replica.unfinished_jobs()):
             self._known_jobs.add(job_id)
             self._add_job(job_id, job, now, unix)
             self._resolve_owner(job_id, job)
@@ -275,7 +275,7 @@
         )
         self._meters.time("takeover", "", boot_time() - self._begun_at)
         self._spawn(
-            forget_old_jobs(
+            delete_expired_jobs(
                 self._replica,
                 self._bounds.status_s,
                 self._delete_keys,
@@ -316,7 +316,7 @@
                 raise RecordMalformedError(
                     "the accepted submission has no job specification"
                 )
-            state = view.state.whole() if view.state else None
+            state = view.state.decode() if view.state else None
         except RecordMalformedError as exc:
             # Without its state the job would run from the start, beside tasks
             # that may still run.  It is skipped, and the log line alerts operators.
@@ -378,17 +378,17 @@
         runs = list(self.job_table.worker_runs.get(link.name, {}).values())
         log("worker.draining", worker=link.name, runs=len(runs), left=entry.leaves_in_s)
         for run in runs:
-            if run.stored and run.left_s(now) > entry.leaves_in_s:
+            if run.stored and run.remaining_s(now) > entry.leaves_in_s:
                 self.job_table.stop(run, "worker_leaves")
         self._wake.set()
 
-    def on_poll(self, link: WorkerLink, reply: Look, sent_at: float) -> None:
+    def on_poll(self, link: WorkerLink, reply: PollReply, sent_at: float) -> None:
         """Handle a worker's poll reply."""
         now, unix = boot_time(), unix_time()
-        orphaned = self.job_table.take_look(link.name, reply, sent_at, now, unix)
-        for run, end in self.job_table.ends:
+        orphaned = self.job_table.apply_poll_reply(link.name, reply, sent_at, now, unix)
+        for run, end in self.job_table.ended_runs:
             self._note_end(link, run, end, now)
-        self.job_table.ends.clear()
+        self.job_table.ended_runs.clear()
         link.has_orphaned_runs = bool(orphaned)
         for task, number in orphaned:
             log("run.stray", worker=link.name, task=task, run=number)
@@ -399,7 +399,7 @@
     def _stop_stalled(self, link: WorkerLink, now: float) -> None:
         """Stop the stalled runs of a worker, so that they run elsewhere."""
         runs = self.job_table.worker_runs.get(link.name, {})
-        for run in standing_still(runs.values(), now):
+        for run in stalled_runs(runs.values(), now):
             log(
                 "run.stalled",
                 level="warning",
@@ -410,9 +410,9 @@
                 still_s=round(now - run.percent_at, 2),
             )
             self.job_table.stop(run, "stalled")
-            link.health.note_stall(now)
+            link.health.record_stall(now)
 
-    def _note_end(self, link: WorkerLink, run: Run, end: End, now: float) -> None:
+    def _note_end(self, link: WorkerLink, run: Run, end: RunEnd, now: float) -> None:
         step = run.task.step
         self._meters.count("ends", end.value)
         log(
@@ -422,18 +422,18 @@
             worker=link.name,
             end=end.value,
             gang=step.spec.gang,
-            ran_ms=round((now - run.begun_at) * 1000),
+            ran_ms=round((now - run.assigned_at) * 1000),
         )
-        if end is End.DONE:
-            self.speeds.note(step.name, link.name, now - run.begun_at)
-        if step.left == 0:
-            self.speeds.close(step.name)
-        if link.health.note(step.job.id, end, now):
+        if end is RunEnd.DONE:
+            self.speeds.record_run(step.name, link.name, now - run.assigned_at)
+        if step.remaining == 0:
+            self.speeds.close_step(step.name)
+        if link.health.record_end(step.job.id, end, now):
             log("worker.rests", level="warning", worker=link.name)
 
     def on_incarnation(self, link: WorkerLink) -> None:
         """Discard what was known of a worker's previous incarnation."""
-        self.speeds.forget(link.name)
+        self.speeds.remove(link.name)
         self._order_sender.stop_late_starts(link, boot_time())
 
     def on_unreachable(self, link: WorkerLink) -> None:
@@ -441,7 +441,7 @@
         for run in list(self.job_table.worker_runs.get(link.name, {}).values()):
             others = (self.links.get(other.worker) for other in run.task.runs)
             if all(other is None or other.suspected for other in others):
-                self.job_table.copy_wanted(run.task)
+                self.job_table.allow_duplicate(run.task)
         self._wake.set()
 
     # The control loop.
@@ -460,11 +460,11 @@
             ):
                 continue
             try:
-                record = encode_keyed(self._heartbeat_record())
+                record = encode_keyed_record(self._heartbeat_record())
                 # Announced before it is appended, the record does not count as a
                 # newer heartbeat whenever it happens to be read.
                 self._lead.announce()
-                await self._writer.prove([record])
+                await self._writer.confirm_epoch([record])
             except LogFencedError:
                 self._mark_lost("fenced")
 
@@ -520,7 +520,7 @@
         for name, runs in list(self.job_table.worker_runs.items()):
             if runs and name not in self.links:
                 log("worker.lapsed", level="warning", worker=name, registered=False)
-                self.job_table.lapse(name, now)
+                self.job_table.expire_lease(name, now)
 
     def _old_leases_expire_at(self) -> float:
         """Return when all leases granted by earlier leads have expired."""
@@ -583,7 +583,7 @@
         max_bytes = self._instance.settings.store_limits.append_bytes
         for chunk in split_records(list(records), max_bytes):
             partition, offset = await self._writer.append(
-                [encode_keyed(r) for r in chunk]
+                [encode_keyed_record(r) for r in chunk]
             )
             event = RecordsAppended(partition, offset, tuple(chunk))
             self._instance.bus.publish(event)
@@ -596,7 +596,7 @@
         max_bytes = self._instance.settings.store_limits.append_bytes
         for chunk in split_records([KeyedRecord(key, None) for key in keys], max_bytes):
             offset = await self._writer.append_to(
-                partition, [encode_keyed(r) for r in chunk]
+                partition, [encode_keyed_record(r) for r in chunk]
             )
             if offset is None:
                 return False
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -4,9 +4,9 @@
 from collections.abc import Coroutine
 from typing import Any, Protocol
 
-from firhook.cell import Book, Look, WorkerEntry
+from firhook.cell import JobTable, PollReply, WorkerEntry
 from firhook.clock import boot_time
-from firhook.decide.suspicion import AnswerWatch
+from firhook.decide.suspicion import ReplyTracker
 from firhook.decide.worker_health import WorkerHealth
 from firhook.errors import WorkerFencedError, WorkerUnreachableError
 from firhook.logs import log
@@ -41,13 +41,13 @@
     """What a worker link needs of the lead's term."""
 
     fence: int
-    job_table: Book
+    job_table: JobTable
     workers: Workers
 
     def may_renew(self) -> bool:
         """Return whether leases may be renewed now."""
 
-    def on_poll(self, link: "WorkerLink", reply: Look, sent_at: float) -> None:
+    def on_poll(self, link: "WorkerLink", reply: PollReply, sent_at: float) -> None:
         """Handle a worker's poll reply.
 
         :param sent_at: when the poll was sent, on the boot clock.
@@ -103,7 +103,7 @@
         self._unreachable = False
         self._last_poll_failed = False
         self._lease_end_s = 0.0
-        self.pending_calls = AnswerWatch()
+        self.pending_calls = ReplyTracker()
         self._ends_stored = asyncio.Event()
 
     @property
@@ -124,7 +124,7 @@
             return False
         return (
             now - self.last_reply_at < _SILENCE_LIMIT_S
-            and self.incarnation >= self.entry.life
+            and self.incarnation >= self.entry.incarnation
         )
 
     def lease_until(self) -> float:
@@ -136,7 +136,7 @@
         extended.
         """
         now = boot_time()
-        if self._lease_end_s and self.pending_calls.late_since(now) is not None:
+        if self._lease_end_s and self.pending_calls.overdue_since(now) is not None:
             return self._lease_end_s
         until = (
             self._worker_clock_s + (now - self._worker_clock_read_at) + self._lease_s
@@ -219,22 +219,22 @@
         # After a failure the worker may have a new incarnation, which numbers its
         # ends from 1 again.  Acknowledging none is always safe.
         ack = 0 if self._last_poll_failed else self.ack
-        call = self.pending_calls.sent(sent_at + wait_s)
-        polling = self._owner.workers.look(
+        call = self.pending_calls.note_sent(sent_at + wait_s)
+        polling = self._owner.workers.poll(
             self.entry, self._owner.fence, ack, until, wait_s
         )
         try:
             reply = await self._await_reply(polling)
         finally:
-            self.pending_calls.over(call)
+            self.pending_calls.note_finished(call)
         self._last_poll_failed = False
         now = boot_time()
         self._worker_clock_s, self._worker_clock_read_at = reply.clock_s, now
-        if reply.life < self.incarnation:
+        if reply.incarnation < self.incarnation:
             # Sent before a restart that another answer has already shown.
             return
-        if reply.life > self.incarnation:
-            self._begin_incarnation(reply.life)
+        if reply.incarnation > self.incarnation:
+            self._begin_incarnation(reply.incarnation)
         self.last_reply_at = now
         self.suspected = False
         if self._unreachable:
@@ -247,7 +247,7 @@
             await self._wait_ends_stored()
             await asyncio.sleep(_BATCH_DELAY_S)
 
-    async def _await_reply(self, polling: Coroutine[Any, Any, Look]) -> Look:
+    async def _await_reply(self, polling: Coroutine[Any, Any, PollReply]) -> PollReply:
         """Await a poll reply, with a short timeout if the last poll failed."""
         try:
             async with asyncio.timeout(
@@ -280,4 +280,4 @@
             self.name
         ):
             log("worker.lapsed", level="warning", worker=self.name)
-            self._owner.job_table.lapse(self.name, now)
+            self._owner.job_table.expire_lease(self.name, now)
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -17,7 +17,7 @@
     decode_worker,
 )
 from firhook.platform.instance import load_instance_settings
-from firhook.platform.store import KeyedRecord, encode_keyed
+from firhook.platform.store import KeyedRecord, encode_keyed_record
 
 ENTRY = {
     "service": "p",
@@ -65,7 +65,7 @@
 
 def test_a_worker_entry_is_decoded_with_its_life_and_rack():
     entry = decode_worker("w", encoded(ENTRY))
-    assert (entry.life, entry.rack, entry.pool) == (1700000000123, "r1-3", "p")
+    assert (entry.incarnation, entry.rack, entry.pool) == (1700000000123, "r1-3", "p")
     assert entry.capacity == Resources(16000, 32768, 1)
 
 
@@ -99,7 +99,7 @@
     assert config.team_for("secret").name == "t"
     assert config.team_for("other") is None
     assert "secret" not in repr(config)
-    assert config.queues[0].advice.takes_s(10) == pytest.approx(0.0175)
+    assert config.queues[0].advice.answer_s(10) == pytest.approx(0.0175)
 
 
 def test_a_configuration_that_cannot_be_read_says_which_field():
@@ -116,7 +116,7 @@
     )
     assert job.steps[0].gang
     assert job.steps[1].after == (0,)
-    assert not job.timed
+    assert not job.periodic
 
 
 @pytest.mark.parametrize(
@@ -149,9 +149,9 @@
 
 def test_records_of_a_read_are_numbered_from_the_offset_asked_for():
     contents = [
-        encode_keyed(KeyedRecord("a", b"1")),
+        encode_keyed_record(KeyedRecord("a", b"1")),
         b"",
-        encode_keyed(KeyedRecord("b", None)),
+        encode_keyed_record(KeyedRecord("b", None)),
     ]
     body = struct.pack(">QQ", 12, 0)
     for content in contents:
--- a/tests/services/scenarios.py
+++ b/tests/services/scenarios.py
@@ -15,6 +15,6 @@
         cell = ModelCell(**options)
         await cell.begin()
         await scenario(cell)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(run())
--- a/tests/services/test_adviser_client.py
+++ b/tests/services/test_adviser_client.py
@@ -13,7 +13,7 @@
     """
 
     async def scenario(cell):
-        cell.adviser.late_s = dict.fromkeys(cell.instances, 0.4)
+        cell.adviser.answer_delay_s = dict.fromkeys(cell.instances, 0.4)
         for _ in range(6):
             await cell.submit([step(2)], work_s=0.3)
         calls = cell.adviser.calls
@@ -29,14 +29,14 @@
 
     async def scenario(cell):
         slow = next(n for n in cell.instances if n != cell.lead_name())
-        cell.adviser.late_s[slow] = 1.5
-        before = cell.adviser.asked_through[slow]
+        cell.adviser.answer_delay_s[slow] = 1.5
+        before = cell.adviser.calls_by_instance[slow]
         for _ in range(20):
             await cell.submit([step(1, cpu_m=100)], work_s=0.3)
             await pause(0.05)
         await cell.all_done(10.0)
         # The questions in flight when the first answer was found to be late.
-        assert cell.adviser.asked_through[slow] - before <= 8
+        assert cell.adviser.calls_by_instance[slow] - before <= 8
 
     run_scenario(scenario, instances=3, workers=6, advised=True)
 
@@ -48,12 +48,12 @@
     """
 
     async def scenario(cell):
-        cell.adviser.late_s = dict.fromkeys(cell.instances, 0.2)
+        cell.adviser.answer_delay_s = dict.fromkeys(cell.instances, 0.2)
         # The workers are full until the first tickets of the other jobs nearly expire.
         for _ in range(12):
             await cell.submit([step(6, cpu_m=4000)], work_s=0.93)
         await cell.all_done(30.0)
-        late = {name: w.late_tickets for name, w in cell.workers.items()}
+        late = {name: w.expired_tickets for name, w in cell.workers.items()}
         assert sum(late.values()) == 0
 
     run_scenario(scenario, instances=4, workers=6, advised=True)
--- a/tests/services/test_faults.py
+++ b/tests/services/test_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.model import FIRST_KINDS, Trouble, run_virtual
+from standins.model import INITIAL_FAULT_KINDS, FaultScenario, run_virtual
 
 #: Seeds that failed before, each with the defect that it found.
 REGRESSION_SEEDS = {
@@ -24,13 +24,13 @@
 
 
 def check(seed, kinds=(), instances=0):
-    outcome = run_virtual(Trouble(seed, kinds, instances).play())
-    assert outcome.good, f"seed {seed}: {outcome}"
+    outcome = run_virtual(FaultScenario(seed, kinds, instances).run())
+    assert outcome.passed, f"seed {seed}: {outcome}"
 
 
 @pytest.mark.parametrize("seed", sorted(REGRESSION_SEEDS))
 def test_no_invariant_is_violated_under_regression_seeds(seed):
-    check(seed, FIRST_KINDS)
+    check(seed, INITIAL_FAULT_KINDS)
 
 
 @pytest.mark.parametrize("seed", range(1000, 1010))
--- a/tests/services/test_fenced_writer.py
+++ b/tests/services/test_fenced_writer.py
@@ -5,13 +5,13 @@
 import pytest
 
 from firhook.errors import LogFencedError
-from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed
+from firhook.platform.store import CELL_TOPIC, KeyedRecord, encode_keyed_record
 from firhook.services._fenced_writer import FencedWriter
 from standins.model import ModelStore, pause, run_virtual
 
 
 def record(name):
-    return encode_keyed(KeyedRecord(name, b"x"))
+    return encode_keyed_record(KeyedRecord(name, b"x"))
 
 
 def stored(store):
@@ -46,7 +46,7 @@
 
     async def prove_often(writer):
         while True:
-            await writer.prove([])
+            await writer.confirm_epoch([])
             await pause(0.01)
 
     run_virtual(play())
@@ -78,7 +78,7 @@
         await old.set_epoch()
         await new.set_epoch()
         for away in (set(), {0}, {0, 2}, {0, 2, 1}):
-            store.partly_down = away
+            store.down_partitions = away
             with pytest.raises(LogFencedError):
                 await old.append([record("late")])
         assert stored(store) == []
@@ -94,10 +94,10 @@
         await writer.set_epoch()
         proofs.clear()
         store.mode["i"] = "silent"
-        await writer.prove([])
+        await writer.confirm_epoch([])
         assert proofs == []
         store.mode["i"] = "up"
-        await writer.prove([])
+        await writer.confirm_epoch([])
         assert len(proofs) == 1
 
     run_virtual(play())
@@ -131,10 +131,10 @@
         writer = FencedWriter(store.client("i"), 1000, lambda sent_at: None)
         await writer.set_epoch()
         store.lost_share = 1.0
-        await writer.prove([record("first")])
+        await writer.confirm_epoch([record("first")])
         store.lost_share, store.mode["*"] = 0.0, "busy"
         await pause(1.1)
-        await writer.prove([record("proof")])
+        await writer.confirm_epoch([record("proof")])
         store.mode.clear()
         await pause(1.1)
         await writer.append([record("next")])
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -12,7 +12,7 @@
 from firhook.decide.schedule import RoundResult
 from firhook.platform.instance import Bounds
 from firhook.platform.store import KeyedRecord
-from firhook.services._events import Record, TellInstances
+from firhook.services._events import AppendRecord, SendToInstances
 from standins.model import ModelCell, ModelRequest, now, pause, run_virtual
 from tests.services.scenarios import step
 
@@ -28,7 +28,7 @@
         await pause(0.03)
         states = {await cell.status(job, i) for i in cell.instances.values()}
         assert states == {"completed"}
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -73,7 +73,7 @@
         # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -110,7 +110,7 @@
         again, status = await cell.submit([step(1)], work_s=0.2, job_id=job)
         assert (again, status) == (job, 200)
         await pause(2.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
         assert await cell.status(job) == "completed"
 
     run_virtual(scenario())
@@ -152,7 +152,7 @@
         await cell.begin()
         job, _ = await cell.submit([step(1)], work_s=0.2)
         cell.store.mode["i0"] = "silent"
-        cell.cuts += [{"i0", "i1"}, {"i0", "i2"}]
+        cell.cut_links += [{"i0", "i1"}, {"i0", "i2"}]
         await pause(1.0)
         cell.configure(2, tenants=[{"name": "a", "api_keys": ["another"]}])
         await pause(cell.bounds.revocation_s)
@@ -210,7 +210,7 @@
         isolated = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[isolated]
         cell.store.mode[isolated] = "silent"
-        cell.cuts += [
+        cell.cut_links += [
             {isolated, other} for other in cell.instances if other != isolated
         ]
         await pause(0.9)
@@ -250,10 +250,10 @@
     async def scenario():
         cell = ModelCell()
         await cell.begin()
-        cell.store.partly_down = {0}
+        cell.store.down_partitions = {0}
         jobs = [(await cell.submit([step(2)], work_s=0.3))[0] for _ in range(5)]
         await cell.all_done(3.0)
-        cell.store.partly_down = set()
+        cell.store.down_partitions = set()
         await pause(3.0)
         jobs += [(await cell.submit([step(2)], work_s=0.3))[0] for _ in range(5)]
         await cell.all_done(3.0)
@@ -261,7 +261,7 @@
         await cell.until(lambda: cell.lead() is not None, 3.0)
         await pause(1.0)
         assert {await cell.status(job) for job in jobs} == {"completed"}
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -270,12 +270,12 @@
     async def scenario():
         cell = ModelCell()
         await cell.begin()
-        cell.store.partly_down = {1}
+        cell.store.down_partitions = {1}
         for _ in range(5):
             _, status = await cell.submit([step(1)], work_s=0.3)
             assert status == 200
         await cell.all_done(3.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -293,13 +293,13 @@
         cell = ModelCell(instances=5)
         await cell.begin()
         first = cell.lead()
-        cell.drops = 1.0
+        cell.drop_share = 1.0
         for _ in range(40):
             await pause(0.1)
             assert cell.lead() is first
         await cell.submit([step(2)], work_s=0.3)
         await cell.all_done(3.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -374,7 +374,7 @@
             await cell.restart(name)
             await pause(1.0)
         assert await watching <= 0.1
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -453,7 +453,7 @@
         # Other instances learn of it from the lead, which batches for 15 ms.
         await pause(0.03)
         assert await cell.status(job) == "completed"
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -495,7 +495,7 @@
 
     async def scenario():
         cell = ModelCell(instances=8)
-        cell.drops, cell.jitter_s = 0.0, 0.02
+        cell.drop_share, cell.jitter_s = 0.0, 0.02
         await cell.begin()
         began, reads = now(), cell.store.reads
         while now() - began < 5.0:
@@ -522,9 +522,9 @@
 
     async def scenario():
         cell = ModelCell(instances=10)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
-        told = cell.told
+        told = cell.received_pushes
         jobs = []
         for _ in range(6):
             answers = await asyncio.gather(
@@ -544,7 +544,7 @@
         # The instances did not have to read the store for that.
         assert cell.store.reads - reads < 20
         await cell.all_done(10.0)
-        assert cell.told - told < 300
+        assert cell.received_pushes - told < 300
 
     run_virtual(scenario())
 
@@ -560,15 +560,15 @@
 
     async def scenario():
         cell = ModelCell(instances=7, workers=0)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         lead, told = cell.lead(), []
-        lead.instance.bus.subscribe(TellInstances, told.append)
+        lead.instance.bus.subscribe(SendToInstances, told.append)
         others = [i for i in cell.instances.values() if i is not lead]
         keys = [f"cancel/{n:016x}" for n in range(3 * len(others))]
         asks = [
             others[n % len(others)].instance.bus.ask(
-                Record(KeyedRecord(key, bytes(size)), boot_time() + 2.0)
+                AppendRecord(KeyedRecord(key, bytes(size)), boot_time() + 2.0)
             )
             for n, key in enumerate(keys)
         ]
@@ -592,7 +592,7 @@
 
     async def scenario():
         cell = ModelCell(instances=2)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         for found in cell.instances.values():
             replica, mine = found.instance.replica, found.instance.incarnation
@@ -600,9 +600,9 @@
         _, status = await cell.submit([step(1)], work_s=0.1)
         assert status == 200
         await pause(3.0)
-        told = cell.told
+        told = cell.received_pushes
         await pause(3.0)
-        assert cell.told - told < 10
+        assert cell.received_pushes - told < 10
 
     run_virtual(scenario())
 
@@ -620,12 +620,13 @@
         cell = ModelCell(instances=3)
         await cell.begin()
         lagging = next(n for n in cell.instances if n != cell.lead_name())
-        cell.cuts += [{lagging, other} for other in cell.instances if other != lagging]
+        cell.cut_links += [
+            {lagging, other} for other in cell.instances if other != lagging]
         # It is asked at various moments between two of its own reads.
         for wait_s in (0.0, 0.1, 0.2, 0.3, 0.4):
             job, status = await cell.submit([step(1)], work_s=0.3)
             assert status == 200
-            cell.store.forget_history()
+            cell.store.expire_history()
             await pause(wait_s)
             req = ModelRequest("GET", f"/plan/{job}")
             status, _ = await cell.instances[lagging].call(req)
@@ -648,13 +649,14 @@
         lagging = next(n for n in cell.instances if n != cell.lead_name())
         found = cell.instances[lagging]
         cell.store.mode[lagging] = "silent"
-        cell.deafen(lagging)
+        cell.disable_pushes(lagging)
         jobs = [await cell.submit([step(8)], work_s=30.0) for _ in range(10)]
         assert {status for _, status in jobs} == {200}
         await pause(4.0)
         status, body = await found.call(ModelRequest("GET", "/plan/"))
         assert (status, body["pending"]) == (200, 9)
-        cell.cuts += [{lagging, other} for other in cell.instances if other != lagging]
+        cell.cut_links += [
+            {lagging, other} for other in cell.instances if other != lagging]
         await pause(0.5)
         status, _ = await found.call(ModelRequest("GET", "/plan/"))
         assert status == 503
@@ -676,7 +678,7 @@
         cell = ModelCell(instances=5, seed=seed)
         await cell.begin()
         others = [i.lead for n, i in cell.instances.items() if n != cell.lead_name()]
-        cell.drops = 1.0
+        cell.drop_share = 1.0
         await asyncio.gather(*(lead._campaign(offered=True) for lead in others))
         leads = [i.lead for i in cell.instances.values()]
         epochs = [lead.term.fence for lead in leads if lead.term is not None]
--- a/tests/services/test_pending.py
+++ b/tests/services/test_pending.py
@@ -57,7 +57,7 @@
 def assigned(cell, job):
     """Return whether the log names a run of the job."""
     views = [i.instance.replica.find(job) for i in cell.instances.values() if i.alive]
-    return all(v and v.state and not v.state.over for v in views)
+    return all(v and v.state and not v.state.has_no_steps for v in views)
 
 
 def led_by_another(cell, first):
@@ -81,7 +81,7 @@
         first = cell.lead_name()
         # The successor reaches no worker, so that it can only tell what is stored.
         for worker in cell.workers.values():
-            worker.cut_from |= set(cell.instances) - {first}
+            worker.unreachable_from |= set(cell.instances) - {first}
         orders = cell.instances[first].lead.term._order_sender
         orders.start_runs = lambda run: cell.kill(first)
         job, _ = await cell.submit([step(1)], work_s=5.0)
@@ -90,7 +90,7 @@
         assert assigned(cell, job)
         assert await told(cell, job) == {WAITING}
         for worker in cell.workers.values():
-            worker.cut_from.clear()
+            worker.unreachable_from.clear()
         await check_begins(cell, job)
 
     run_scenario(scene)
@@ -98,9 +98,9 @@
 
 REFUSALS = [
     OrderOutcome.NO_TICKET,
-    OrderOutcome.NO_ROOM,
+    OrderOutcome.NO_CAPACITY,
     OrderOutcome.BUSY,
-    OrderOutcome.OLD,
+    OrderOutcome.SUPERSEDED,
 ]
 
 
--- a/tests/services/test_seeded_defects.py
+++ b/tests/services/test_seeded_defects.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from firhook.cell import Book
+from firhook.cell import JobTable
 from firhook.services._order_sender import OrderSender
 from firhook.services._term import Term
 from firhook.services._worker_link import WorkerLink
-from standins.model import Trouble, run_virtual
+from standins.model import FaultScenario, run_virtual
 
 SEEDS = range(40)
 
@@ -21,7 +21,7 @@
 def first_failing_seed(kinds=()):
     """Return the first seed under which an invariant is violated, or ``None``."""
     for seed in SEEDS:
-        if not run_virtual(Trouble(seed, kinds).play()).good:
+        if not run_virtual(FaultScenario(seed, kinds).run()).passed:
             return seed
     return None
 
@@ -81,7 +81,7 @@
     abandon_start = OrderSender._abandon_start
 
     def defective(self, run, reason):
-        run.unanswered = 0
+        run.unanswered_starts = 0
         abandon_start(self, run, reason)
 
     monkeypatch.setattr(OrderSender, "_abandon_start", defective)
@@ -89,16 +89,16 @@
 
 
 def test_trusting_a_poll_from_before_an_order_is_caught(monkeypatch):
-    take_absence = Book._take_absence
+    take_absence = JobTable._apply_absence
 
     def defective(self, run, reply, sent_at, now):
-        run.settled_at = -math.inf
+        run.absence_conclusive_after = -math.inf
         take_absence(self, run, reply, sent_at, now)
 
-    monkeypatch.setattr(Book, "_take_absence", defective)
+    monkeypatch.setattr(JobTable, "_apply_absence", defective)
     assert first_failing_seed() is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_seed_fails_without_a_defect(seed):
-    assert run_virtual(Trouble(seed).play()).good
+    assert run_virtual(FaultScenario(seed).run()).passed
--- a/tests/services/test_starts.py
+++ b/tests/services/test_starts.py
@@ -21,7 +21,7 @@
 
     async def scenario():
         cell = ModelCell(workers=30)
-        cell.drops = 0.0
+        cell.drop_share = 0.0
         await cell.begin()
         lead = cell.lead_name()
         cell.link_bytes_s[lead] = LINK_BYTES_S
@@ -36,7 +36,7 @@
             delays_s.append(_began_after(cell, job, since))
         assert max(delays_s) < 0.2
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -40,7 +40,7 @@
         for worker in others:
             worker.mode = "up"
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
 
@@ -115,7 +115,7 @@
         await pause(1.5)
         cell.workers["w0"].mode = "up"
         await cell.all_done(20.0)
-        assert cell.checks.broken == []
+        assert cell.checks.violations == []
 
     run_virtual(scenario())
     [failed] = [r for r in caplog.records if r.message == "link.failed"]
--- a/tests/services/test_work_survives.py
+++ b/tests/services/test_work_survives.py
@@ -29,20 +29,20 @@
 def partition_zone(cell):
     """Partition half of the instances and workers from the store and the rest."""
     for worker in workers_of_cut_zone(cell):
-        worker.cut_from |= set(REMAINING_ZONE)
+        worker.unreachable_from |= set(REMAINING_ZONE)
     for worker in workers_of_remaining_zone(cell):
-        worker.cut_from |= set(CUT_ZONE)
+        worker.unreachable_from |= set(CUT_ZONE)
     for name in CUT_ZONE:
         cell.store.mode[name] = "silent"
-    cell.cuts += [{a, b} for a in REMAINING_ZONE for b in CUT_ZONE]
+    cell.cut_links += [{a, b} for a in REMAINING_ZONE for b in CUT_ZONE]
 
 
 def heal_partition(cell):
     """Undo :func:`partition_zone`."""
     for worker in cell.workers.values():
-        worker.cut_from.clear()
+        worker.unreachable_from.clear()
     cell.store.mode.clear()
-    cell.cuts.clear()
+    cell.cut_links.clear()
 
 
 def workers_of_remaining_zone(cell):
@@ -103,7 +103,7 @@
         first = cell.lead_name()
         cell.freeze(first)
         await pause(6.0)
-        cell.thaw(first)
+        cell.unfreeze(first)
         await pause(0.5)
         assert not cell.instances[first].leads
         await cell.all_done(40.0)
