--- a/src/firhook/services/_adviser_client.py
+++ b/src/firhook/services/_adviser_client.py
@@ -1,4 +1,4 @@
-"""The lead's questions to the adviser, sent through the instance that is fastest."""
+"""The lead's requests to the adviser, sent through the instance that is fastest."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,21 +14,21 @@
 from firhook.logs import log
 from firhook.services._events import AskInstance
 
-#: If an answer is overdue by more than this, the question is repeated through
+#: If an answer is overdue by more than this, the request is repeated through
 #: another instance.  A quote has half a second, of which an unreachable instance
 #: costs this much.  Answers through a peer arrive within 5 ms of the expected time.
-_LATE_AFTER_S = 0.25
+_OVERDUE_AFTER_S = 0.25
 #: An answer that is overdue by more than this is considered lost.
 _LOST_AFTER_S = 3.0
 
 
 class AdviserClient:
-    """Asks the adviser the lead's questions.
+    """Sends the lead's requests to the adviser.
 
     :param tickets: stores the answers.
-    :param slot_plan: reserves adviser slots for fast questions.
+    :param slot_plan: reserves adviser slots for fast requests.
     :param spawn: starts a coroutine as a background task.
-    :param on_answer: called after each answer, and when an answer is late or lost.
+    :param on_answer: called after each answer, and when an answer is overdue or lost.
     """
 
     def __init__(
@@ -46,61 +46,65 @@
         self._slots: dict[str, AdviserSlot] = {}
         self._slot_plan = slot_plan
 
-    def ask_all(self, wishes: list[AdviceRequest], now: float) -> None:
-        """Ask the most urgent questions first, as long as adviser slots are free."""
-        for wish in wishes:
-            advice = self._tickets.advice_for(wish.step)
+    def ask_all(self, requests: list[AdviceRequest], now: float) -> None:
+        """Send requests as long as adviser slots are free, the most urgent first."""
+        for request in requests:
+            advice = self._tickets.advice_for(request.step)
             if not advice.queued:
-                # Counted once per question, however often it is deferred.
+                # Counted once per request, however often it is deferred.
                 advice.queued = True
-                self._slot_plan.record_request(_question_class(wish), wish.cost_s, now)
-        self._slot_plan.set_waiting((_question_class(w), w.cost_s) for w in wishes)
-        for wish in sorted(wishes, key=lambda w: w.order_key):
-            self._ask_one(wish, now)
-
-    def _ask_one(self, wish: AdviceRequest, now: float) -> None:
-        advice = self._tickets.advice_for(wish.step)
+                self._slot_plan.record_request(
+                    _request_class(request), request.cost_s, now
+                )
+        self._slot_plan.set_waiting((_request_class(r), r.cost_s) for r in requests)
+        for request in sorted(requests, key=lambda r: r.order_key):
+            self._ask_one(request, now)
+
+    def _ask_one(self, request: AdviceRequest, now: float) -> None:
+        advice = self._tickets.advice_for(request.step)
         if advice.in_flight:
             return
-        slot = choose_slot(self._current_slots(), wish.cost_s, self._slot_plan, now)
+        slot = choose_slot(self._current_slots(), request.cost_s, self._slot_plan, now)
         if slot is None:
             return
         advice.in_flight = True
-        slot.busy_until = max(slot.busy_until, now) + wish.cost_s
-        self._spawn(self._ask(wish, slot))
+        slot.busy_until = max(slot.busy_until, now) + request.cost_s
+        self._spawn(self._ask(request, slot))
 
     def _current_slots(self) -> list[AdviserSlot]:
         peers = self._instance.replica.peers.values()
         # The records that a starting instance reads fill its network link for
-        # seconds.  Questions through it would be lost meanwhile.
+        # seconds.  Requests through it would be lost meanwhile.
         names = {peer.name for peer in peers if not peer.catching_up}
         names.add(self._instance.settings.name)
         if names != set(self._slots):
             self._slots = {n: self._slots.get(n) or AdviserSlot(n) for n in names}
         return list(self._slots.values())
 
-    async def _ask(self, wish: AdviceRequest, slot: AdviserSlot) -> None:
+    async def _ask(self, request: AdviceRequest, slot: AdviserSlot) -> None:
         began = boot_time()
-        names = tuple(name for name, _ in wish.workers)
-        expected_s = max(slot.busy_until - began, wish.cost_s)
-        advice = self._tickets.advice_for(wish.step)
-        asking = asyncio.create_task(
+        names = tuple(name for name, _ in request.workers)
+        expected_s = max(slot.busy_until - began, request.cost_s)
+        advice = self._tickets.advice_for(request.step)
+        ask_task = asyncio.create_task(
             self._ask_through(
-                slot.name, wish.step.name, names, expected_s + _LOST_AFTER_S
+                slot.name, request.step.name, names, expected_s + _LOST_AFTER_S
             )
         )
-        is_late = False
+        is_overdue = False
         try:
-            done, _ = await asyncio.wait({asking}, timeout=expected_s + _LATE_AFTER_S)
+            done, _ = await asyncio.wait(
+                {ask_task}, timeout=expected_s + _OVERDUE_AFTER_S
+            )
             if not done:
-                is_late = True
+                is_overdue = True
                 slot.note_overdue()
                 advice.in_flight = advice.queued = False
-                self._note_late(wish, slot)
-            answer = await asking
+                self._on_overdue(request, slot)
+            answer = await ask_task
         finally:
-            asking.cancel()
-            if is_late:
+            ask_task.cancel()
+            if is_overdue:
                 slot.clear_overdue()
             else:
                 advice.in_flight = advice.queued = False
@@ -110,19 +114,19 @@
         else:
             slot.note_answer()
             # Tickets are valid from the moment at which the adviser issues them.
-            # It is unknown where a late answer was delayed, so that its tickets
+            # It is unknown where an overdue answer was delayed, so that its tickets
             # count from the expected time of the answer.
-            advice.record_answer(wish.workers, answer, min(now, began + expected_s))
-            queue = wish.step.job.queue.name
+            advice.record_answer(request.workers, answer, min(now, began + expected_s))
+            queue = request.step.job.queue.name
             self._instance.meters.time("advice", queue, now - began)
         self._on_answer()
 
-    def _note_late(self, wish: AdviceRequest, slot: AdviserSlot) -> None:
-        """Allow a late question to be asked again through another instance.
+    def _on_overdue(self, request: AdviceRequest, slot: AdviserSlot) -> None:
+        """Allow an overdue request to be repeated through another instance.
 
-        The late answer is still awaited: it is valid, and it may arrive first.
+        The overdue answer is still awaited: it is valid, and it may arrive first.
         """
-        log("advice.late", level="warning", peer=slot.name, step=wish.step.name)
+        log("advice.late", level="warning", peer=slot.name, step=request.step.name)
         self._instance.meters.count("advice_late", slot.name)
         self._on_answer()
 
@@ -146,5 +150,5 @@
         return Advice({t.worker: t.ticket for t in reply.tickets}, reply.valid_s)
 
 
-def _question_class(wish: AdviceRequest) -> str:
-    return wish.step.job.queue.address
+def _request_class(request: AdviceRequest) -> str:
+    return request.step.job.queue.address
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -99,7 +99,7 @@
     """Campaigns for the lead when it is due, and leads the cell.
 
     :cvar place: decides which waiting tasks start, and on which workers.
-    :cvar slot_plan: the class that reserves adviser slots for fast questions.
+    :cvar slot_plan: the class that reserves adviser slots for fast requests.
     """
 
     place = staticmethod(place_round)
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -116,7 +116,7 @@
 
         A step of a hundred tasks may start while short urgent ones arrive.  Sent all
         at once, its starts would occupy the network link and the event loop for half
-        a second, during which heartbeats, questions to the adviser and urgent starts
+        a second, during which heartbeats, adviser requests and urgent starts
         wait.  Sent only after all urgent starts, they could wait without end, and
         their tickets would expire.
         """
--- a/src/firhook/services/_placer.py
+++ b/src/firhook/services/_placer.py
@@ -56,20 +56,20 @@
         self._meters = meters
         self._place_round = place_round
         self._urgent_need_m = 0
-        self._waits: dict[str, WaitReason] = {}
+        self._wait_reasons: dict[str, WaitReason] = {}
         self._logged_at = float("-inf")
         self._free_cache: dict[str, tuple[WorkerEntry, Resources, Resources]] = {}
 
     def skip_round(self) -> None:
         """Skip a round, after which the reasons why steps wait are unknown."""
-        self._waits = {}
+        self._wait_reasons = {}
 
     def place(self, now: float) -> None:
         """Assign the tasks that may run now, and ask the adviser about others."""
-        self._waits = {}
+        self._wait_reasons = {}
         if not self._job_table.open_steps:
             return
-        views = self._views(now)
+        views = self._worker_views(now)
         result = self._place_round(self._job_table, views, self._tickets, now)
         for placement in result.placements:
             step = placement.step
@@ -80,7 +80,7 @@
             if not step.occurrence and step.number == 0:
                 queue = step.job.queue.name
                 self._meters.time("wait_for_room", queue, now - step.job.accepted_at)
-        self._waits = result.wait_reasons
+        self._wait_reasons = result.wait_reasons
         self._adviser_client.ask_all(result.advice_requests, now)
         self._tickets.retain_jobs(self._job_table.jobs)
         took_s = boot_time() - now
@@ -93,7 +93,7 @@
         self._logged_at = now
         answering = {n for n, link in self._links.items() if not link.suspected}
         waiting = longest_waiting(
-            self._job_table, self._waits, self._tickets, answering, now
+            self._job_table, self._wait_reasons, self._tickets, answering, now
         )
         if waiting:
             rows = [
@@ -114,19 +114,19 @@
         """Update the running mean of the CPU need of urgent tasks, in millicores."""
         self._urgent_need_m += int((cpu_m - self._urgent_need_m) * _URGENT_WEIGHT)
 
-    def _views(self, now: float) -> dict[str, WorkerView]:
+    def _worker_views(self, now: float) -> dict[str, WorkerView]:
         views = {}
-        late = {
+        overdue = {
             name: link.pending_calls.overdue_since(now)
             for name, link in self._links.items()
         }
         cutoffs = suspected_zones(
             (self._links[name].entry.zone, due)
-            for name, due in late.items()
+            for name, due in overdue.items()
             if due is not None
         )
         for name, link in self._links.items():
-            if late[name] is not None or not link.usable(now):
+            if overdue[name] is not None or not link.usable(now):
                 continue
             entry = link.entry
             if cutoffs and link.last_reply_at < cutoffs.get(
@@ -142,7 +142,7 @@
                 entry.pool,
                 entry.rack,
                 entry.labels,
-                self._free(link),
+                self._free_resources(link),
             )
             view.slow = self._speeds.is_slow(name)
             view.urgent_cpu_m = urgent_headroom_m(
@@ -151,7 +151,7 @@
             views[name] = view
         return views
 
-    def _free(self, link: WorkerLink) -> Resources:
+    def _free_resources(self, link: WorkerLink) -> Resources:
         """Return the free resources of a worker.
 
         The result is cached, as most workers are unchanged since the last round.
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -77,7 +77,7 @@
 _OLD_LEASE_FACTOR = 1.03
 #: The interval at which the lead appends a proof if it has nothing else to write.
 _PROOF_INTERVAL_S = 0.2
-#: Logs a failed order or question of a term.
+#: Logs a failed background task of a term, such as an order or an adviser request.
 _LOG_FAILURE = log_failure("term.task_failed")
 #: A submission that keeps its job ID is rewritten with an acceptance time that is
 #: this much earlier than that of the conflicting one.
@@ -88,7 +88,7 @@
     """What a term needs of the lead service.
 
     :ivar place: decides which waiting tasks start, and on which workers.
-    :ivar slot_plan: the class that reserves adviser slots for fast questions.
+    :ivar slot_plan: the class that reserves adviser slots for fast requests.
     """
 
     instance: Instance
--- a/tests/services/test_lead.py
+++ b/tests/services/test_lead.py
@@ -524,7 +524,7 @@
         cell = ModelCell(instances=10)
         cell.drop_share = 0.0
         await cell.begin()
-        told = cell.received_pushes
+        pushes_before = cell.received_pushes
         jobs = []
         for _ in range(6):
             answers = await asyncio.gather(
@@ -544,7 +544,7 @@
         # The instances did not have to read the store for that.
         assert cell.store.reads - reads < 20
         await cell.all_done(10.0)
-        assert cell.received_pushes - told < 300
+        assert cell.received_pushes - pushes_before < 300
 
     run_virtual(scenario())
 
@@ -562,8 +562,8 @@
         cell = ModelCell(instances=7, workers=0)
         cell.drop_share = 0.0
         await cell.begin()
-        lead, told = cell.lead(), []
-        lead.instance.bus.subscribe(SendToInstances, told.append)
+        lead, sent = cell.lead(), []
+        lead.instance.bus.subscribe(SendToInstances, sent.append)
         others = [i for i in cell.instances.values() if i is not lead]
         keys = [f"cancel/{n:016x}" for n in range(3 * len(others))]
         asks = [
@@ -574,7 +574,7 @@
         ]
         await asyncio.gather(*asks)
         await pause(0.2)
-        pushes = [e.body for e in told if isinstance(e.body, RecordsPush)]
+        pushes = [e.body for e in sent if isinstance(e.body, RecordsPush)]
         assert all(len(pack_frame(push)) < MAX_FRAME_BYTES for push in pushes)
         rows = [r for push in pushes for b in push.batches for r in b.records]
         assert {row.key for row in rows} >= set(keys)
@@ -582,7 +582,7 @@
     run_virtual(scenario())
 
 
-def test_two_instances_that_both_believe_to_lead_do_not_echo_each_other():
+def test_two_instances_that_both_act_as_lead_do_not_echo_each_other():
     """Relayed records must not circulate between two instances forever.
 
     A lead was partitioned, does not know yet that it was superseded, and receives
@@ -600,9 +600,9 @@
         _, status = await cell.submit([step(1)], work_s=0.1)
         assert status == 200
         await pause(3.0)
-        told = cell.received_pushes
+        pushes_before = cell.received_pushes
         await pause(3.0)
-        assert cell.received_pushes - told < 10
+        assert cell.received_pushes - pushes_before < 10
 
     run_virtual(scenario())
 
@@ -621,7 +621,8 @@
         await cell.begin()
         lagging = next(n for n in cell.instances if n != cell.lead_name())
         cell.cut_links += [
-            {lagging, other} for other in cell.instances if other != lagging]
+            {lagging, other} for other in cell.instances if other != lagging
+        ]
         # It is asked at various moments between two of its own reads.
         for wait_s in (0.0, 0.1, 0.2, 0.3, 0.4):
             job, status = await cell.submit([step(1)], work_s=0.3)
@@ -656,7 +657,8 @@
         status, body = await found.call(ModelRequest("GET", "/plan/"))
         assert (status, body["pending"]) == (200, 9)
         cell.cut_links += [
-            {lagging, other} for other in cell.instances if other != lagging]
+            {lagging, other} for other in cell.instances if other != lagging
+        ]
         await pause(0.5)
         status, _ = await found.call(ModelRequest("GET", "/plan/"))
         assert status == 503
