--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -367,7 +367,7 @@
         self.bus.publish(AnnounceLead(message))
 
     def _start_offer(self, reason: str, now: float) -> None:
-        """Start an offer of the lead, unless one is under way or was made recently."""
+        """Start an offer of the lead, unless one is running or was made recently."""
         in_progress = self._offer_task is not None and not self._offer_task.done()
         if in_progress or now - self._last_offer_at < _OFFER_INTERVAL_S:
             return
@@ -380,11 +380,11 @@
 
         An offer also counts as accepted if the term ended meanwhile.
         """
-        store_s = await self.bus.ask(StoreLatency())
-        if reason == "unproven" and store_s < math.inf:
+        store_latency_s = await self.bus.ask(StoreLatency())
+        if reason == "unproven" and store_latency_s < math.inf:
             # The store answers this instance, so another lead would do no better.
             return False
-        if reason == "stopping" and store_s > _SLOW_STORE_S:
+        if reason == "stopping" and store_latency_s > _SLOW_STORE_S:
             stopping_for_s = boot_time() - self._stop_began_at
             if stopping_for_s < self.settings.bounds.stop_grace_s * _STOP_WAIT_FRACTION:
                 # A takeover makes six calls one after the other.  With a store
--- a/tests/services/test_stuck.py
+++ b/tests/services/test_stuck.py
@@ -5,7 +5,7 @@
 from tests.services.scenarios import step
 
 
-async def lose_all_power(cell):
+async def restart_everything(cell):
     """Restart all instances and workers at once."""
     names = list(cell.instances)
     for name in names:
@@ -28,7 +28,7 @@
     async def scenario():
         cell = ModelCell(workers=10, advised=True)
         await cell.begin()
-        await lose_all_power(cell)
+        await restart_everything(cell)
         job_id = cell.new_job_id()
         gang = f"{job_id}.0.0"
         reachable = next(w for w in cell.workers if cell.adviser.may_run(gang, w))
