--- a/src/firhook/cell/_job_table.py
+++ b/src/firhook/cell/_job_table.py
@@ -1,10 +1,10 @@
-"""What the lead knows of the cell's jobs, tasks and runs.
+"""The lead's in-memory state of the cell's jobs, steps, tasks and runs.
 
-The book is the lead's memory.  It is built from the records when an instance
-takes the lead, and every change to it is stored before it has an effect
-outside: an assignment before the start is sent, an end before the worker is
-told to forget it.  That a job began has no effect outside but what callers are
-told, so that it may be stored a little later, with other changes.
+An instance that becomes lead rebuilds the table from the stored records.  Each
+change is stored before it has an external effect: an assignment before the start
+order is sent, and the end of a run before it is acknowledged to the worker, which
+then deletes it.  The change of a job's status to running affects only the answers
+to callers, so it may be stored a little later, together with other changes.
 """
 
 import math
@@ -26,39 +26,43 @@
 from firhook.cell._spec import StepSpec
 from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
 
-#: A worker's progress is known well enough to go by from so many percent on.
-_TELLING_PERCENT = 5.0
-#: An order that got no answer may be carried out up to 12 s later.
+#: Progress, in percentage points, from which a run's measured speed is used.
+_MIN_MEASURED_PERCENT = 5.0
+#: A worker may still carry out an unanswered order up to 12 s after it was sent.
 MAX_ORDER_DELAY_S = 12.5
-#: That a job began waits for so long to be stored together with others.  Callers'
-#: count of waiting jobs may be 2 s old, and an append for each start is spared.
+#: Longest time that a job's change to running waits to be stored with other
+#: changes, which saves an append for each start.  The count of waiting jobs that
+#: callers get may be 2 s old.
 BEGUN_STORE_DELAY_S = 0.25
-#: Workers that the adviser is asked about when a job's chain is estimated; the
-#: objectives of jobs allow for one call about so many.
-_ADVISED_WORKERS = 30
+#: Workers in the adviser call that the critical path, and so a job's objective,
+#: includes for each step.
+_ADVICE_WORKERS = 30
 
 
 @attrs.define(slots=True, eq=False)
 class Run:
     """One start of a task on one worker.
 
-    :param incarnation: the life of the worker that it was ordered at or seen on.
-    :ivar stored: whether its assignment is on the log; nothing is sent before.
-    :ivar confirmed: whether the worker said that it runs.
-    :ivar unanswered_starts: starts that were sent and got no answer; each may yet be
-        carried out, seconds later.
-    :ivar sent_at: when the last start was sent.
-    :ivar settled_at: a look that was sent later than this and does not list the
-        run proves that it is not there and will not come.
-    :ivar ticket: the adviser's permission, if its queue needs one.
-    :ivar stop_reason: why it is to be stopped; empty if it is not.
+    :param incarnation: the worker's incarnation that the start was sent to, or that
+        last listed the run.
+    :param started_at: when the run was assigned; once the start order was answered,
+        when that answer arrived.
+    :ivar stored: whether the assignment is on the log; orders are sent only then.
+    :ivar confirmed: whether the worker has listed the run.
+    :ivar unanswered_starts: number of start orders without an answer; the worker may
+        still carry out each of them seconds later.
+    :ivar sent_at: when the last start order was sent.
+    :ivar absence_conclusive_after: if a poll sent after this time does not list the
+        run, it neither runs nor will start.
+    :ivar ticket: the adviser's ticket, if the queue requires one.
+    :ivar stop_reason: why the run is to be stopped; empty if it is not.
     """
 
     task: "Task"
     number: int
     worker: str
     incarnation: int
-    assigned_at: float
+    started_at: float
     stored: bool = False
     confirmed: bool = False
     unanswered_starts: int = 0
@@ -73,11 +77,11 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Its task's name and its number, by which workers know it."""
+        """The task's name and the run's number, which identify it to workers."""
         return (self.task.name, self.number)
 
     def update_progress(self, row: RunningRow, now: float) -> None:
-        """Take in what the worker says of it."""
+        """Record the progress and the checkpoint that the worker reports."""
         self.confirmed = True
         if row.checkpoint:
             self.task.update_checkpoint(row.checkpoint)
@@ -87,17 +91,17 @@
             self.percent, self.percent_at = row.percent, now
 
     def remaining_s(self, now: float) -> float:
-        """Return about how long it will go on.
+        """Return an estimate of the remaining duration, in seconds.
 
-        Estimates are off by up to 90%, so that the worker's own word on the
-        progress goes first as soon as there is enough of it.
+        Callers' estimates are off by up to 90%, so the speed that the worker reports
+        takes precedence as soon as enough progress was measured.
         """
-        made = self.percent - self.first_percent
-        if self.first_percent >= 0 and made >= _TELLING_PERCENT:
-            per_percent = (self.percent_at - self.first_percent_at) / made
-            left = (100.0 - self.percent) * per_percent
-            return max(left - (now - self.percent_at), 0.0)
-        return max(self.task.step.spec.estimate_s - (now - self.assigned_at), 0.05)
+        gained = self.percent - self.first_percent
+        if self.first_percent >= 0 and gained >= _MIN_MEASURED_PERCENT:
+            per_percent = (self.percent_at - self.first_percent_at) / gained
+            remaining = (100.0 - self.percent) * per_percent
+            return max(remaining - (now - self.percent_at), 0.0)
+        return max(self.task.step.spec.estimate_s - (now - self.started_at), 0.05)
 
 
 @attrs.define(slots=True, eq=False)
@@ -114,11 +118,11 @@
 
     @property
     def name(self) -> str:
-        """Its name on the workers' interface."""
+        """The task's name in the workers' interface."""
         return f"{self.step.name}.{self.index}"
 
     def update_checkpoint(self, checkpoint: str) -> None:
-        """Keep the newest checkpoint; a gang shares one."""
+        """Keep the newest checkpoint; the members of a gang share one."""
         if not self.step.spec.checkpoints:
             return
         if self.step.spec.gang:
@@ -127,7 +131,11 @@
             self.checkpoint = checkpoint
 
     def to_state(self, workers: dict[tuple[str, int], int]) -> TaskState | None:
-        """Return what is stored of it; ``None`` if it was not begun."""
+        """Return the record of the task; ``None`` if it was never assigned.
+
+        :param workers: index of each worker incarnation in the job's record;
+            those of this task's runs are added.
+        """
         if not self.last_run and not self.done:
             return None
         rows = tuple(
@@ -144,12 +152,12 @@
 class Step:
     """A step of one occurrence of a job.
 
-    :param tail_s: the estimated work from its start to the end of the job, by
-        the longest chain.
-    :ivar ready_at: when its turn came; ``None`` if it has not.
-    :ivar idle: the tasks that wait for a worker, by index.
-    :ivar remaining: the tasks that are not done.
-    :ivar checkpoint: the newest checkpoint of a gang, good for each member.
+    :param critical_path_s: estimated duration of the longest chain of steps from this
+        one to the end of the job.
+    :ivar ready_at: when all steps that it depends on were done; ``None`` before.
+    :ivar idle: tasks that wait for a worker, by index.
+    :ivar remaining: number of tasks that are not done.
+    :ivar checkpoint: newest checkpoint of a gang, valid for each member.
     """
 
     job: "Job"
@@ -165,40 +173,47 @@
 
     @property
     def name(self) -> str:
-        """Its name towards the adviser."""
+        """The step's name in requests to the adviser."""
         return f"{self.job.id}.{self.occurrence}.{self.number}"
 
     @property
     def started(self) -> bool:
-        """Whether any of its tasks ever ran or was assigned."""
+        """Whether any of its tasks was ever assigned."""
         return any(task.last_run for task in self.tasks)
 
     def runs(self) -> Iterator[Run]:
-        """Return the runs that may be going on."""
+        """Yield the runs that may still be executing."""
         for task in self.tasks:
             yield from task.runs
 
     def start_checkpoint(self, task: Task) -> str:
-        """Return the checkpoint that a run of the task resumes from."""
+        """Return the checkpoint that the task's next run resumes from."""
         return self.checkpoint if self.spec.gang else task.checkpoint
 
     def latest_start(self) -> float:
-        """Return when it must start for the job to meet its objective."""
+        """Return the latest start time at which the job still meets its objective."""
         return self.job.objective_at(self.occurrence) - self.critical_path_s
 
     def to_state(self, workers: dict[tuple[str, int], int]) -> StepState:
-        """Return what is stored of it."""
+        """Return the record of the step; see :meth:`Task.to_state`."""
         rows = tuple(task.to_state(workers) for task in self.tasks)
         return StepState(self.occurrence, self.number, rows)
 
 
 @attrs.define(slots=True, eq=False)
 class Job:
-    """A job.
+    """A job with the state of its steps.
 
+    :param queue: current configuration of its queue, or the last one if the queue
+        was removed.
     :param accepted_at: on the lead's boot clock.
-    :param queue: its queue as it is configured now, or was last.
-    :ivar status: queued until a worker has said that it began a task of it.
+    :ivar status: queued until a worker reports the first run of one of its tasks.
+    :ivar ended_at: seconds since 1970; 0 if the job has not ended.
+    :ivar steps: steps by occurrence and number.
+    :ivar next_occurrence: first occurrence that has not been released.
+    :ivar first_occurrence: first occurrence that is not done.
+    :ivar due_at: release time of each occurrence, on the boot clock.
+    :ivar critical_path_s: estimated duration of the job's longest chain of steps.
     """
 
     accepted: AcceptedJob
@@ -215,41 +230,44 @@
 
     @property
     def id(self) -> str:
-        """Its id, chosen by the caller."""
+        """The job's id, chosen by the caller."""
         return self.accepted.id
 
     @property
     def team(self) -> str:
-        """The team that it belongs to."""
+        """Name of the team that submitted the job."""
         return self.accepted.team
 
     def released_at(self, occurrence: int) -> float:
-        """Return when an occurrence was due or accepted, on the boot clock."""
+        """Return when an occurrence was due, on the boot clock.
+
+        For a job that is not periodic this is when it was accepted.
+        """
         return self.due_at.get(occurrence, self.accepted_at)
 
     def objective_at(self, occurrence: int) -> float:
-        """Return until when an occurrence should be done, on the boot clock."""
+        """Return when an occurrence should be done at the latest, on the boot clock."""
         start = self.released_at(occurrence)
         return (
             start + self.queue.slack_factor * self.critical_path_s + self.queue.target_s
         )
 
     def critical_paths_s(self) -> list[float]:
-        """Return for each step the estimated work from its start to the end."""
+        """Return each step's critical path to the end of the job, in seconds."""
         advice = self.queue.advice
-        advice_s = advice.answer_s(_ADVISED_WORKERS) if advice else 0.0
+        advice_s = advice.answer_s(_ADVICE_WORKERS) if advice else 0.0
         return critical_paths_s(self.accepted.spec.steps, advice_s)
 
     def runs(self) -> Iterator[Run]:
-        """Return the runs that may be going on."""
+        """Yield the runs that may still be executing."""
         for step in self.steps.values():
             yield from step.runs()
 
     def to_state(self, version: int = 0) -> JobState:
-        """Return what is stored of it.
+        """Return the record of the job.
 
-        Of a job that ended only the steps are kept that still have runs, which
-        a successor has to go on stopping.
+        For a job that ended, it contains only the steps that still have runs: the
+        next lead has to continue stopping them.
         """
         workers: dict[tuple[str, int], int] = {}
         steps = tuple(
@@ -276,26 +294,36 @@
 
 
 def critical_paths_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
-    """Return for each step the estimated work from its start to the job's end."""
-    tails = [0.0] * len(job_steps)
+    """Return each step's critical path to the end of the job, in seconds.
+
+    :param advice_s: duration of the adviser call that each step needs.
+    """
+    paths_s = [0.0] * len(job_steps)
     for number in range(len(job_steps) - 1, -1, -1):
         after = (
-            tails[later]
+            paths_s[later]
             for later in range(number + 1, len(job_steps))
             if number in job_steps[later].after
         )
-        tails[number] = job_steps[number].estimate_s + advice_s + max(after, default=0)
-    return tails
+        paths_s[number] = (
+            job_steps[number].estimate_s + advice_s + max(after, default=0)
+        )
+    return paths_s
 
 
 class JobTable:
-    """The jobs that are not over, with their tasks and runs.
-
-    :ivar open_steps: the steps whose turn has come and that have idle tasks.
-    :ivar planned: runs that were assigned since :meth:`take_planned`.
-    :ivar to_stop: runs that are to be stopped, since :meth:`take_to_stop`.
-    :ivar ended_runs: the ends that were taken note of, for the owner to log and clear.
-    :ivar voided: likewise the runs that are certainly over, each with the reason.
+    """The jobs that have not ended or still have runs, with their tasks and runs.
+
+    :ivar jobs: jobs by id.
+    :ivar open_steps: ready steps that have idle tasks, by name.
+    :ivar worker_runs: runs by worker and by :attr:`Run.key`.
+    :ivar worker_usage: resources that the runs reserve on each worker.
+    :ivar team_usage: resources that the runs of each team need.
+    :ivar planned: runs assigned since the last :meth:`take_planned`.
+    :ivar to_stop: runs to stop, added since the last :meth:`take_to_stop`.
+    :ivar ended_runs: reported ends, which the owner logs and clears.
+    :ivar voided: runs that were voided, each with the reason; the owner logs and
+        clears them.
     """
 
     def __init__(self, config: CellConfig) -> None:
@@ -310,14 +338,14 @@
         self.ended_runs: list[tuple[Run, RunEnd]] = []
         self.voided: list[tuple[Run, str]] = []
         self._dirty: dict[str, Job] = {}
-        # When each job began of which that is not stored, the oldest first.
-        self._begun_at: dict[str, float] = {}
-        self._timed: dict[str, Job] = {}
+        # When each job whose change to running is not stored began, oldest first.
+        self._unstored_begins: dict[str, float] = {}
+        self._periodic_jobs: dict[str, Job] = {}
 
-    # Jobs come and change.
+    # Jobs.
 
     def set_config(self, config: CellConfig) -> None:
-        """Go by another version of the configuration."""
+        """Apply another version of the configuration."""
         self.config = config
         for job in self.jobs.values():
             job.queue = config.by_address.get(job.queue.address, job.queue)
@@ -329,15 +357,18 @@
         now: float,
         unix_now: float,
     ) -> Job | None:
-        """Add a job, as it was accepted or as it was stored.
+        """Add a job that was accepted, or restore it from its stored state.
 
+        :param state: the stored state; ``None`` if there is none.
         :param now: on the boot clock.
-        :return: ``None`` if it was there already.
+        :param unix_now: seconds since 1970.
+        :return: ``None`` if the job is in the table already.
         """
         if accepted.id in self.jobs:
             return None
         queue = self.config.by_address.get(accepted.queue.address, accepted.queue)
-        # The time of day may have jumped between the two clocks.
+        # The wall clock may have jumped since the job was accepted, or differ from
+        # that of the accepting instance, so its age is bounded.
         age_s = min(max(unix_now - accepted.accepted_at, 0.0), 60.0)
         job = Job(accepted, queue, now - age_s)
         job.critical_path_s = max(job.critical_paths_s(), default=0.0)
@@ -345,20 +376,20 @@
         if state is not None:
             self._restore(job, state, now)
         if job.status.ended:
-            self._forget_if_over(job)
+            self._delete_if_finished(job)
             return job
         if accepted.spec.periodic:
-            self._timed[job.id] = job
+            self._periodic_jobs[job.id] = job
             self._add_due(job, now, unix_now)
         else:
             self._add_occurrence(job, 0, now)
         for step in job.steps.values():
-            self._review(step, now)
+            self._update_step(step, now)
         return job
 
     def tick(self, now: float, unix_now: float) -> None:
-        """Begin the occurrences that are due by now."""
-        for job in list(self._timed.values()):
+        """Release the occurrences that are due."""
+        for job in list(self._periodic_jobs.values()):
             self._add_due(job, now, unix_now)
 
     def next_due(self) -> float | None:
@@ -366,7 +397,7 @@
         return min(
             (
                 job.accepted.spec.due(job.next_occurrence)
-                for job in self._timed.values()
+                for job in self._periodic_jobs.values()
             ),
             default=None,
         )
@@ -380,32 +411,32 @@
             job.due_at[job.next_occurrence] = now - min(unix_now - due, 60.0)
             self._add_occurrence(job, job.next_occurrence, now)
             job.next_occurrence += 1
-        self._timed.pop(job.id, None)
+        self._periodic_jobs.pop(job.id, None)
 
     def _add_occurrence(self, job: Job, occurrence: int, now: float) -> None:
-        tails = job.critical_paths_s()
+        paths_s = job.critical_paths_s()
         for number, spec in enumerate(job.accepted.spec.steps):
             if (occurrence, number) in job.steps:
                 continue
             step = Step(
-                job, occurrence, number, spec, tails[number], remaining=spec.count
+                job, occurrence, number, spec, paths_s[number], remaining=spec.count
             )
             step.tasks = [Task(step, index) for index in range(spec.count)]
             job.steps[occurrence, number] = step
         for number in range(len(job.accepted.spec.steps)):
-            self._review(job.steps[occurrence, number], now)
+            self._update_step(job.steps[occurrence, number], now)
 
     def _restore(self, job: Job, state: JobState, now: float) -> None:
         job.status = JobStatus(state.status)
         job.ended_at = state.ended_at
         job.first_occurrence = job.next_occurrence = state.first_occurrence
-        kept = {(s.occurrence, s.number): s for s in state.steps}
-        for occurrence in sorted({o for o, _ in kept}):
+        stored_steps = {(s.occurrence, s.number): s for s in state.steps}
+        for occurrence in sorted({o for o, _ in stored_steps}):
             if occurrence >= job.next_occurrence:
                 job.next_occurrence = occurrence + 1
             job.due_at.setdefault(occurrence, job.accepted_at)
             self._add_occurrence(job, occurrence, now)
-        for key, stored in kept.items():
+        for key, stored in stored_steps.items():
             step = job.steps.get(key)
             if step is not None:
                 self._restore_step(step, stored, state, now)
@@ -413,37 +444,37 @@
     def _restore_step(
         self, step: Step, stored: StepState, state: JobState, now: float
     ) -> None:
-        for task, old in zip(step.tasks, stored.tasks, strict=False):
-            if old is None:
+        for task, stored_task in zip(step.tasks, stored.tasks, strict=False):
+            if stored_task is None:
                 continue
-            task.done, task.last_run = old.done, old.last_run
-            task.failures = old.failures
-            task.update_checkpoint(old.checkpoint)
-            for row in old.runs:
+            task.done, task.last_run = stored_task.done, stored_task.last_run
+            task.failures = stored_task.failures
+            task.update_checkpoint(stored_task.checkpoint)
+            for row in stored_task.runs:
                 worker = state.workers[row.worker]
                 run = Run(task, row.number, worker.name, worker.incarnation, now)
-                # What the old lead sent is void at a worker once it has seen
-                # the new lead's fencing token, so that any look settles it.
+                # A worker that has seen this lead's fencing token ignores orders
+                # of earlier leads, so the first poll shows whether the run exists.
                 run.stored, run.absence_conclusive_after = True, -math.inf
-                self._enter(run)
+                self._add_run(run)
                 if step.job.status.ended or task.done:
                     self.stop(run, "job_ended")
         step.remaining = sum(not task.done for task in step.tasks)
 
     def cancel(self, job_id: str, unix_now: float) -> None:
-        """Cancel a job, if it is not over."""
+        """Cancel a job, unless it has ended."""
         job = self.jobs.get(job_id)
         if job is not None and not job.status.ended:
             self._end_job(job, JobStatus.CANCELLED, unix_now)
 
     # Steps.
 
-    def _review(self, step: Step, now: float) -> None:
-        """Bring what is idle and whether its turn has come up to date."""
+    def _update_step(self, step: Step, now: float) -> None:
+        """Update the step's idle tasks and whether it is ready."""
         if step.job.status.ended:
             self.open_steps.pop(step.name, None)
             return
-        if step.ready_at is None and self._turn_has_come(step):
+        if step.ready_at is None and self._predecessors_done(step):
             step.ready_at = now
         step.idle = {t.index: t for t in step.tasks if not t.done and not t.runs}
         if step.spec.gang and len(step.idle) < step.spec.count:
@@ -453,30 +484,30 @@
         else:
             self.open_steps.pop(step.name, None)
 
-    def _turn_has_come(self, step: Step) -> bool:
+    def _predecessors_done(self, step: Step) -> bool:
         return all(
-            step.job.steps[step.occurrence, earlier].remaining == 0
-            for earlier in step.spec.after
+            step.job.steps[step.occurrence, predecessor].remaining == 0
+            for predecessor in step.spec.after
         )
 
     def allow_duplicate(self, task: Task) -> None:
-        """Let a task that may run twice start elsewhere, beside its runs."""
+        """Let a task start on another worker beside its runs, if it may run twice."""
         step = task.step
         if step.spec.duplicates and not task.done and not step.job.status.ended:
             step.idle[task.index] = task
             if step.ready_at is not None:
                 self.open_steps[step.name] = step
 
-    # Runs begin and end.
+    # Runs.
 
     def plan(
         self, step: Step, tasks: Iterable[tuple[Task, str, int]], now: float
     ) -> list[Run]:
-        """Assign tasks to workers; the members of a gang get one number.
+        """Assign tasks to workers; the members of a gang get the same run number.
 
-        The job counts as begun only by :meth:`note_begun`.
+        The job stays queued until :meth:`mark_begun`.
 
-        :param tasks: each with its worker's name and life.
+        :param tasks: each with the name and the incarnation of its worker.
         """
         chosen = list(tasks)
         shared = max(task.last_run for task, _, _ in chosen) + 1
@@ -485,7 +516,7 @@
             number = shared if step.spec.gang else task.last_run + 1
             task.last_run = number
             run = Run(task, number, worker, incarnation, now)
-            self._enter(run)
+            self._add_run(run)
             runs.append(run)
             step.idle.pop(task.index, None)
         if not step.idle:
@@ -494,7 +525,7 @@
         self.planned += runs
         return runs
 
-    def _enter(self, run: Run) -> None:
+    def _add_run(self, run: Run) -> None:
         run.task.runs.append(run)
         spec = run.task.step.spec
         team = run.task.step.job.team
@@ -503,7 +534,7 @@
         self.worker_usage[run.worker] = used.add(spec.reserved)
         self.team_usage[team] = self.team_usage.get(team, NO_RESOURCES).add(spec.need)
 
-    def _leave(self, run: Run) -> None:
+    def _remove_run(self, run: Run) -> None:
         run.task.runs.remove(run)
         spec = run.task.step.spec
         team = run.task.step.job.team
@@ -514,51 +545,55 @@
         self.team_usage[team] = self.team_usage[team].subtract(spec.need)
 
     def void(self, run: Run, reason: str, now: float) -> None:
-        """Take note that a run certainly is not going on and never will."""
+        """Remove a run that is known neither to run nor to start later."""
         if run not in run.task.runs:
             return
         step = run.task.step
         self.voided.append((run, reason))
-        self._leave(run)
+        self._remove_run(run)
         if step.spec.gang and not run.task.done:
             self.stop_gang(step, run.number)
-        self._after_leaving(step, now)
+        self._on_run_removed(step, now)
 
     def end(
         self, run: Run, end: RunEnd, checkpoint: str, now: float, unix: float
     ) -> None:
-        """Take note of how a run ended."""
+        """Record how a run ended and remove it.
+
+        :param now: on the boot clock.
+        :param unix: seconds since 1970.
+        """
         task, step = run.task, run.task.step
-        self._leave(run)
+        self._remove_run(run)
         self.ended_runs.append((run, end))
         if checkpoint:
             task.update_checkpoint(checkpoint)
         if step.spec.long_running:
-            self._after_leaving(step, now)
+            self._on_run_removed(step, now)
             return
         if end is RunEnd.DONE:
-            self._done(run, unix)
+            self._complete_task(run, unix)
         elif end is RunEnd.FAILED:
-            self._failed(task, unix)
+            self._record_failure(task, unix)
         if step.spec.gang and not task.done:
             self.stop_gang(step, run.number)
-        self._after_leaving(step, now)
+        self._on_run_removed(step, now)
 
-    def _after_leaving(self, step: Step, now: float) -> None:
+    def _on_run_removed(self, step: Step, now: float) -> None:
         self._dirty[step.job.id] = step.job
-        self._review(step, now)
+        self._update_step(step, now)
         if step.remaining == 0:
-            self._review_followers(step, now)
-        self._forget_if_over(step.job)
+            self._update_successors(step, now)
+        self._delete_if_finished(step.job)
 
-    def _review_followers(self, step: Step, now: float) -> None:
+    def _update_successors(self, step: Step, now: float) -> None:
         for (occurrence, _), later in step.job.steps.items():
             if occurrence == step.occurrence and step.number in later.spec.after:
-                self._review(later, now)
+                self._update_step(later, now)
 
-    def _done(self, run: Run, unix_now: float) -> None:
+    def _complete_task(self, run: Run, unix_now: float) -> None:
         step = run.task.step
-        # One member's end stands for the whole gang.
+        # A gang is done as soon as one member reports that it is.
         tasks = step.tasks if step.spec.gang else [run.task]
         for task in tasks:
             if task.done:
@@ -586,16 +621,16 @@
             for n in numbers
         )
 
-    def _failed(self, task: Task, unix_now: float) -> None:
+    def _record_failure(self, task: Task, unix_now: float) -> None:
         step = task.step
-        # A gang fails as one.
+        # A failure of one member counts for the whole gang.
         for member in step.tasks if step.spec.gang else [task]:
             member.failures += 1
         if task.failures >= step.job.queue.max_attempts and not task.done:
             self._end_job(step.job, JobStatus.FAILED, unix_now)
 
     def stop_gang(self, step: Step, number: int) -> None:
-        """Stop what is left of a gang's run; its members cannot end done."""
+        """Stop the other members of a gang's run, which can no longer complete."""
         for run in step.runs():
             if run.number == number:
                 self.stop(run, "gang_broken")
@@ -605,80 +640,83 @@
             return
         job.status, job.ended_at = status, unix_now
         self._dirty[job.id] = job
-        self._timed.pop(job.id, None)
+        self._periodic_jobs.pop(job.id, None)
         for step in job.steps.values():
             step.idle = {}
             self.open_steps.pop(step.name, None)
         for run in list(job.runs()):
-            # A gang that is done needs no stop: its members end together.
+            # The members of a gang that is done end together without being stopped.
             if not run.task.done:
                 self.stop(run, "job_ended")
-        self._forget_if_over(job)
+        self._delete_if_finished(job)
 
-    def _forget_if_over(self, job: Job) -> None:
+    def _delete_if_finished(self, job: Job) -> None:
         if job.status.ended and not any(job.runs()):
-            self._timed.pop(job.id, None)
+            self._periodic_jobs.pop(job.id, None)
             self.jobs.pop(job.id, None)
 
     def stop(self, run: Run, reason: str) -> None:
-        """Have a run stopped, unless it is to be already."""
+        """Schedule a run to be stopped, unless it already is."""
         if run.stop_reason:
             return
         run.stop_reason = reason
         self.to_stop.append(run)
 
-    # What workers say.
+    # Reports of workers.
 
     def mark_begun(self, job: Job, now: float) -> None:
-        """Take note that a worker began a task of a job; that holds for good."""
+        """Record that a worker began a task of a job.
+
+        The status never returns to queued.
+        """
         if job.status == JobStatus.QUEUED:
             job.status = JobStatus.RUNNING
-            self._begun_at[job.id] = now
+            self._unstored_begins[job.id] = now
 
     def apply_poll_reply(
-        self, worker: str, look: PollReply, sent_at: float, now: float, unix_now: float
+        self, worker: str, reply: PollReply, sent_at: float, now: float, unix_now: float
     ) -> list[tuple[str, int]]:
-        """Take in what a worker lists.
+        """Apply a worker's reply to a poll.
 
-        :param sent_at: when the look was sent, on the boot clock.
-        :return: runs that go on there and that nobody wants.
+        :param sent_at: when the poll was sent, on the boot clock.
+        :return: keys of the orphaned runs that the worker lists as running.
         """
         runs = self.worker_runs.get(worker, {})
-        listed = {(row.task, row.run): row for row in look.running}
-        ended = {(row.task, row.run): row for row in look.ended}
-        # Runs that were given up, and that the worker began all the same.
+        listed = {(row.task, row.run): row for row in reply.running}
+        ended = {(row.task, row.run): row for row in reply.ended}
+        # The worker began runs that were voided before; their jobs count as begun.
         for task, _ in (listed.keys() | ended.keys()) - runs.keys():
             job = self.jobs.get(task.partition(".")[0])
             if job is not None:
                 self.mark_begun(job, now)
         for run in list(runs.values()):
-            if run.key in ended and run.incarnation <= look.incarnation:
-                # However it ended: what a worker never began, it does not list.
+            if run.key in ended and run.incarnation <= reply.incarnation:
+                # A worker lists only runs that it began, however they ended.
                 self.mark_begun(run.task.step.job, now)
                 self._apply_end(run, ended[run.key], now, unix_now)
             elif run.key in listed:
-                run.incarnation = look.incarnation
+                run.incarnation = reply.incarnation
                 self.mark_begun(run.task.step.job, now)
                 run.update_progress(listed[run.key], now)
             else:
-                self._apply_absence(run, look, sent_at, now)
+                self._apply_absence(run, reply, sent_at, now)
         return [key for key in listed if key not in runs and key not in ended]
 
     def _apply_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
         if run not in run.task.runs:
-            # An end before it in the same list has taken this run with it.
+            # The end of another run in the same reply has removed this one.
             return
         self.end(run, row.end, row.checkpoint, now, unix_now)
 
     def _apply_absence(
-        self, run: Run, look: PollReply, sent_at: float, now: float
+        self, run: Run, reply: PollReply, sent_at: float, now: float
     ) -> None:
         if not run.stored or run not in run.task.runs:
             return
-        if look.incarnation > run.incarnation:
+        if reply.incarnation > run.incarnation:
             if run.unanswered_starts:
-                # An order that was not answered may reach the new life too.
-                run.incarnation = look.incarnation
+                # The unanswered order may still reach the new incarnation.
+                run.incarnation = reply.incarnation
                 self.stop(run, "worker_restarted")
                 return
             self.void(run, "worker_restarted", now)
@@ -686,12 +724,12 @@
             self.void(run, "not_there", now)
 
     def expire_lease(self, worker: str, now: float) -> None:
-        """Take note that whatever ran on a worker has lost its lease.
+        """Void the runs on a worker whose lease has expired.
 
-        A start that got no answer is waited for longer.  It may be carried out
-        seconds later; a worker that did not restart refuses it then, since the
-        lease in it has ended, but on one that did, whose clock is another, the
-        task would run beside its next run.
+        Runs with a recent unanswered start are kept for :data:`MAX_ORDER_DELAY_S`,
+        because the order may be carried out seconds later.  A worker that did not
+        restart then refuses it, since the lease in the order has expired.  A worker
+        that did restart has another clock and would run the task beside its next run.
         """
         for run in list(self.worker_runs.get(worker, {}).values()):
             if run.unanswered_starts and now - run.sent_at < MAX_ORDER_DELAY_S:
@@ -699,21 +737,23 @@
             if run.stored:
                 self.void(run, "lease_lapsed", now)
 
-    # What is to be stored and sent.
+    # Changes to store and orders to send.
 
     def take_dirty(self, now: float) -> list[Job]:
-        """Return the jobs to store: those that changed since the last call.
+        """Return the jobs that changed since the last call and are to be stored.
 
-        A job of which no more is new than that it began waits for another change
-        of it, until the oldest such job has waited for :data:`BEGUN_WAIT_S`.
+        A job that only changed to running waits for another change of its own, until
+        the oldest such job has waited for :data:`BEGUN_STORE_DELAY_S`.
         """
         dirty, self._dirty = self._dirty, {}
         for job_id in dirty:
-            self._begun_at.pop(job_id, None)
-        oldest = next(iter(self._begun_at.values()), math.inf)
+            self._unstored_begins.pop(job_id, None)
+        oldest = next(iter(self._unstored_begins.values()), math.inf)
         if now - oldest >= BEGUN_STORE_DELAY_S:
-            dirty.update((job_id, self.jobs[job_id]) for job_id in self._begun_at)
-            self._begun_at = {}
+            dirty.update(
+                (job_id, self.jobs[job_id]) for job_id in self._unstored_begins
+            )
+            self._unstored_begins = {}
         return list(dirty.values())
 
     def take_planned(self) -> list[Run]:
@@ -723,5 +763,5 @@
 
     def take_to_stop(self) -> list[Run]:
         """Return the runs to stop, added since the last call."""
-        wanted, self.to_stop = self.to_stop, []
-        return wanted
+        runs, self.to_stop = self.to_stop, []
+        return runs
--- a/src/firhook/services/_adviser_client.py
+++ b/src/firhook/services/_adviser_client.py
@@ -118,7 +118,7 @@
             # count from the expected time of the answer.
             advice.record_answer(request.workers, answer, min(now, began + expected_s))
             queue = request.step.job.queue.name
-            self._instance.meters.time("advice", queue, now - began)
+            self._instance.meters.record_duration("advice", queue, now - began)
         self._on_answer()
 
     def _on_overdue(self, request: AdviceRequest, slot: AdviserSlot) -> None:
--- a/src/firhook/services/_metrics.py
+++ b/src/firhook/services/_metrics.py
@@ -12,21 +12,21 @@
 )
 from prometheus_client.registry import Collector
 
-from firhook._sockets import listening_socket
+from firhook._sockets import open_listening_socket
 from firhook.clock import boot_time
 from firhook.errors import AddressUnusableError
 from firhook.instance import Instance, InstanceService, register_service
 from firhook.logs import log
 from firhook.services._events import ReplicaAge
 
-#: The port that the deploy file names.
+#: The metrics port that the deployment declares.
 METRICS_PORT = 9464
 _PATH = "/metrics"
 _QUANTILES = (50.0, 90.0, 99.0, 100.0)
 
 
 class _Collector(Collector):
-    """Reads the counters when they are asked for."""
+    """Collects the metrics of an instance at each scrape."""
 
     def __init__(self, instance: Instance, replica_age_s: float) -> None:
         self._instance = instance
@@ -40,14 +40,14 @@
             for label, count in counter.items():
                 family.add_metric([label], count)
             yield family
-        for name, times in sorted(meters.times.items()):
+        for name, histograms in sorted(meters.histograms.items()):
             family = SummaryMetricFamily(
                 f"firhook_{name}_seconds", name, labels=["kind"]
             )
             gauge = GaugeMetricFamily(
                 f"firhook_{name}_quantile_seconds", name, labels=["kind", "quantile"]
             )
-            for label, hist in times.items():
+            for label, hist in histograms.items():
                 total = hist.get_total_count()
                 mean_s = hist.get_mean_value() / 1e6
                 family.add_metric([label], count_value=total, sum_value=mean_s * total)
@@ -75,20 +75,20 @@
 
 @register_service("metrics")
 class Metrics(InstanceService):
-    """The metrics' port."""
+    """Serves the metrics endpoint."""
 
-    def wire(self) -> None:
-        """Begin without a socket."""
+    def register_handlers(self) -> None:
+        """Initialize without a listening socket."""
         self._runner: web.ServerRunner | None = None
 
     async def on_started(self) -> None:
-        """Listen."""
+        """Listen on the metrics port."""
         self._runner = web.ServerRunner(web.Server(self._serve, access_log=None))
         await self._runner.setup()
         try:
-            sock = listening_socket(self.settings.ip, METRICS_PORT)
+            sock = open_listening_socket(self.settings.ip, METRICS_PORT)
         except AddressUnusableError as exc:
-            # An instance without metrics serves; one that ended here would not.
+            # An instance can serve callers without metrics, so this is not fatal.
             log("metrics.unavailable", level="error", error=str(exc))
             return
         await web.SockSite(self._runner, sock).start()
--- a/tests/decide/test_speeds.py
+++ b/tests/decide/test_speeds.py
@@ -84,7 +84,7 @@
 
 def test_earlier_progress_does_not_hide_that_a_worker_is_stalled_now():
     before, fresh = make_run(0, 60, 1.0), make_run(0, 0, 1.5)
-    fresh.assigned_at = 1.2
+    fresh.started_at = 1.2
     assert stalled_runs([before, fresh], 2.1) == []
     assert stalled_runs([before, fresh], 2.4) == [fresh]
 
