--- a/bench/_virtual.py
+++ b/bench/_virtual.py
@@ -17,11 +17,11 @@
 
 from firhook.decide.admit import (
     REBALANCE_S,
+    DispatchedRequest,
     Dispatcher,
-    GivenUp,
-    Placed,
     QueueLimits,
-    expected_item,
+    RefusedRequest,
+    make_queued_request,
 )
 from firhook.decide.limits import Account
 from firhook.decide.parts import FleetUse
@@ -141,7 +141,7 @@
         self.zone = f"z{index % 4}"
         self.fleet = fleet
         self.account = Account()
-        self.account.room = dict(limits or dict.fromkeys(fleet.shares, 10**6))
+        self.account.capacity = dict(limits or dict.fromkeys(fleet.shares, 10**6))
         self.dispatcher = Dispatcher(
             self.name, self.zone, self.account, QueueLimits(waiting, waiting)
         )
@@ -165,7 +165,7 @@
         running = self.account.running
         self.told = {t: float(n + running.get(t, 0)) for t, n in waiting.items()}
         self.told_served = dict(self._served)
-        self.told_beyond = self.dispatcher.router.beyond_parts()
+        self.told_beyond = self.dispatcher.router.excess_by_runner()
         clock.at(clock.now + GOSSIP_S, self._gossip)
 
     def _rebalance(self) -> None:
@@ -176,7 +176,7 @@
         for inst in fleet.instances:
             if inst is not self:
                 elsewhere.update(inst.told_beyond)
-        self.dispatcher.router.set_elsewhere(elsewhere)
+        self.dispatcher.router.set_peer_excess(elsewhere)
         self._pump()
         fleet.clock.at(now + REBALANCE_S, self._rebalance)
 
@@ -186,7 +186,7 @@
         for team in self.fleet.shares:
             used = self.account.running.get(team, 0) * TICK_S
             self._served[team] = self._served[team] * fade + used
-        for given_up in self.dispatcher.sweep(clock.now, self._rng.random()):
+        for given_up in self.dispatcher.refuse_hopeless(clock.now, self._rng.random()):
             self._refuse(given_up.item.token, given_up.exc)
         self._pump()
         clock.at(clock.now + TICK_S, self._tick)
@@ -195,7 +195,7 @@
         """Admit a request or refuse it."""
         now = self.fleet.clock.now
         kind = (req.team, req.klass, req.path)
-        item = expected_item(
+        item = make_queued_request(
             self.dispatcher.times,
             kind,
             req.team,
@@ -215,13 +215,13 @@
         req.code = exc.code
 
     def _pump(self) -> None:
-        while (got := self.dispatcher.take(self.fleet.clock.now)) is not None:
-            if isinstance(got, GivenUp):
+        while (got := self.dispatcher.dispatch_next(self.fleet.clock.now)) is not None:
+            if isinstance(got, RefusedRequest):
                 self._refuse(got.item.token, got.exc)
             else:
                 self._send(got)
 
-    def _send(self, placed: Placed) -> None:
+    def _send(self, placed: DispatchedRequest) -> None:
         fleet = self.fleet
         now = fleet.clock.now
         req: Req = placed.item.token
@@ -235,7 +235,7 @@
         end = now + (0.001 if failing else took_s)
         fleet.clock.at(end, lambda: self._end(placed, name, failing))
 
-    def _end(self, placed: Placed, name: str, failing: bool) -> None:
+    def _end(self, placed: DispatchedRequest, name: str, failing: bool) -> None:
         fleet = self.fleet
         now = fleet.clock.now
         req: Req = placed.item.token
@@ -245,12 +245,12 @@
         dispatcher = self.dispatcher
         kind = (req.team, req.klass, req.path)
         if failing:
-            dispatcher.router.failed(placed.view, now)
+            dispatcher.router.note_failure(placed.view, now)
             req.code = "endpoint.failed"
         else:
-            expected_s = dispatcher.times.expect(kind)
-            dispatcher.router.answered(placed.view, took_s, expected_s, now)
-            dispatcher.times.learn(kind, took_s, now)
+            expected_s = dispatcher.times.expected_s(kind)
+            dispatcher.router.note_answer(placed.view, took_s, expected_s, now)
+            dispatcher.times.record(kind, took_s, now)
             req.done_at = now
         dispatcher.end(placed, now)
         self._pump()
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -18,7 +18,13 @@
     decode_envelope,
     encode_envelope,
 )
-from firhook.state import ConfigState, OnceState, Rebuild, StreamState, split_snapshot
+from firhook.state import (
+    ConfigState,
+    OnceState,
+    SnapshotFinder,
+    StreamState,
+    split_snapshot,
+)
 from standins.cluster import Cluster
 
 PLANS = "[small]\nshare = 1\nlimit = 40\n"
@@ -94,7 +100,7 @@
         for i, chunk in enumerate(chunks)
     ]
     started = time.perf_counter()
-    rebuild = Rebuild(state.next_offset)
+    rebuild = SnapshotFinder(state.next_offset)
     for payload in payloads:
         envelope = decode_envelope(payload)
         assert isinstance(envelope.body, SnapshotChunk)
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -14,10 +14,10 @@
 from hdrh.histogram import HdrHistogram
 
 from bench._registry import measure
-from firhook.decide.place import Need, Room, Rooms
-from firhook.decide.turns import Want, plan_turns
+from firhook.decide.fair_share import TaskRequest, plan_placements
+from firhook.decide.place import CapacityIndex, ResourceNeed, WorkerCapacity
 from firhook.model import Assignment, JobSpec, Report
-from tests.decide.shop import TIMING, WELL, Shop, fleet
+from tests.decide.zone_simulation import HEALTHY, TIMING, ZoneSimulation, fleet
 
 SIZES = (24, 100, 910)
 RUNNING = 9100
@@ -40,20 +40,20 @@
     for size in SIZES:
         rng = random.Random(size)
         teams = {f"t{i}": {} for i in range(120)}
-        shop = Shop(fleet(size), teams)
+        sim = ZoneSimulation(fleet(size), teams)
         # Ten tasks for each worker stand for 9,100 on 910.
         for i in range(size):
-            shop.submit(f"base{i}", f"t{i % 120}", tasks=10, cpus=1.0, run_s=1e6)
-        shop.round()
+            sim.submit(f"base{i}", f"t{i % 120}", tasks=10, cpus=1.0, run_s=1e6)
+        sim.round()
         times = []
         for i in range(min(200, 4 * size)):
             job = _mixed_job(rng, i, f"t{i % 120}")
-            shop.submit(job.job_id, job.team, cpus=job.cpus, memory_mb=job.memory_mb)
+            sim.submit(job.job_id, job.team, cpus=job.cpus, memory_mb=job.memory_mb)
             begun = time.perf_counter()
-            items, _ = shop.scheduler.plan(shop.term, shop.left(), 0.0, 0.0)
+            items, _ = sim.scheduler.plan(sim.term, sim.left(), 0.0, 0.0)
             times.append(time.perf_counter() - begun)
             assert len(items) == 1
-            shop.round()
+            sim.round()
         yield {
             "what": "one round that places one task",
             "workers": size,
@@ -68,17 +68,21 @@
 def _rate(size: int) -> Iterator[dict]:
     """Time of each placement within one large round over mixed tasks."""
     rng = random.Random(size + 1)
-    rooms = [
-        Room(e.worker, e.rack, e.cpus, e.memory_mb, 0)
-        for e in (Room(f"w{i}", f"r{i // 6}", 22.0, 55296, 0) for i in range(size))
+    capacities = [
+        WorkerCapacity(e.worker, e.rack, e.cpus, e.memory_mb, 0)
+        for e in (
+            WorkerCapacity(f"w{i}", f"r{i // 6}", 22.0, 55296, 0) for i in range(size)
+        )
     ]
     count = min(size * 4, 3000)
     teams = [f"t{i}" for i in range(120)]
-    wants = [Want(_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)]
+    requests = [
+        TaskRequest(_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)
+    ]
     left = dict.fromkeys(teams, 10**6)
-    total = Need(32.0 * size, 65536 * size, 0)
+    total = ResourceNeed(32.0 * size, 65536 * size, 0)
     begun = time.perf_counter()
-    plan = plan_turns(wants, Rooms(rooms), {}, {}, left, total)
+    plan = plan_placements(requests, CapacityIndex(capacities), {}, {}, left, total)
     spent = time.perf_counter() - begun
     yield {
         "what": "tasks placed a second on one core, in turns over 120 teams",
@@ -108,15 +112,15 @@
         }
 
 
-def _best_fit(rooms: Rooms, need: Need) -> str | None:
-    room = rooms.find(need)
-    return room.worker if room else None
+def _best_fit(capacities: CapacityIndex, need: ResourceNeed) -> str | None:
+    capacity = capacities.best_fit(need)
+    return capacity.worker if capacity else None
 
 
-def _first_fit(rooms: Rooms, need: Need) -> str | None:
-    for room in rooms.by_name.values():
-        if room.fits(need):
-            return room.worker
+def _first_fit(capacities: CapacityIndex, need: ResourceNeed) -> str | None:
+    for capacity in capacities.by_name.values():
+        if capacity.fits(need):
+            return capacity.worker
     return None
 
 
@@ -127,19 +131,21 @@
     """
     rng = random.Random(seed)
     workers = fleet(size)
-    rooms = Rooms(Room(e.name, e.rack, e.cpus, e.memory_mb, 0) for e in workers)
+    capacities = CapacityIndex(
+        WorkerCapacity(e.name, e.rack, e.cpus, e.memory_mb, 0) for e in workers
+    )
     cpus = memory = refused = 0.0
     i = 0
     while refused < 20:
         job = _mixed_job(rng, i, "t")
-        need = Need.of(job)
+        need = ResourceNeed.of(job)
         i += 1
-        worker = choose(rooms, need)  # type: ignore[operator]
+        worker = choose(capacities, need)  # type: ignore[operator]
         if worker is None:
             refused += 1
             continue
         refused = 0
-        rooms.take(worker, need)
+        capacities.reserve(worker, need)
         cpus += need.cpus
         memory += need.memory_mb
     return max(
@@ -148,16 +154,16 @@
     )
 
 
-def _day(rng: random.Random, fifo: bool) -> Shop:
+def _day(rng: random.Random, fifo: bool) -> ZoneSimulation:
     """Run a full zone: services, bulk batch, small teams, urgent, gangs."""
     teams = {f"s{i}": {} for i in range(5)} | {"large": {}}
-    shop = Shop(fleet(24), teams)
+    sim = ZoneSimulation(fleet(24), teams)
     if fifo:
-        _make_fifo(shop)
-    shop.submit("portal", "large", tasks=40, cpus=2.0, priority="service")
+        _make_fifo(sim)
+    sim.submit("portal", "large", tasks=40, cpus=2.0, priority="service")
     for second in range(600):
         if second % 60 == 0:
-            shop.submit(
+            sim.submit(
                 f"bulk{second}",
                 "large",
                 tasks=300,
@@ -167,45 +173,43 @@
             )
         if second % 5 == 0:
             team = f"s{rng.randrange(5)}"
-            shop.submit(f"small{second}", team, tasks=2, cpus=2.0, run_s=10.0)
+            sim.submit(f"small{second}", team, tasks=2, cpus=2.0, run_s=10.0)
         if second % 7 == 0:
-            shop.submit(f"urgent{second}", "s0", cpus=2.0, run_s=2.0, priority="urgent")
+            sim.submit(f"urgent{second}", "s0", cpus=2.0, run_s=2.0, priority="urgent")
         if second % 100 == 50:
-            shop.submit(
-                f"gang{second}", "s1", tasks=6, cpus=24.0, run_s=20.0, gang=True
-            )
-        shop.round()
-        shop.check()
-        shop.now += 1.0
-    return shop
+            sim.submit(f"gang{second}", "s1", tasks=6, cpus=24.0, run_s=20.0, gang=True)
+        sim.round()
+        sim.check()
+        sim.now += 1.0
+    return sim
 
 
-def _make_fifo(shop: Shop) -> None:
+def _make_fifo(sim: ZoneSimulation) -> None:
     """Replace turns, preemption and reservations by order of arrival, first fit."""
 
     def plan(term, left, now, wall):  # type: ignore[no-untyped-def]
-        shop.scheduler._refresh(term)
-        shop.scheduler._refresh_rooms(term, now)
-        shop.scheduler._looked_at.clear()
-        rooms = list(shop.scheduler._rooms.by_name.values())
+        sim.scheduler._refresh(term)
+        sim.scheduler._refresh_capacities(term, now)
+        sim.scheduler._seen_reports.clear()
+        capacities = list(sim.scheduler._capacities.by_name.values())
         items = []
-        for entry in shop.cell.jobs_of(shop.zone.zone):
-            tasks = shop.zone.tasks.get(entry.job.key, {})
-            need = Need.of(entry.job)
-            slots = sum(r.slots(need) for r in rooms)
+        for entry in sim.cell.open_jobs(sim.zone.zone):
+            tasks = sim.zone.tasks.get(entry.job.key, {})
+            need = ResourceNeed.of(entry.job)
+            slots = sum(r.count_fitting(need) for r in capacities)
             if entry.job.gang and not tasks and slots < entry.job.tasks:
                 break
             for index in range(entry.job.tasks):
                 if index in tasks:
                     continue
-                room = next((r for r in rooms if r.fits(need)), None)
-                if room is None:
+                capacity = next((r for r in capacities if r.fits(need)), None)
+                if capacity is None:
                     return tuple(items), ()
-                shop.scheduler._rooms.take(room.worker, need)
-                items.append(Assignment(entry.job.key, index, 1, room.worker))
+                sim.scheduler._capacities.reserve(capacity.worker, need)
+                items.append(Assignment(entry.job.key, index, 1, capacity.worker))
         return tuple(items), ()
 
-    shop.scheduler.plan = plan  # type: ignore[method-assign]
+    sim.scheduler.plan = plan  # type: ignore[method-assign]
 
 
 @measure("placing_waiting")
@@ -224,13 +228,13 @@
         }
 
 
-def _waits(shop: Shop) -> dict[str, list[float]]:
+def _waits(sim: ZoneSimulation) -> dict[str, list[float]]:
     """Return each task's wait; one that never started waited until the end."""
     waits: dict[str, list[float]] = {}
-    for key, entry in shop.cell.jobs.items():
+    for key, entry in sim.cell.jobs.items():
         kind = key.partition("/")[2].rstrip("0123456789")
         for index in range(entry.job.tasks):
-            at = shop.started_at.get((key, index), shop.now)
+            at = sim.started_at.get((key, index), sim.now)
             waits.setdefault(kind, []).append(at - entry.accepted_at)
     return waits
 
@@ -240,10 +244,10 @@
     """Closeness to share on a full zone: max over teams of |got - due| / due."""
     rng = random.Random(7)
     shares = {f"t{i}": rng.choice([1, 1, 2, 5, 10]) for i in range(12)}
-    shop = Shop(fleet(100), {t: {"share": str(s)} for t, s in shares.items()})
+    sim = ZoneSimulation(fleet(100), {t: {"share": str(s)} for t, s in shares.items()})
     for team in shares:
         for n in range(12):
-            shop.submit(
+            sim.submit(
                 f"b{n}",
                 team,
                 tasks=2000,
@@ -252,12 +256,12 @@
                 run_s=rng.choice([5.0, 11.0]),
             )
     got: dict[str, float] = dict.fromkeys(shares, 0.0)
-    while shop.now < 60:
-        shop.round()
-        if shop.now >= 20:
-            for team, used in shop.cpus_by_team().items():
+    while sim.now < 60:
+        sim.round()
+        if sim.now >= 20:
+            for team, used in sim.cpus_by_team().items():
                 got[team] += used
-        shop.now += 1.0
+        sim.now += 1.0
     whole = sum(got.values())
     weights = sum(shares.values())
     errors = [
@@ -277,17 +281,17 @@
     A round and its orders are taken as 0.1 s; the log's and the network's
     time come on top.
     """
-    shop = Shop(fleet(910), {"bulk": {}, "charges": {}})
+    sim = ZoneSimulation(fleet(910), {"bulk": {}, "charges": {}})
     for i in range(10):
-        shop.submit(f"b{i}", "bulk", tasks=2000, cpus=2.0, run_s=1e5)
-    shop.round()
+        sim.submit(f"b{i}", "bulk", tasks=2000, cpus=2.0, run_s=1e5)
+    sim.round()
     waits = HdrHistogram(1, 60_000, 3)
     rounds = []
     for tick in range(100):
         # Six in each tenth of a second make 62 a second; a third is urgent.
         for n in range(6):
             urgent = n < 2
-            shop.submit(
+            sim.submit(
                 f"c{tick}-{n}",
                 "charges",
                 cpus=2.0,
@@ -295,19 +299,19 @@
                 priority="urgent" if urgent else "batch",
             )
         begun = time.perf_counter()
-        shop.scheduler.plan(shop.term, {}, shop.now, shop.now)
+        sim.scheduler.plan(sim.term, {}, sim.now, sim.now)
         rounds.append(time.perf_counter() - begun)
-        shop.round()
-        shop.now += 0.1
+        sim.round()
+        sim.now += 0.1
     for _ in range(100):
-        shop.round()
-        shop.now += 0.1
+        sim.round()
+        sim.now += 0.1
     unstarted = 0
-    for key, entry in shop.cell.jobs.items():
+    for key, entry in sim.cell.jobs.items():
         if entry.job.priority == "urgent":
-            at = shop.started_at.get((key, 0))
+            at = sim.started_at.get((key, 0))
             unstarted += at is None
-            wait = (at if at is not None else shop.now) - entry.accepted_at
+            wait = (at if at is not None else sim.now) - entry.accepted_at
             waits.record_value(max(int(wait * 1000), 1))
     yield {
         "what": "urgent wait from acceptance to start order, rounds of 0.1 s",
@@ -323,15 +327,15 @@
 @measure("placing_cost")
 def placing_cost() -> Iterator[dict]:
     """Log records and bytes per task started, work lost to preemption."""
-    shop = _day(random.Random(2), fifo=False)
-    preempted = [e for e in shop.ended if e.outcome == "preempted"]
+    sim = _day(random.Random(2), fifo=False)
+    preempted = [e for e in sim.ended if e.outcome == "preempted"]
     yield {
         "what": "log records and bytes per task started, mixed day",
-        "starts": shop.starts,
-        "records_per_start": round(shop.appends / shop.starts, 3),
-        "bytes_per_start": round(shop.bytes / shop.starts),
+        "starts": sim.starts,
+        "records_per_start": round(sim.appends / sim.starts, 3),
+        "bytes_per_start": round(sim.bytes / sim.starts),
         "preempted": len(preempted),
-        "preempted_per_start": round(len(preempted) / shop.starts, 4),
+        "preempted_per_start": round(len(preempted) / sim.starts, 4),
     }
     yield from _sync_cost()
 
@@ -339,16 +343,16 @@
 def _sync_cost() -> Iterator[dict]:
     """Processor time and bytes of one lead's regular orders to 130 workers."""
     for brief in (False, True):
-        shop = Shop(fleet(130), {"t": {}})
-        shop.submit("base", "t", tasks=1300, cpus=1.0, run_s=1e6)
-        shop.round()
-        shop.round()
+        sim = ZoneSimulation(fleet(130), {"t": {}})
+        sim.submit("base", "t", tasks=1300, cpus=1.0, run_s=1e6)
+        sim.round()
+        sim.round()
         order_bytes = report_bytes = 0
         begun = time.perf_counter()
-        for worker in shop.workers:
-            view = shop.term.workers[worker]
+        for worker in sim.workers:
+            view = sim.term.workers[worker]
             view.report = attrs.evolve(view.report, brief=brief)
-            order = shop.term.order(worker, WELL, shop.now)
+            order = sim.term.next_order(worker, HEALTHY, sim.now)
             sent = {k: v for k, v in msgspec.to_builtins(order).items() if v}
             order_bytes += len(msgspec.json.encode(sent))
             report = view.report
@@ -357,7 +361,7 @@
             text = msgspec.json.encode(report)
             report_bytes += len(text)
             read = msgspec.json.decode(text, type=Report)
-            shop.term.note_report(worker, read, shop.now)
+            sim.term.note_report(worker, read, sim.now)
         spent = time.perf_counter() - begun
         yield {
             "what": "orders to and reports from 130 workers with 1,300 tasks",
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -19,7 +19,7 @@
     run_fifo_random,
     run_oracle,
 )
-from firhook.decide.admit import expected_item
+from firhook.decide.admit import make_queued_request
 from firhook.decide.parts import fair_amounts
 
 SLOTS = 192
@@ -172,7 +172,7 @@
     for i in range(4000):
         req = Req(0.0, f"t{rng.randrange(teams)}", "standard", 0.1)
         started = time.perf_counter_ns()
-        item = expected_item(
+        item = make_queued_request(
             inst.dispatcher.times,
             (req.team, req.klass, ""),
             req.team,
@@ -182,7 +182,7 @@
             req,
         )
         inst.dispatcher.admit(item, 0.001 * i, 0.5)
-        got = inst.dispatcher.take(0.001 * i)
+        got = inst.dispatcher.dispatch_next(0.001 * i)
         took = time.perf_counter_ns() - started
         if i > backlog:
             hist.record_value(max(took // 1000, 1))
@@ -195,7 +195,7 @@
     inst.dispatcher.rebalance(fleet.heard(inst), shares, 10.0)
     rebalance_s = time.perf_counter() - started
     started = time.perf_counter()
-    inst.dispatcher.sweep(10.0, 0.5)
+    inst.dispatcher.refuse_hopeless(10.0, 0.5)
     sweep_s = time.perf_counter() - started
     return {
         "p50": hist.get_value_at_percentile(50) / 1000,
--- a/src/firhook/_calls.py
+++ b/src/firhook/_calls.py
@@ -11,7 +11,7 @@
 from firhook._principal import principal
 from firhook._web import REQUEST_KEY
 from firhook.decide.queue import CLASSES
-from firhook.decide.retry import IDEMPOTENT
+from firhook.decide.retry import IDEMPOTENT_METHODS
 from firhook.errors import FirhookError, NotPermittedError, RequestMalformedError
 from firhook.platform.clients import EndpointResponse
 from firhook.queries import CheckFresh
@@ -49,7 +49,7 @@
     @property
     def idempotent(self) -> bool:
         """Whether running it twice does no harm."""
-        return self.method in IDEMPOTENT
+        return self.method in IDEMPOTENT_METHODS
 
     @property
     def repeatable(self) -> bool:
@@ -90,14 +90,14 @@
     who = await principal(bus, req)
     if who.operator:
         raise NotPermittedError("an operator's key runs no requests")
-    await bus.ask(CheckFresh(req.method in IDEMPOTENT))
+    await bus.ask(CheckFresh(req.method in IDEMPOTENT_METHODS))
     service, path = split_target(req.raw_path)
     klass = _single(req, "X-Class") or "standard"
     if klass not in CLASSES:
         raise RequestMalformedError(f"X-Class = {klass!r}: give one of {CLASSES}")
     deadline_s = check_deadline(_single(req, "X-Deadline-Ms"), longest_s)
     once_key = ""
-    if req.method not in IDEMPOTENT:
+    if req.method not in IDEMPOTENT_METHODS:
         once_key = check_once_key(_single(req, "Idempotency-Key"))
     headers = CIMultiDict(
         (k, v) for k, v in req.headers.items() if k.lower() not in _OWN_HEADERS
@@ -175,7 +175,7 @@
     instance, and a caller that took the refusal for the whole truth would
     charge her by another way once more.
     """
-    keyed = req.method not in IDEMPOTENT and "Idempotency-Key" in req.headers
+    keyed = req.method not in IDEMPOTENT_METHODS and "Idempotency-Key" in req.headers
     settled = call is not None and call.claimed
     if keyed and not settled and exc.ran == "no":
         exc.extra.setdefault("earlier_attempts", "unknown")
--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -88,7 +88,7 @@
         known: set[str] = set()
         for service in services:
             known |= set(service.router.views)
-            load.in_flight.update(service.router.beyond_parts())
+            load.in_flight.update(service.router.excess_by_runner())
             load.here.update(service.router.in_flight())
             for team in service.queue.teams():
                 n = service.queue.waiting(team)
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -13,7 +13,7 @@
 
 from firhook._bus import Bus
 from firhook._settings import Settings
-from firhook.decide.grants import GrantBook
+from firhook.decide.grants import GrantTable
 from firhook.decide.limits import Account
 from firhook.logs import log
 from firhook.platform.clients import CountingLog, Platform
@@ -119,7 +119,7 @@
         self.bus = Bus()
         self.states = States(cfg.zones, cfg.zone)
         self.account = Account(clock)
-        self.grants = GrantBook(cfg.grant_ttl_s, cfg.default_deadline_s)
+        self.grants = GrantTable(cfg.grant_ttl_s, cfg.default_deadline_s)
         self.load = Load()
         self.routes: dict[str, list[web.RouteDef]] = {"api": [], "ops": []}
         self.ready = False
--- a/src/firhook/_lane.py
+++ b/src/firhook/_lane.py
@@ -9,8 +9,8 @@
 
 from firhook._budget import Budget
 from firhook._bus import Bus
-from firhook.decide.carry import START_AGE
-from firhook.decide.commit import Outbox, Outgoing
+from firhook.decide.outbox import Outbox, OutgoingRecord
+from firhook.decide.snapshot_timing import INITIAL_AGE_FRACTION
 from firhook.errors import (
     FirhookError,
     LogOutcomeUnknownError,
@@ -30,7 +30,7 @@
     encode_envelope,
 )
 from firhook.platform.clients import LogEntry, LogPage, LogService
-from firhook.state import Rebuild, Snapshot, StreamState
+from firhook.state import Snapshot, SnapshotFinder, StreamState
 
 _BACKOFF_S = 0.3
 #: An answer is on its way back for no longer than this, or counts as old.
@@ -68,14 +68,14 @@
         self.stream_state = state
         self.ready = False
         self.seen_end_at = float("-inf")
-        self.carried_at = time.monotonic() - START_AGE * carry_s
+        self.carried_at = time.monotonic() - INITIAL_AGE_FRACTION * carry_s
         self._lane = lane
         self._service = service
         self._bus = bus
         self._budget = budget
         self._poll_s = poll_s
         self._outbox = Outbox(lane)
-        self._rebuild: Rebuild | None = None
+        self._rebuild: SnapshotFinder | None = None
         self._reached = True
         self._wake = asyncio.Event()
         self.appends = 0
@@ -124,7 +124,7 @@
             kind = type(body).__name__
             raise RecordMalformedError(f"{kind} cannot be encoded: {exc!r}") from exc
 
-    def _give_up(self, item: Outgoing) -> FirhookError:
+    def _give_up(self, item: OutgoingRecord) -> FirhookError:
         if self._outbox.give_up(item):
             return LogOutcomeUnknownError(
                 "the log has not confirmed in time", retry_after_s=_RETRY_AFTER_S
@@ -140,7 +140,7 @@
             self._wake.clear()
             while self._outbox.busy and not self.should_stop:
                 await self._budget.wait(lambda: self._outbox.urgent)
-                batch = self._outbox.take()
+                batch = self._outbox.next_append()
                 if batch:
                     await self._send(batch)
 
@@ -151,7 +151,7 @@
             self.sent_bytes += sum(map(len, payloads))
             await self._service.append(self.stream, payloads)
         except LogUnavailableError:
-            self._outbox.note_refused()
+            self._outbox.note_rejected()
             await self.sleep(_BACKOFF_S)
         except Exception as exc:
             # Whatever else went wrong, the records may have left.
@@ -159,7 +159,7 @@
             log("log.outcome_unknown", level="warning", error=repr(exc))
             await self.sleep(_BACKOFF_S)
         else:
-            self._outbox.note_taken()
+            self._outbox.note_appended()
 
     # -- following -------------------------------------------------------
 
@@ -231,9 +231,9 @@
         if envelope is None:
             state.skip(entry.offset)
             return
-        carried = state.carried_upto
+        carried = state.snapshot_offset
         verdict = state.apply(entry.offset, envelope)
-        if state.carried_upto != carried:
+        if state.snapshot_offset != carried:
             self.carried_at = time.monotonic()
         if verdict is Verdict.IGNORED:
             self._report_ignored(entry.offset, envelope)
@@ -273,7 +273,7 @@
         item = self._outbox.read_back(seq)
         if item is not None and not item.token.done():
             item.token.set_result(applied)
-        self._outbox.note_last(self.stream_state.lanes.last(self._lane))
+        self._outbox.note_last_read(self.stream_state.lanes.last(self._lane))
 
     # -- rebuilding ------------------------------------------------------
 
@@ -286,7 +286,7 @@
             log("log.contradicts", level="error", stream=self.stream, first=first)
             return
         self.ready = False
-        self._rebuild = Rebuild(first)
+        self._rebuild = SnapshotFinder(first)
         log(
             "log.trimmed",
             level="error",
@@ -296,7 +296,7 @@
             first=first,
         )
 
-    def _scan(self, rebuild: Rebuild, page: LogPage) -> None:
+    def _scan(self, rebuild: SnapshotFinder, page: LogPage) -> None:
         for entry in page.entries:
             rebuild.next_offset = entry.offset + 1
             envelope = self._decode(entry)
@@ -313,8 +313,8 @@
             log("snapshot.malformed", level="error", stream=self.stream, why=str(exc))
             return False
         state = self.stream_state
-        if snapshot.upto > state.carried_upto:
-            state.carried_upto, state.carried_parts = snapshot.upto, snapshot.parts
+        if snapshot.upto > state.snapshot_offset:
+            state.snapshot_offset, state.snapshot_parts = snapshot.upto, snapshot.parts
         return True
 
     def load_peer(self, offset: int, text: str) -> bool:
@@ -335,15 +335,15 @@
         log("stream.rebuilt", stream=self.stream, offset=offset)
         self._bus.publish(StreamRebuilt(self.stream, offset))
         last = self.stream_state.lanes.last(self._lane)
-        for item in self._outbox.passed(last):
+        for item in self._outbox.take_landed(last):
             self._resolve_unread(offset, item)
-        self._outbox.note_last(last)
+        self._outbox.note_last_read(last)
 
-    def _resolve_unread(self, offset: int, item: Outgoing) -> None:
+    def _resolve_unread(self, offset: int, item: OutgoingRecord) -> None:
         """Answer for a record that landed but expired before it was read."""
         if item.token.done():
             return
-        if self.stream_state.holds(self._lane, item.body):
+        if self.stream_state.has_applied(self._lane, item.body):
             item.token.set_result(Applied(offset - 1, Verdict.APPLIED))
         else:
             item.token.set_exception(
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -6,14 +6,14 @@
 import attrs
 
 from firhook.decide.lead import (
+    LeadObservation,
     LeadTimes,
-    Sight,
-    TakeOver,
+    PreviousLead,
+    holdings_end_at,
     may_claim,
     may_lend,
-    silent_until,
 )
-from firhook.decide.lease import DRIFT, HeldLease, SeenLease
+from firhook.decide.lease import MAX_CLOCK_DRIFT, HeldLease, ObservedLease
 from firhook.events import Append, Lead, LogAge
 from firhook.kernel import Kernel
 from firhook.logs import log
@@ -44,9 +44,9 @@
         self._held = HeldLease()
         self._hold = HeldLease()
         self._outage = HeldLease()
-        self._seen = SeenLease()
+        self._seen = ObservedLease()
         self._seen_offset: int | None = None
-        self._before: TakeOver | None = None
+        self._before: PreviousLead | None = None
         self._offered: frozenset[str] = frozenset()
         self.before_holders = 1
         self._promises: dict[str, float] = {}
@@ -67,7 +67,7 @@
     @property
     def promised_until(self) -> float:
         """When the last promise not to claim has ended for certain."""
-        return self.promised_at + self.times.ttl_s * (1 + DRIFT)
+        return self.promised_at + self.times.ttl_s * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def state(self) -> LeadState:
@@ -86,7 +86,7 @@
 
     def is_held(self, now: float) -> bool:
         """Return whether the lease by the log is held for certain."""
-        return self.mine and self._held.held(now)
+        return self.mine and self._held.is_held(now)
 
     def may_lend(self, now: float) -> bool:
         """Return whether room may be lent at this moment."""
@@ -94,7 +94,7 @@
             return False
         others = (self._offered | set(self.state.roster)) - {self._kernel.lane}
         promises = [self._promises.get(o, float("-inf")) for o in others]
-        return may_lend(self._held.until, self._outage.until, promises, now)
+        return may_lend(self._held.expires_at, self._outage.expires_at, promises, now)
 
     def view(self, now: float) -> Lead:
         """Return the lead for other roles."""
@@ -105,8 +105,8 @@
             lead.epoch,
             lead.instance,
             self.is_held(now),
-            self._hold.until - now,
-            self._held.until - now,
+            self._hold.expires_at - now,
+            self._held.expires_at - now,
         )
 
     def promised(self, holder: str, stamp: float) -> None:
@@ -122,13 +122,13 @@
 
     def void(self) -> None:
         """Forget everything believed held until the log confirms it again."""
-        self._held.void()
-        self._hold.void()
-        self._outage.void()
+        self._held.invalidate()
+        self._hold.invalidate()
+        self._outage.invalidate()
 
     def stalled(self) -> None:
         """Void the lease by the log after a stall of the event loop."""
-        self._held.void()
+        self._held.invalidate()
 
     def look(self, now: float) -> None:
         """Note when the lead's latest record was read.
@@ -145,7 +145,7 @@
         if self._before is None:
             return now + self.times.outage_s
         seen = self._before
-        return silent_until(
+        return holdings_end_at(
             attrs.evolve(seen, answered=answered),
             self.times,
             max(now, self.promised_until),
@@ -169,14 +169,14 @@
         if self._kernel.stopping:
             return
         age = await self._kernel.bus.ask(LogAge("cell"))
-        lapsed = self._seen.lapsed(now, self.times.lease_s, self.times.margin_s)
+        lapsed = self._seen.has_expired(now, self.times.lease_s, self.times.margin_s)
         # In an outage of the log for everybody the last sight of it is older
         # than a lease once the lead's has lapsed, and nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
         # A lead that the log has lost, but this instance has not, must be
         # replaced although it still answers, or nobody places the zone's tasks.
         self.promising = not (lapsed and age <= max_age_s)
-        sight = Sight(lead.released, lapsed, age, self.promised_at)
+        sight = LeadObservation(lead.released, lapsed, age, self.promised_at)
         if not may_claim(sight, self.times, now, max_age_s):
             return
         await asyncio.sleep(random.uniform(0, _CLAIM_SPREAD_S))
@@ -186,7 +186,7 @@
 
     async def _claim(self, lead: LeadState) -> None:
         me = self._kernel.lane
-        self._before = TakeOver(
+        self._before = PreviousLead(
             lead.released,
             frozenset(lead.roster),
             me,
@@ -218,9 +218,9 @@
         if not await self._append(body):
             self.void()
             return False
-        self._held.renewed(sent_at, self.times.lease_s)
-        self._hold.renewed(sent_at, self._cfg.hold_s)
-        self._outage.renewed(sent_at, self.times.outage_s)
+        self._held.renew(sent_at, self.times.lease_s)
+        self._hold.renew(sent_at, self._cfg.hold_s)
+        self._outage.renew(sent_at, self.times.outage_s)
         return True
 
     async def release(self, roster: frozenset[str]) -> None:
--- a/src/firhook/_lender.py
+++ b/src/firhook/_lender.py
@@ -7,9 +7,9 @@
 
 from firhook._leadership import Leadership
 from firhook._room import RoomKeeper, name_of
-from firhook.decide.grants import guests_of
+from firhook.decide.grants import guest_holder_of
+from firhook.decide.limit_transfers import TeamCapacity, choose_transfer
 from firhook.decide.limits import zone_parts
-from firhook.decide.moves import TeamView, choose_move
 from firhook.errors import FirhookError, LogUnavailableError, NotLeadError
 from firhook.events import Append, AskPeer, RecordApplied
 from firhook.kernel import Kernel
@@ -61,7 +61,7 @@
         self._kernel = kernel
         self._leadership = leadership
         self._book = kernel.grants
-        self._book.host = kernel.lane
+        self._book.lead_name = kernel.lane
         self._epoch = 0
         self._unsettled: list[_Unsettled] = []
         self._given_at: dict[str, float] = {}
@@ -84,14 +84,14 @@
     def roster(self) -> frozenset[str]:
         """Return the instances to lend to from the next renewal on."""
         stays, grown = self._stays(), self._grown()
-        if self._book.opened and self._book.fits(len(grown), self.part):
+        if self._book.is_open and self._book.fits_caps(len(grown), self.part):
             return grown
         return stays
 
     def _stays(self) -> frozenset[str]:
         now = self._kernel.clock()
         roster = self._leadership.state.roster
-        if not self._book.opened:
+        if not self._book.is_open:
             return frozenset(roster) | {self._kernel.lane}
         stays = frozenset(h for h in roster if not self._gone(h, now))
         return stays | {self._kernel.lane}
@@ -102,25 +102,25 @@
 
     def capped_by(self) -> int:
         """Return the number of holders to publish with the roster."""
-        return self._book.capped_by(self._kernel.clock(), len(self.roster()))
+        return self._book.cap_holders(self._kernel.clock(), len(self.roster()))
 
     def _gone(self, holder: str, now: float) -> bool:
         if holder in self._leadership.leaving:
             return True
-        unheard = not self._book.asked_lately(holder, now)
-        return unheard and self._book.lapsed(holder, now)
+        unheard = not self._book.asked_recently(holder, now)
+        return unheard and self._book.has_expired(holder, now)
 
     async def follow_lead(self) -> None:
         """Open the book after a won claim; close it after a loss."""
         lead = self._leadership
         if not lead.mine:
-            if self._book.opened:
+            if self._book.is_open:
                 self._book.close()
             self._epoch = 0
             return
         if self._epoch != lead.state.epoch and lead.is_held(self._kernel.clock()):
             await self._take_over(lead.state.epoch)
-        elif self._book.opened:
+        elif self._book.is_open:
             await self._ask_silent()
 
     async def _take_over(self, epoch: int) -> None:
@@ -136,7 +136,7 @@
         for h in (*answers, self.keeper.all_holdings()):
             known[h.instance] = _held(h.teams)
             if h.guests:
-                known[guests_of(h.instance)] = _held(h.guests)
+                known[guest_holder_of(h.instance)] = _held(h.guests)
         silent = roster - set(known)
         until = lead.silent_until(frozenset(known), now)
         holders = len(roster) + 1
@@ -152,10 +152,10 @@
 
     async def _ask_silent(self) -> None:
         now = self._kernel.clock()
-        silent = self._book.silent(now)
+        silent = self._book.unaccounted(now)
         for h in await self._holdings(self._epoch, silent):
             now = self._kernel.clock()
-            self._book.heard(h.instance, _held(h.teams), now)
+            self._book.note_late_answer(h.instance, _held(h.teams), now)
             self._note_guests(h.instance, h.guests, now)
 
     async def _holdings(self, epoch: int, lanes: frozenset[str]) -> list[Holdings]:
@@ -172,7 +172,7 @@
     def _note_guests(
         self, holder: str, guests: tuple[TeamRoom, ...], now: float
     ) -> None:
-        self._book.note_guests(holder, _held(guests), now)
+        self._book.record_guest_loans(holder, _held(guests), now)
 
     # -- lending ---------------------------------------------------------
 
@@ -180,7 +180,7 @@
         """Answer an instance of the zone that wants room."""
         now = self._kernel.clock()
         lead = self._leadership
-        if not lead.mine or ask.epoch != lead.state.epoch or not self._book.opened:
+        if not lead.mine or ask.epoch != lead.state.epoch or not self._book.is_open:
             raise NotLeadError(f"epoch {ask.epoch} is not led from here")
         if ask.echo >= 0:
             lead.promised(ask.instance, ask.echo)
@@ -188,12 +188,12 @@
             # The stamp alone goes back, so that the asker can promise anew;
             # an error would leave every promise lapsed until the log returns.
             return GrantAnswer(ask.epoch, now, self._book.ttl_s, False)
-        if self._book.is_late(ask.instance, ask.seq, now):
+        if self._book.is_outdated(ask.instance, ask.seq, now):
             raise NotLeadError(f"ask {ask.seq} came after a later one")
         if ask.instance != self._kernel.lane:
             self._note_guests(ask.instance, ask.guests, now)
         if ask.leaving:
-            self._book.left(ask.instance)
+            self._book.remove_holder(ask.instance)
             lead.leaving.add(ask.instance)
             lead.wake.set()
             return GrantAnswer(ask.epoch, now, self._book.ttl_s, False)
@@ -204,9 +204,9 @@
                 raise NotLeadError("the roster does not name the asker yet")
             # The log is out, so no record can name an instance that started
             # since; without room it would refuse all that it is sent.
-            self._book.seat(ask.instance)
+            self._book.add_guest(ask.instance)
         else:
-            self._book.unseat(ask.instance)
+            self._book.remove_guest(ask.instance)
         # Loans are held to the smaller cap of all who want to join from now on,
         # so that they come to fit it; the larger cap of fewer holders is used
         # only once the log has the smaller roster.
@@ -219,7 +219,7 @@
         """Lend what a holder wants; return the grant if it is something else."""
         wanted, held = max(room.wanted, 0), max(room.held, 0)
         part = self.part(room.team)
-        granted = self._book.ask(room.team, holder, wanted, held, part, now)
+        granted = self._book.grant(room.team, holder, wanted, held, part, now)
         return None if granted == room.wanted else TeamGrant(room.team, granted)
 
     # -- transfers between zones -----------------------------------------
@@ -252,16 +252,16 @@
         if move.epoch != self._epoch:
             # The book was closed since, and counts only this epoch's.
             return
-        left = self._book.moving.get(move.team, 0) - move.amount
-        self._book.moving[move.team] = max(left, 0)
+        left = self._book.in_transfer.get(move.team, 0) - move.amount
+        self._book.in_transfer[move.team] = max(left, 0)
 
     async def move_spare(self) -> None:
         """Give spare room to zones where teams are short of it."""
         now = self._kernel.clock()
-        if not self._leadership.is_held(now) or not self._book.opened:
+        if not self._leadership.is_held(now) or not self._book.is_open:
             return
         moves = []
-        own = self._book.short(now)
+        own = self._book.unmet_demand(now)
         if own:
             await self._tell_short(own)
         now = self._kernel.clock()
@@ -280,21 +280,21 @@
         plan = self._kernel.states.config.plan_of(team)
         if plan is None:
             return None
-        view = TeamView(
+        view = TeamCapacity(
             zone_parts(plan.limit, cfg.zones)[cfg.zone],
-            self._book.spare(team, self.part(team), now),
+            self._book.transferable(team, self.part(team), now),
             short,
             len(cfg.zones),
             self._given_at.get(team, float("-inf")),
         )
-        chosen = choose_move(cfg.zone, view, now)
+        chosen = choose_transfer(cfg.zone, view, now)
         if chosen is None:
             return None
         zone, amount = chosen
         epoch = self._leadership.state.epoch
         move = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
         # Counted as gone from now on, whatever becomes of the append.
-        moving = self._book.moving
+        moving = self._book.in_transfer
         moving[team] = moving.get(team, 0) + amount
         return move
 
--- a/src/firhook/_room.py
+++ b/src/firhook/_room.py
@@ -6,7 +6,7 @@
 import attrs
 
 from firhook._leadership import Leadership
-from firhook.decide.grants import Demand
+from firhook.decide.grants import CapacityDemand
 from firhook.errors import FirhookError, NotLeadError
 from firhook.events import AskPeer, RoomChanged, RoomWanted
 from firhook.kernel import Kernel
@@ -53,7 +53,7 @@
         self._kernel = kernel
         self._leadership = leadership
         self._lend = lend
-        self._demand = Demand(_HALF_LIFE_S)
+        self._demand = CapacityDemand(_HALF_LIFE_S)
         self._pressed: set[str] = set()
         self._quiet_until: dict[str, float] = {}
         self._wake = asyncio.Event()
@@ -65,7 +65,7 @@
     def want(self, event: RoomWanted) -> None:
         """Note that work waits for room."""
         now = self._kernel.clock()
-        self._demand.note(event.team, event.wanted, now)
+        self._demand.raise_to(event.team, event.wanted, now)
         if now >= self._quiet_until.get(event.team, 0.0):
             self._pressed.add(event.team)
             self._wake.set()
@@ -74,7 +74,7 @@
         """Return the teams that want or hold room."""
         account, waiting = self._kernel.account, self._kernel.load.waiting
         demand = self._demand.teams(self._kernel.clock())
-        return sorted({*demand, *account.room, *account.running, *waiting})
+        return sorted({*demand, *account.capacity, *account.running, *waiting})
 
     def _wanted(self, team: str, now: float) -> int:
         # Whatever waits wants room for one at least: its want may have been
@@ -95,9 +95,9 @@
         result = []
         for team in teams:
             wanted = self._wanted(team, now)
-            if account.room.get(team, 0) > wanted:
-                account.room[team] = wanted
-            result.append(TeamRoom(team, wanted, account.held(team)))
+            if account.capacity.get(team, 0) > wanted:
+                account.capacity[team] = wanted
+            result.append(TeamRoom(team, wanted, account.max_in_use(team)))
         return tuple(result)
 
     async def on_holdings_ask(self, ask: HoldingsAsk) -> Holdings:
@@ -202,8 +202,8 @@
             amount = min(granted.get(room.team, room.wanted), room.wanted)
             # The lead counts from when it answered, this instance from before
             # it asked, so the grant ends here before it ends in the book.
-            grown = amount > account.room_now(room.team)
-            account.lend(room.team, amount, sent_at + answer.ttl_s)
+            grown = amount > account.current_capacity(room.team)
+            account.set_capacity(room.team, amount, sent_at + answer.ttl_s)
             if amount < room.wanted:
                 self._quiet_until[room.team] = now + _RETRY_S
             else:
@@ -224,8 +224,8 @@
         """
         self.stop()
         account = self._kernel.account
-        account.room.clear()
-        account.until.clear()
+        account.capacity.clear()
+        account.expires_at.clear()
         if account.running or self._kernel.grants.lent_to_guests(self._kernel.clock()):
             return False
         try:
--- a/src/firhook/decide/_admit.py
+++ b/src/firhook/decide/_admit.py
@@ -16,7 +16,7 @@
     slot_row,
     usable_parts,
 )
-from firhook.decide._queue import FairQueue, Waiting
+from firhook.decide._queue import FairQueue, QueuedRequest
 from firhook.decide._retry import RetryBudget
 from firhook.decide._route import Router, RunnerView
 from firhook.decide._times import ServiceTimes
@@ -56,7 +56,7 @@
 _GIVE_UP_SLACK = 0.1
 #: The lead answers within milliseconds.  A team that got no room for so long
 #: is at its limit elsewhere, or the lead is away, and its requests are told.
-ROOM_WAIT_S = 2.0
+CAPACITY_WAIT_S = 2.0
 #: How often the parts are worked out anew, in seconds.
 REBALANCE_S = 0.1
 #: Parts that must agree before a slot that moved here is used: two rounds, or
@@ -83,23 +83,23 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Placed:
+class DispatchedRequest:
     """A request that got a slot.
 
     :param view: the runner it goes to.
     :param started: when, in seconds.
     """
 
-    item: Waiting
+    item: QueuedRequest
     view: RunnerView
     started: float
 
 
 @attrs.frozen(slots=True)
-class GivenUp:
+class RefusedRequest:
     """A waiting request that is to be refused now."""
 
-    item: Waiting
+    item: QueuedRequest
     exc: FirhookError
 
 
@@ -129,7 +129,7 @@
         self.running = 0
         self.weights: dict[str, float] = {}
         self._long_running = 0
-        self._placed: dict[tuple[str, ...], dict[Placed, None]] = {}
+        self._placed: dict[tuple[str, ...], dict[DispatchedRequest, None]] = {}
         self._capacity = 0
         self._short_seen = -math.inf
         self._short_load = 0.0
@@ -137,7 +137,7 @@
         self._row: list[str] = []
         self._use: FleetUse | None = None
         self._parts: list[dict[str, int]] = []
-        self._roomless_since: dict[str, float] = {}
+        self._no_capacity_since: dict[str, float] = {}
 
     # -- what is known of the runners and of the fleet --------------------
 
@@ -167,7 +167,7 @@
 
     # -- admission --------------------------------------------------------
 
-    def admit(self, item: Waiting, now: float, jitter: float) -> None:
+    def admit(self, item: QueuedRequest, now: float, jitter: float) -> None:
         """Queue a request, or refuse it at once if waiting cannot help it.
 
         :param jitter: 0 to 1, at random, so that callers refused together do
@@ -182,7 +182,7 @@
             self._note_short(item, now)
         wait_s = self.expected_wait_s(item, now)
         back_s = _come_back(self._drain_s(item.team), jitter)
-        if not self.router.has_other(()):
+        if not self.router.has_untried(()):
             raise NoEndpointError("no runner is known", retry_after_s=back_s)
         if len(self.queue) >= self._limits.waiting:
             raise OverloadedError("too many requests wait", retry_after_s=back_s)
@@ -191,27 +191,27 @@
                 f"{self._limits.team_waiting} requests of the team wait",
                 retry_after_s=back_s,
             )
-        need_s = _WAIT_MARGIN * wait_s + _SERVICE_MARGIN * item.needs_s
+        need_s = _WAIT_MARGIN * wait_s + _SERVICE_MARGIN * item.min_service_s
         need_s = max(need_s, wait_s + self._keep_s(item, now))
         if now + need_s > item.deadline:
             raise DeadlineUnmeetableError(
-                f"it would wait {wait_s:.2f} s and run {item.needs_s:.2f} s",
+                f"it would wait {wait_s:.2f} s and run {item.min_service_s:.2f} s",
                 retry_after_s=back_s,
             )
         self.queue.push(item)
 
-    def _keep_s(self, item: Waiting, now: float) -> float:
+    def _keep_s(self, item: QueuedRequest, now: float) -> float:
         if not item.allowed_s:
             return 0.0
         running = self._placed.get(item.kind)
         running_s = now - next(iter(running)).started if running else 0.0
-        return self.times.keep_s(item.kind, item.allowed_s, running_s, now)
+        return self.times.min_remaining_s(item.kind, item.allowed_s, running_s, now)
 
-    def expected_wait_s(self, item: Waiting, now: float) -> float:
+    def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
         """Return how long a new request would wait for its turn."""
         if not len(self.queue) and self.running < self._capacity:
             return 0.0
-        ahead_s = self.queue.ahead_s(item.team, item.klass) + self.times.mean_s
+        ahead_s = self.queue.work_ahead_s(item.team, item.klass) + self.times.mean_s
         return ahead_s / self._rate(item.team)
 
     def _rate(self, team: str) -> float:
@@ -222,41 +222,43 @@
         # that it has requests.
         slots = max(self._capacity, 1)
         rate = slots * self.weights.get(team, 1.0) / total
-        room = self._account.room.get(team, 0)
+        room = self._account.capacity.get(team, 0)
         # Room not lent yet is asked for when the request is queued; until it
         # is known, only the slots bound the rate.
         return min(rate, room) if room > 0 else rate
 
     def _drain_s(self, team: str) -> float:
         """Return how long the team's backlog takes."""
-        work_s = self.queue.ahead_s(team, "bulk") + self.times.mean_s
+        work_s = self.queue.work_ahead_s(team, "bulk") + self.times.mean_s
         return work_s / self._rate(team)
 
     # -- dispatch ---------------------------------------------------------
 
-    def take(self, now: float, jitter: float = 0.5) -> Placed | GivenUp | None:
+    def dispatch_next(
+        self, now: float, jitter: float = 0.5
+    ) -> DispatchedRequest | RefusedRequest | None:
         """Give the next request a slot, or give it up if its turn came too late.
 
         :return: ``None`` if none can have a slot.
         """
         blocked: set[str] = set()
         while len(self.queue):
-            item = self.queue.pop(self.weights, blocked, self._long_ok(now))
+            item = self.queue.pop(self.weights, blocked, self._long_allowed(now))
             if item is None:
                 return None
             if now + self._keep_s(item, now) > item.deadline:
                 self._put_back(item)
                 self.queue.remove(item)
-                return GivenUp(item, self._too_late(item, jitter))
-            if not self._account.take(item.team):
+                return RefusedRequest(item, self._too_late(item, jitter))
+            if not self._account.acquire(item.team):
                 self._put_back(item)
                 blocked.add(item.team)
-                self._roomless_since.setdefault(item.team, now)
+                self._no_capacity_since.setdefault(item.team, now)
                 continue
-            self._roomless_since.pop(item.team, None)
+            self._no_capacity_since.pop(item.team, None)
             view = self.router.pick(now, item.tried)
             if view is None:
-                self._account.give_back(item.team)
+                self._account.release(item.team)
                 self._put_back(item)
                 if not item.tried:
                     return None
@@ -266,24 +268,24 @@
                 continue
             self.running += 1
             self._long_running += item.long
-            placed = Placed(item, view, now)
+            placed = DispatchedRequest(item, view, now)
             # In order of their start: the first is the oldest.
             self._placed.setdefault(item.kind, {})[placed] = None
             return placed
         return None
 
-    def _put_back(self, item: Waiting) -> None:
+    def _put_back(self, item: QueuedRequest) -> None:
         self.queue.put_back(item, self.weights)
 
     def has_untried(self, tried: Collection[str]) -> bool:
         """Return whether a runner is left that did not fail a request yet."""
-        return self.router.has_other(tried)
+        return self.router.has_untried(tried)
 
-    def roomless(self) -> list[str]:
+    def teams_awaiting_capacity(self) -> list[str]:
         """Return the teams that wait for room under their limit."""
-        return list(self._roomless_since)
+        return list(self._no_capacity_since)
 
-    def _long_ok(self, now: float) -> bool:
+    def _long_allowed(self, now: float) -> bool:
         """Return whether a long request may take a slot.
 
         Without this, a few teams' long work fills every slot and a quote that
@@ -299,7 +301,7 @@
         )
         return self._capacity - self.running > keep
 
-    def _note_short(self, item: Waiting, now: float) -> None:
+    def _note_short(self, item: QueuedRequest, now: float) -> None:
         """Follow how many slots short work uses, over about a second."""
         self._short_load += item.expected_s
         self._short_seen = now
@@ -308,7 +310,7 @@
         self._short_load *= math.exp(min(self._short_at - now, 0.0))
         self._short_at = now
 
-    def end(self, placed: Placed, now: float) -> None:
+    def end(self, placed: DispatchedRequest, now: float) -> None:
         """Count a request as ended for certain, or as past the bound."""
         self.running -= 1
         self._long_running -= placed.item.long
@@ -316,13 +318,13 @@
         del of_kind[placed]
         if not of_kind:
             del self._placed[placed.item.kind]
-        self.router.done(placed.view)
-        self._account.give_back(placed.item.team)
+        self.router.release(placed.view)
+        self._account.release(placed.item.team)
         self.queue.settle(placed.item, now - placed.started, self.weights)
 
     # -- giving up --------------------------------------------------------
 
-    def sweep(self, now: float, jitter: float) -> list[GivenUp]:
+    def refuse_hopeless(self, now: float, jitter: float) -> list[RefusedRequest]:
         """Take out the requests whose deadline can no longer be met.
 
         A runner that dies, or a large team's return, makes the queue slower
@@ -339,10 +341,10 @@
                     outlook.ahead_s += item.expected_s
                 else:
                     self.queue.remove(item)
-                    given_up.append(GivenUp(item, exc))
-        for team in self.roomless():
+                    given_up.append(RefusedRequest(item, exc))
+        for team in self.teams_awaiting_capacity():
             if not self.queue.waiting(team):
-                del self._roomless_since[team]
+                del self._no_capacity_since[team]
         return given_up
 
     def _has_no_room(self, team: str, now: float) -> bool:
@@ -350,24 +352,24 @@
 
         While some of its requests run here, their ends make room for others.
         """
-        waited_s = now - self._roomless_since.get(team, now)
-        held = self._account.room.get(team, 0) + self._account.running.get(team, 0)
-        return waited_s > ROOM_WAIT_S and held == 0
+        waited_s = now - self._no_capacity_since.get(team, now)
+        held = self._account.capacity.get(team, 0) + self._account.running.get(team, 0)
+        return waited_s > CAPACITY_WAIT_S and held == 0
 
     def _hopeless(
-        self, item: Waiting, outlook: "_Outlook", now: float, jitter: float
+        self, item: QueuedRequest, outlook: "_Outlook", now: float, jitter: float
     ) -> FirhookError | None:
         """Return why a waiting request is to be refused now, if it is."""
         if outlook.no_room:
-            back_s = max(_come_back(self._drain_s(item.team), jitter), ROOM_WAIT_S)
+            back_s = max(_come_back(self._drain_s(item.team), jitter), CAPACITY_WAIT_S)
             return TeamQueueFullError(
-                f"the team had no room under its limit for {ROOM_WAIT_S:g} s",
+                f"the team had no room under its limit for {CAPACITY_WAIT_S:g} s",
                 retry_after_s=back_s,
             )
         if not self.has_untried(item.tried):
             back_s = _come_back(self._drain_s(item.team), jitter)
             return NoEndpointError("no runner is left", retry_after_s=back_s)
-        service_s = _SERVICE_MARGIN * item.needs_s
+        service_s = _SERVICE_MARGIN * item.min_service_s
         end = now + outlook.ahead_s / outlook.rate + service_s
         slack = _GIVE_UP_SLACK * (item.deadline - item.arrived)
         least_s = max(service_s, self._keep_s(item, now))
@@ -375,7 +377,7 @@
             return None
         return self._too_late(item, jitter)
 
-    def _too_late(self, item: Waiting, jitter: float) -> FirhookError:
+    def _too_late(self, item: QueuedRequest, jitter: float) -> FirhookError:
         back_s = _come_back(self._drain_s(item.team), jitter)
         return DeadlineUnmeetableError(
             "its turn would come too late", retry_after_s=back_s
@@ -401,7 +403,7 @@
     return bounded * (0.75 + 0.5 * jitter)
 
 
-def expected_item(
+def make_queued_request(
     times: ServiceTimes,
     kind: tuple[str, ...],
     team: str,
@@ -409,13 +411,13 @@
     now: float,
     deadline: float,
     token: Any = None,
-) -> Waiting:
+) -> QueuedRequest:
     """Return a request to queue, with what is expected of it."""
-    expected_s = times.expect(kind)
+    expected_s = times.expected_s(kind)
     long = expected_s > max(_LONG_RATIO * times.mean_s, _LONG_LEAST_S)
     # Bulk work of a kind not seen yet is likelier long than not.
-    long = long or (klass == "bulk" and not times.knows(kind))
-    needs_s = times.at_least(kind, now)
-    return Waiting(
-        team, klass, now, deadline, token, expected_s, needs_s, long, kind=kind
+    long = long or (klass == "bulk" and not times.has_seen(kind))
+    min_service_s = times.min_service_s(kind, now)
+    return QueuedRequest(
+        team, klass, now, deadline, token, expected_s, min_service_s, long, kind=kind
     )
--- a/src/firhook/decide/_adopt.py
+++ b/src/firhook/decide/_adopt.py
@@ -9,16 +9,16 @@
 
 from collections.abc import Mapping, Sequence
 
-from firhook.decide._lease import latest
+from firhook.decide._lease import latest_end
 from firhook.decide._orders import Timing
 from firhook.model import CarriedTask
 from firhook.state import ZoneState
 
 #: A log whose end was not seen for so long is out of sight.
-SIGHT_S = 10.0
+MAX_LOG_AGE_S = 10.0
 
 
-class Sight:
+class LeadActivity:
     """How long this instance has seen the log, and when each lead last wrote.
 
     After an outage of the log every zone looks silent.  Counting from when
@@ -30,34 +30,34 @@
         self._since: float | None = None
         self._heard: dict[str, float] = {}
 
-    def note_age(self, age_s: float, now: float) -> None:
+    def record_log_age(self, age_s: float, now: float) -> None:
         """Note how long ago the end of stream ``cell`` was seen."""
-        if age_s > SIGHT_S:
+        if age_s > MAX_LOG_AGE_S:
             self._since = None
         elif self._since is None:
             self._since = now
 
-    def lose(self) -> None:
+    def reset(self) -> None:
         """Start counting anew, after a stall or a rebuilt state."""
         self._since = None
 
-    def note_lead(self, zone: str, now: float) -> None:
+    def record_lead(self, zone: str, now: float) -> None:
         """Note that a record of a zone's lead was read."""
         self._heard[zone] = now
 
-    def silent_s(self, zone: str, now: float) -> float:
+    def inactive_s(self, zone: str, now: float) -> float:
         """Return for how long a zone's lead was certainly silent."""
         if self._since is None:
             return 0.0
         return now - max(self._since, self._heard.get(zone, float("-inf")))
 
-    def lost(self, zone: str, timing: Timing, now: float) -> bool:
+    def is_lost(self, zone: str, timing: Timing, now: float) -> bool:
         """Return whether nothing of a zone's can be running any more."""
         whole = timing.hold_s + timing.lease_s
-        return self.silent_s(zone, now) > latest(0.0, whole) + timing.margin_s
+        return self.inactive_s(zone, now) > latest_end(0.0, whole) + timing.margin_s
 
 
-def adopter(zones: Sequence[str], lost: str, alive: Mapping[str, bool]) -> str:
+def choose_adopter(zones: Sequence[str], lost: str, alive: Mapping[str, bool]) -> str:
     """Return the zone that adopts a lost zone's jobs, or nothing.
 
     It is the next one by name that is alive, so that two zones that are lost
@@ -71,7 +71,7 @@
     return ""
 
 
-def carried(giver: ZoneState, job_ids: Sequence[str]) -> list[CarriedTask]:
+def tasks_to_carry(giver: ZoneState, job_ids: Sequence[str]) -> list[CarriedTask]:
     """Return the attempts to take over, those that may have run as lost."""
     return [
         CarriedTask(
--- a/src/firhook/decide/_claims.py
+++ b/src/firhook/decide/_claims.py
@@ -5,11 +5,11 @@
 import attrs
 
 #: Claims with an unknown outcome that are remembered one by one.
-MAX_LOST = 5000
+MAX_UNKNOWN_CLAIMS = 5000
 #: Claims whose outcome was read back lately.  A peer that reads the log later
 #: than the holder still asks; "never sent" would be safe, since the outcome
 #: stands before any give-back in the log, but it would puzzle the caller.
-MAX_SETTLED = 1000
+MAX_SETTLED_CLAIMS = 1000
 
 
 class Phase(enum.Enum):
@@ -19,10 +19,10 @@
     HELD = "held"
     SENDING = "sending"
     DONE = "done"
-    LOST = "lost"
+    OUTCOME_UNKNOWN = "lost"
 
 
-class Sent(enum.Enum):
+class SendStatus(enum.Enum):
     """A holder's answer to whether it sent a claimed request."""
 
     NEVER = "never"
@@ -31,7 +31,7 @@
     UNKNOWN = "unknown"
 
 
-_SAID = {Phase.LOST: Sent.UNKNOWN, Phase.DONE: Sent.DONE}
+_SAID = {Phase.OUTCOME_UNKNOWN: SendStatus.UNKNOWN, Phase.DONE: SendStatus.DONE}
 
 
 @attrs.define(slots=True)
@@ -42,7 +42,7 @@
     phase: Phase = Phase.CLAIMING
 
 
-class ClaimBook:
+class ClaimTable:
     """Claims of this run of this instance that are not settled in the log.
 
     Load: every keyed charge, a few thousand open at once.
@@ -74,18 +74,18 @@
         self._claims[key] = Claim(self._count)
         return self._count
 
-    def move(self, key: str, phase: Phase) -> None:
+    def set_phase(self, key: str, phase: Phase) -> None:
         """Note how far a claimed request has come."""
         claim = self._claims.get(key)
         if claim is None:
             return
         claim.phase = phase
-        if phase is Phase.LOST:
+        if phase is Phase.OUTCOME_UNKNOWN:
             self._bound_lost(key, claim.nonce)
 
     def _bound_lost(self, key: str, nonce: int) -> None:
         self._lost[key] = nonce
-        if len(self._lost) > MAX_LOST:
+        if len(self._lost) > MAX_UNKNOWN_CLAIMS:
             oldest = next(iter(self._lost))
             # Forgotten one by one, but still never said to be "never sent".
             self._lost_upto = max(self._lost_upto, self._lost.pop(oldest))
@@ -98,15 +98,15 @@
         if claim is None:
             return
         self._settled[key] = claim.nonce
-        if len(self._settled) > MAX_SETTLED:
+        if len(self._settled) > MAX_SETTLED_CLAIMS:
             del self._settled[next(iter(self._settled))]
 
-    def drop(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Forget a claim whose request was certainly never sent."""
         self._claims.pop(key, None)
         self._lost.pop(key, None)
 
-    def sent(self, key: str, nonce: int) -> Sent:
+    def send_status(self, key: str, nonce: int) -> SendStatus:
         """Return whether the request of a claim of this instance was sent.
 
         Once this has said "never", it stays so: whoever asked may give the
@@ -114,7 +114,7 @@
         """
         claim = self._claims.get(key)
         if self._settled.get(key) == nonce:
-            return Sent.DONE
+            return SendStatus.DONE
         if claim is None or claim.nonce != nonce:
-            return Sent.UNKNOWN if nonce <= self._lost_upto else Sent.NEVER
-        return _SAID.get(claim.phase, Sent.RUNNING)
+            return SendStatus.UNKNOWN if nonce <= self._lost_upto else SendStatus.NEVER
+        return _SAID.get(claim.phase, SendStatus.RUNNING)
--- a/src/firhook/decide/_endings.py
+++ b/src/firhook/decide/_endings.py
@@ -1,6 +1,6 @@
 """Ends of attempts and jobs: what they say of workers, and when to forget them."""
 
-from firhook.decide._repair import Ledger, outcome_of
+from firhook.decide._failure_tracker import FailureTracker, outcome_of
 from firhook.model import Ending, JobEnd, WorkerMarked
 from firhook.state import CellState, ZoneState
 
@@ -18,38 +18,42 @@
     :param ledger: failures by worker and by job, shared with placing.
     """
 
-    def __init__(self, zone: ZoneState, cell: CellState, ledger: Ledger) -> None:
+    def __init__(
+        self, zone: ZoneState, cell: CellState, failures: FailureTracker
+    ) -> None:
         self._zone = zone
         self._cell = cell
-        self._ledger = ledger
+        self._failures = failures
         self._ended_at: dict[str, float] = {}
 
-    def note(self, endings: tuple[Ending, ...], now: float) -> None:
+    def record(self, endings: tuple[Ending, ...], now: float) -> None:
         """Note ends that the log holds by now."""
         for ending in endings:
             task = self._zone.tasks.get(ending.job_id, {}).get(ending.index)
             if task is not None:
-                self._ledger.note(ending, task.worker, now)
+                self._failures.record(ending, task.worker, now)
 
-    def marks(self, endings: tuple[Ending, ...], now: float) -> list[WorkerMarked]:
+    def worker_marks(
+        self, endings: tuple[Ending, ...], now: float
+    ) -> list[WorkerMarked]:
         """Return the workers to quarantine and to take back."""
         marks = [
             WorkerMarked(worker, QUARANTINED, reason)
-            for worker, reason in self._ledger.sick(self._zone, now)
+            for worker, reason in self._failures.workers_to_quarantine(self._zone, now)
         ]
         for ending in endings:
             task = self._zone.tasks.get(ending.job_id, {}).get(ending.index)
             if task is None or ending.outcome != "done":
                 continue
             if task.worker in self._zone.marks:
-                self._ledger.recovered(task.worker)
+                self._failures.note_recovered(task.worker)
                 marks.append(WorkerMarked(task.worker, "", "a task ended well on it"))
         return marks
 
     def ended_jobs(self) -> tuple[JobEnd, ...]:
         """Return the jobs that have ended and are not yet recorded so."""
         ended = []
-        for entry in self._cell.jobs_of(self._zone.zone):
+        for entry in self._cell.open_jobs(self._zone.zone):
             key = entry.job.key
             if self._zone.live_tasks.get(key):
                 continue
@@ -60,7 +64,7 @@
                 ended.append(JobEnd(key, outcome))
         return tuple(ended)
 
-    def closable(self, now: float) -> tuple[str, ...]:
+    def closable_jobs(self, now: float) -> tuple[str, ...]:
         """Return the jobs whose attempts need no longer be remembered."""
         over = []
         for key in self._zone.tasks:
@@ -81,6 +85,6 @@
             closed.append(key)
         for key in closed:
             del self._ended_at[key]
-            self._ledger.forget_job(key)
+            self._failures.remove_job(key)
             self._told.pop(key, None)
         return tuple(closed)
--- a/src/firhook/decide/_repair.py
+++ b/src/firhook/decide/_failure_tracker.py
@@ -42,7 +42,7 @@
     delay_s: float = PROBE_S
 
 
-class Ledger:
+class FailureTracker:
     """What this lead saw fail, and where.
 
     It is kept in memory only.  A new lead starts it empty, and so at worst
@@ -56,7 +56,7 @@
         self._by_job: dict[str, dict[str, float]] = {}
         self._probes: dict[str, _Probe] = {}
 
-    def note(self, ending: Ending, worker: str, now: float) -> None:
+    def record(self, ending: Ending, worker: str, now: float) -> None:
         """Note an end that the log holds."""
         if ending.outcome == "done":
             self._by_worker.pop(worker, None)
@@ -71,7 +71,7 @@
             probe.delay_s = min(2 * probe.delay_s, MAX_PROBE_S)
             probe.at = now + probe.delay_s
 
-    def forget_job(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Drop what is known of a job that has ended."""
         self._by_job.pop(job_id, None)
         for key in [k for k in self._failed_at if k[0] == job_id]:
@@ -82,13 +82,15 @@
         failed_at = self._failed_at.get((job_id, index))
         return failed_at is None or now >= failed_at + retry_delay_s(failures)
 
-    def avoid(self, job_id: str, now: float) -> frozenset[str]:
+    def workers_to_avoid(self, job_id: str, now: float) -> frozenset[str]:
         """Return the workers that a job just failed on, unless it fails everywhere."""
         failed = self._by_job.get(job_id, {})
         recent = {w for w, at in failed.items() if now - at < MAX_RETRY_S}
         return frozenset(recent) if len(recent) < SICK_JOBS else frozenset()
 
-    def sick(self, zone: ZoneState, now: float) -> list[tuple[str, str]]:
+    def workers_to_quarantine(
+        self, zone: ZoneState, now: float
+    ) -> list[tuple[str, str]]:
         """Return the workers to quarantine, and why.
 
         A job that fails at several workers proves nothing against any.  Only
@@ -115,7 +117,7 @@
         probe = self._probes.setdefault(worker, _Probe(now + PROBE_S))
         return now >= probe.at
 
-    def recovered(self, worker: str) -> None:
+    def note_recovered(self, worker: str) -> None:
         """Note that a worker's quarantine has ended."""
         self._probes.pop(worker, None)
         self._by_worker.pop(worker, None)
@@ -126,7 +128,7 @@
     return any(t.worker != worker and t.outcome in ("", "done") for t in tasks)
 
 
-def pending(
+def pending_tasks(
     entry: JobEntry, zone: ZoneState, may_retry: Callable[[str, int, int], bool]
 ) -> tuple[int, ...]:
     """Return the tasks of a job that are to be placed now.
--- a/src/firhook/decide/_turns.py
+++ b/src/firhook/decide/_fair_share.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from firhook.decide._place import Need, Rooms
+from firhook.decide._place import CapacityIndex, ResourceNeed
 from firhook.model import JobSpec
 
 #: Order of the kinds of work.  Urgent work has a few seconds, a service has
@@ -16,18 +16,18 @@
 #: A batch run goes before others once the time left is less than this many
 #: times what its remaining work takes as declared, since declared run times
 #: are often far off, ...
-DISTRUST = 2.0
+RUN_TIME_MARGIN = 2.0
 #: ... and in any case in the last minutes before its deadline.
-NEAR_S = 900.0
+NEAR_DEADLINE_S = 900.0
 
 #: A gang that has waited so long gets room set aside for it.  Before that,
 #: room that comes free may serve others at once; after it, a steady flow of
 #: small tasks would take each piece before the gang's last piece is free.
-GANG_AGE_S = 30.0
+GANG_RESERVE_AFTER_S = 30.0
 
 
 @attrs.frozen(slots=True)
-class Want:
+class TaskRequest:
     """Tasks of one job that wait for a place.
 
     :param indexes: the tasks.
@@ -55,7 +55,7 @@
     @property
     def near_deadline(self) -> bool:
         """Return whether its deadline is near."""
-        return self.time_left_s < max(DISTRUST * self.job.run_s, NEAR_S)
+        return self.time_left_s < max(RUN_TIME_MARGIN * self.job.run_s, NEAR_DEADLINE_S)
 
 
 @attrs.frozen(slots=True)
@@ -74,7 +74,7 @@
         """Return whether a job's tasks may use the workers meanwhile."""
         if job.key == self.job_id or job.priority == "urgent":
             return True
-        return 0 < job.run_s * DISTRUST <= self.free_in_s
+        return 0 < job.run_s * RUN_TIME_MARGIN <= self.free_in_s
 
 
 @attrs.frozen(slots=True)
@@ -87,7 +87,7 @@
 
 
 @attrs.define(slots=True)
-class Plan:
+class PlacementPlan:
     """What was decided in one round.
 
     :ivar placements: in the order decided.
@@ -102,14 +102,14 @@
 class _Round:
     """The working state of one round of placing."""
 
-    rooms: Rooms
+    capacities: CapacityIndex
     left: dict[str, int]
     reservation: Reservation | None
-    plan: Plan = attrs.field(factory=Plan)
-    full: list[Need] = attrs.field(factory=list)
+    plan: PlacementPlan = attrs.field(factory=PlacementPlan)
+    full: list[ResourceNeed] = attrs.field(factory=list)
 
 
-def dominant_share(need: Need, total: Need) -> float:
+def dominant_share(need: ResourceNeed, total: ResourceNeed) -> float:
     """Return the largest part of the zone that a task takes of any resource."""
     return max(
         need.cpus / total.cpus if total.cpus else 0.0,
@@ -118,15 +118,15 @@
     )
 
 
-def plan_turns(
-    wants: Sequence[Want],
-    rooms: Rooms,
+def plan_placements(
+    requests: Sequence[TaskRequest],
+    capacities: CapacityIndex,
     used: Mapping[str, float],
     shares: Mapping[str, float],
     left: Mapping[str, int],
-    total: Need,
+    total: ResourceNeed,
     reservation: Reservation | None = None,
-) -> Plan:
+) -> PlacementPlan:
     """Return which waiting tasks start where.
 
     Made for a zone that is full at dawn, with a few large teams and many
@@ -139,10 +139,12 @@
     :param left: how many more tasks each team may start under its limit.
     :param total: what the zone has in all.
     """
-    state = _Round(rooms, dict(left), reservation)
-    queues: dict[tuple[int, str], list[Want]] = {}
-    for want in sorted(wants, key=lambda w: (w.time_left_s, -w.waited_s, w.job.key)):
-        queues.setdefault((want.rank, want.job.team), []).append(want)
+    state = _Round(capacities, dict(left), reservation)
+    queues: dict[tuple[int, str], list[TaskRequest]] = {}
+    for request in sorted(
+        requests, key=lambda w: (w.time_left_s, -w.waited_s, w.job.key)
+    ):
+        queues.setdefault((request.rank, request.job.team), []).append(request)
     usage = dict(used)
     by_rank: dict[int, list[str]] = {}
     for rank, team in queues:
@@ -174,7 +176,7 @@
 class _Cursor:
     """Where a team stands in its own queue."""
 
-    wants: list[Want]
+    requests: list[TaskRequest]
     at: int = 0
     placed: int = 0
     racks: dict[str, int] | None = None
@@ -186,37 +188,39 @@
         self.racks = None
 
 
-def _turn(state: _Round, cursor: _Cursor, team: str) -> tuple[Need, int] | None:
+def _turn(state: _Round, cursor: _Cursor, team: str) -> tuple[ResourceNeed, int] | None:
     """Place a team's next task, or gang; return ``None`` if nothing fits."""
-    while cursor.at < len(cursor.wants):
-        want = cursor.wants[cursor.at]
-        need = Need.of(want.job)
-        count = len(want.indexes) if want.job.gang else 1
-        if cursor.placed >= len(want.indexes):
+    while cursor.at < len(cursor.requests):
+        request = cursor.requests[cursor.at]
+        need = ResourceNeed.of(request.job)
+        count = len(request.indexes) if request.job.gang else 1
+        if cursor.placed >= len(request.indexes):
             cursor.next_want()
             continue
-        reason = _blocked(state, want, need, count, team)
-        chosen = [] if reason else _find(state, cursor, want, need, count)
+        reason = _blocked(state, request, need, count, team)
+        chosen = [] if reason else _find(state, cursor, request, need, count)
         if not chosen:
-            state.plan.held[want.job.key] = reason or "no worker has room for it now"
+            state.plan.held[request.job.key] = reason or "no worker has room for it now"
             kept = state.reservation
-            barred = bool(want.avoid) or (
-                kept is not None and not kept.admits(want.job)
+            barred = bool(request.avoid) or (
+                kept is not None and not kept.admits(request.job)
             )
-            if not reason and not barred and not want.job.gang:
+            if not reason and not barred and not request.job.gang:
                 state.full.append(need)
             cursor.next_want()
             continue
         for worker in chosen:
-            index = want.indexes[cursor.placed]
-            state.plan.placements.append(Placement(want.job.key, index, worker))
+            index = request.indexes[cursor.placed]
+            state.plan.placements.append(Placement(request.job.key, index, worker))
             cursor.placed += 1
         state.left[team] -= count
         return need, count
     return None
 
 
-def _blocked(state: _Round, want: Want, need: Need, count: int, team: str) -> str:
+def _blocked(
+    state: _Round, request: TaskRequest, need: ResourceNeed, count: int, team: str
+) -> str:
     if state.left.get(team, 0) < count:
         return "its team is at its limit"
     if any(need.covers(other) for other in state.full):
@@ -225,24 +229,24 @@
 
 
 def _find(
-    state: _Round, cursor: _Cursor, want: Want, need: Need, count: int
+    state: _Round, cursor: _Cursor, request: TaskRequest, need: ResourceNeed, count: int
 ) -> list[str]:
-    avoid = want.avoid
+    avoid = request.avoid
     kept = state.reservation
-    if kept is not None and not kept.admits(want.job):
+    if kept is not None and not kept.admits(request.job):
         avoid = avoid | kept.workers
-    rooms = state.rooms
-    if want.job.gang:
-        return rooms.find_all(need, count, avoid) or []
-    if want.job.priority == "service":
+    capacities = state.capacities
+    if request.job.gang:
+        return capacities.reserve_gang(need, count, avoid) or []
+    if request.job.priority == "service":
         if cursor.racks is None:
-            cursor.racks = dict(want.racks)
-        room = rooms.find_apart(need, cursor.racks, avoid)
-        if room is not None:
-            cursor.racks[room.rack] = cursor.racks.get(room.rack, 0) + 1
+            cursor.racks = dict(request.racks)
+        capacity = capacities.spread_fit(need, cursor.racks, avoid)
+        if capacity is not None:
+            cursor.racks[capacity.rack] = cursor.racks.get(capacity.rack, 0) + 1
     else:
-        room = rooms.find(need, avoid)
-    if room is None:
+        capacity = capacities.best_fit(need, avoid)
+    if capacity is None:
         return []
-    rooms.take(room.worker, need)
-    return [room.worker]
+    capacities.reserve(capacity.worker, need)
+    return [capacity.worker]
--- a/src/firhook/decide/_gossip.py
+++ b/src/firhook/decide/_gossip.py
@@ -1,7 +1,7 @@
 """How often an instance tells its peers of itself."""
 
 
-def gossip_every(
+def gossip_interval_s(
     size: int, peers: int, least_s: float, budget_bytes_per_s: float
 ) -> float:
     """Return the time between two rounds of gossip, in seconds.
--- a/src/firhook/decide/_grants.py
+++ b/src/firhook/decide/_grants.py
@@ -28,12 +28,12 @@
     return math.ceil(part * 2 / (max(holders, 1) + 1))
 
 
-def guests_of(holder: str) -> str:
+def guest_holder_of(holder: str) -> str:
     """Return the name under which a former lead's guests are counted."""
     return f"guests of {holder}"
 
 
-class GrantBook:
+class GrantTable:
     """Lends room under each team's limit to the instances of one zone.
 
     Made for many small requests, so room is lent ahead and not asked for one
@@ -53,7 +53,7 @@
     """
 
     def __init__(self, ttl_s: float, linger_s: float) -> None:
-        self.host = ""
+        self.lead_name = ""
         self._guests: set[str] = set()
         self._ttl_s = ttl_s
         self._linger_s = linger_s
@@ -69,7 +69,7 @@
         self._holders = 1
         self._tasks: dict[str, int] = {}
         self._promised: dict[str, int] = {}
-        self.moving: dict[str, int] = {}
+        self.in_transfer: dict[str, int] = {}
 
     @property
     def ttl_s(self) -> float:
@@ -116,7 +116,7 @@
         :param holders: instances that may be lent to.
         """
         self._loans.clear()
-        self._guests = {guests_of(self.host)}
+        self._guests = {guest_holder_of(self.lead_name)}
         self._seqs.clear()
         self._wants.clear()
         self._asked_at = dict.fromkeys((*known, *silent), now)
@@ -131,23 +131,27 @@
         self._silent_holders = silent_holders
 
     @property
-    def opened(self) -> bool:
+    def is_open(self) -> bool:
         """Whether this instance lends."""
         return self._opened
 
     def close(self) -> None:
         """Stop lending, having lost the lead."""
         self._opened = False
-        self.moving.clear()
+        self.in_transfer.clear()
 
-    def heard(self, holder: str, teams: Mapping[str, int], now: float) -> None:
+    def note_late_answer(
+        self, holder: str, teams: Mapping[str, int], now: float
+    ) -> None:
         """Note what a silent holder said that it holds, when it answers late."""
         if holder in self._silent:
             self._silent.discard(holder)
             for team, held in teams.items():
                 self._count(team, holder, held, now)
 
-    def note_guests(self, holder: str, teams: Mapping[str, int], now: float) -> None:
+    def record_guest_loans(
+        self, holder: str, teams: Mapping[str, int], now: float
+    ) -> None:
         """Note what a former lead says that it lent to guests.
 
         They ask for room themselves sooner or later and are then counted
@@ -155,27 +159,27 @@
         the other holds a little room back for half a minute.
         """
         for team, amount in teams.items():
-            self._count(team, guests_of(holder), amount, now)
+            self._count(team, guest_holder_of(holder), amount, now)
 
-    def left(self, holder: str) -> None:
+    def remove_holder(self, holder: str) -> None:
         """Forget a holder that said that it holds nothing and takes no more."""
         self._silent.discard(holder)
         self._asked_at.pop(holder, None)
         for loans in self._loans.values():
             loans.pop(holder, None)
 
-    def silent(self, now: float) -> frozenset[str]:
+    def unaccounted(self, now: float) -> frozenset[str]:
         """Return the instances whose holdings are unknown."""
         return frozenset(self._silent if now < self._silent_until else ())
 
-    def lapsed(self, holder: str, now: float) -> bool:
+    def has_expired(self, holder: str, now: float) -> bool:
         """Return whether nothing is counted for a holder any more."""
-        if holder in self.silent(now):
+        if holder in self.unaccounted(now):
             return False
         loans = (by_holder.get(holder) for by_holder in self._loans.values())
         return all(loan is None or loan.counted_until < now for loan in loans)
 
-    def fits(self, holders: int, part_of: Callable[[str], int]) -> bool:
+    def fits_caps(self, holders: int, part_of: Callable[[str], int]) -> bool:
         """Return whether every loan is within the cap for a number of holders.
 
         The cap falls when an instance joins.  Were the larger number published
@@ -192,7 +196,7 @@
         return {
             holder: loan.amount
             for holder, loan in self._loans.get(team, {}).items()
-            if holder == self.host or holder in self._guests
+            if holder == self.lead_name or holder in self._guests
         }
 
     def _largest(self, team: str) -> int:
@@ -201,11 +205,11 @@
         amounts = [self._loans[team][holder].amount for holder in others]
         return max([sum(self._with_host(team).values()), *amounts])
 
-    def seat(self, holder: str) -> None:
+    def add_guest(self, holder: str) -> None:
         """Lend to a holder as a guest from now on."""
         self._guests.add(holder)
 
-    def unseat(self, holder: str) -> None:
+    def remove_guest(self, holder: str) -> None:
         """Lend to a holder under a cap of its own, now that a record names it."""
         self._guests.discard(holder)
 
@@ -237,13 +241,13 @@
 
         :param without: a holder whose own loan is not counted.
         """
-        unknown = len(self.silent(now) - {without}) * self._silent_cap(team, part)
+        unknown = len(self.unaccounted(now) - {without}) * self._silent_cap(team, part)
         return (
             part
             - self.lent(team, now, without)
             - self._tasks.get(team, 0)
             - self._promised.get(team, 0)
-            - self.moving.get(team, 0)
+            - self.in_transfer.get(team, 0)
             - unknown
         )
 
@@ -255,19 +259,19 @@
             team, holder_cap(part, self._silent_holders)
         )
 
-    def capped_by(self, now: float, holders: int) -> int:
+    def cap_holders(self, now: float, holders: int) -> int:
         """Return the number of holders by which every loan is capped.
 
         :param holders: the number by which loans of this lead are capped.
         """
-        return min(holders, self._silent_holders) if self.silent(now) else holders
+        return min(holders, self._silent_holders) if self.unaccounted(now) else holders
 
-    def asked_lately(self, holder: str, now: float) -> bool:
+    def asked_recently(self, holder: str, now: float) -> bool:
         """Return whether a holder has asked within three times a grant's time."""
         asked_at = self._asked_at.get(holder, float("-inf"))
         return now - asked_at <= 3 * self._ttl_s
 
-    def is_late(self, holder: str, seq: int, now: float) -> bool:
+    def is_outdated(self, holder: str, seq: int, now: float) -> bool:
         """Return whether an ask came after a later one of the same holder.
 
         Its holder may by then hold what the later one was granted, which this
@@ -279,7 +283,7 @@
         self._asked_at[holder] = now
         return False
 
-    def ask(
+    def grant(
         self, team: str, holder: str, wanted: int, held: int, part: int, now: float
     ) -> int:
         """Grant a holder up to what it wants and return its grant.
@@ -303,7 +307,7 @@
         self._count(team, holder, max(granted, held), now)
         return granted
 
-    def short(self, now: float) -> dict[str, int]:
+    def unmet_demand(self, now: float) -> dict[str, int]:
         """Return what each team wanted lately and was not lent."""
         result: dict[str, int] = {}
         for team, wants in list(self._wants.items()):
@@ -318,11 +322,11 @@
     def _cap(self, team: str, holder: str, part: int) -> int:
         cap = holder_cap(part, self._holders)
         shared = self._with_host(team)
-        if holder != self.host and holder not in self._guests:
+        if holder != self.lead_name and holder not in self._guests:
             return cap
         return cap - sum(shared.values()) + shared.get(holder, 0)
 
-    def room_for_tasks(self, team: str, part: int, now: float) -> int:
+    def set_aside_for_tasks(self, team: str, part: int, now: float) -> int:
         """Return how many more tasks a team may start in this zone.
 
         The answer stays set aside until :meth:`promise` says how much of it was
@@ -338,7 +342,7 @@
         self._promised[team] = max(room, promised)
         return room
 
-    def promise(self, counts: Mapping[str, int]) -> None:
+    def keep_set_aside(self, counts: Mapping[str, int]) -> None:
         """Keep aside only the room of the tasks that were chosen, by team.
 
         Called between :meth:`room_for_tasks` and the append, without a wait in
@@ -346,7 +350,7 @@
         """
         self._promised = dict(counts)
 
-    def spare(self, team: str, part: int, now: float) -> int:
+    def transferable(self, team: str, part: int, now: float) -> int:
         """Return how much of a part may be moved to another zone.
 
         What is left must still have every loan under the cap, by which the
@@ -361,7 +365,7 @@
         return spare
 
 
-class Demand:
+class CapacityDemand:
     """What an instance wants to hold for each team.
 
     A burst raises it at once; afterwards it falls by half every
@@ -376,7 +380,7 @@
         self._half_life_s = half_life_s
         self._peaks: dict[str, tuple[int, float]] = {}
 
-    def note(self, team: str, wanted: int, now: float) -> None:
+    def raise_to(self, team: str, wanted: int, now: float) -> None:
         """Note that work waits which could use so much room in all."""
         self._peaks[team] = (max(wanted, self.wanted(team, 0, now)), now)
 
--- a/src/firhook/decide/_lead.py
+++ b/src/firhook/decide/_lead.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from firhook.decide._lease import DRIFT
+from firhook.decide._lease import MAX_CLOCK_DRIFT
 
 
 @attrs.frozen(slots=True)
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(slots=True)
-class Sight:
+class LeadObservation:
     """What a would-be lead knows of the present one, on its own clock.
 
     :param released: whether the lead was handed back.
@@ -45,12 +45,14 @@
     """
 
     released: bool
-    lapsed: bool
+    lease_expired: bool
     log_age_s: float
     promised_at: float
 
 
-def may_claim(sight: Sight, times: LeadTimes, now: float, max_age_s: float) -> bool:
+def may_claim(
+    sight: LeadObservation, times: LeadTimes, now: float, max_age_s: float
+) -> bool:
     """Return whether to claim the lead.
 
     Without a fresh sight of the log a claim would be judged on a lead that
@@ -64,8 +66,8 @@
         return False
     if sight.released:
         return True
-    promised_until = sight.promised_at + times.ttl_s * (1 + DRIFT)
-    return sight.lapsed and now > promised_until
+    promised_until = sight.promised_at + times.ttl_s * (1 + MAX_CLOCK_DRIFT)
+    return sight.lease_expired and now > promised_until
 
 
 def may_lend(
@@ -84,7 +86,7 @@
 
 
 @attrs.frozen(slots=True)
-class TakeOver:
+class PreviousLead:
     """What a new lead knows of the one before it.
 
     :param released: whether that one handed the lead back and so holds nothing.
@@ -97,12 +99,12 @@
 
     released: bool
     roster: frozenset[str]
-    me: str
+    new_lead: str
     answered: frozenset[str]
     lead_read_at: float
 
 
-def silent_until(seen: TakeOver, times: LeadTimes, now: float) -> float:
+def holdings_end_at(seen: PreviousLead, times: LeadTimes, now: float) -> float:
     """Return when whatever silent instances hold has certainly ended.
 
     The lead before may be cut off and lending still.  It cannot be if it was
@@ -112,9 +114,11 @@
     were all lost at once, only its limit of lending without the log is sure.
     """
     lapse_s = times.ttl_s + times.linger_s
-    if seen.released or seen.me in seen.roster:
+    if seen.released or seen.new_lead in seen.roster:
         return now + lapse_s
     if seen.roster & seen.answered:
-        return now + times.ttl_s * (1 + DRIFT) + lapse_s
-    stopped = seen.lead_read_at + times.outage_s * (1 + DRIFT) + times.margin_s
+        return now + times.ttl_s * (1 + MAX_CLOCK_DRIFT) + lapse_s
+    stopped = (
+        seen.lead_read_at + times.outage_s * (1 + MAX_CLOCK_DRIFT) + times.margin_s
+    )
     return max(stopped, now) + lapse_s
--- a/src/firhook/decide/_lease.py
+++ b/src/firhook/decide/_lease.py
@@ -3,7 +3,7 @@
 import attrs
 
 #: Monotonic clocks of two machines drift apart by at most this share.
-DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 
 
 @attrs.define(slots=True)
@@ -14,27 +14,27 @@
         sent: the others can only have read it later.
     """
 
-    until: float = float("-inf")
+    expires_at: float = float("-inf")
 
-    def renewed(self, sent_at: float, lease_s: float) -> None:
+    def renew(self, sent_at: float, lease_s: float) -> None:
         """Note a claim or renewal that was read back as valid."""
-        self.until = max(self.until, sent_at + lease_s)
+        self.expires_at = max(self.expires_at, sent_at + lease_s)
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Return whether the lease is held for certain."""
-        return now < self.until
+        return now < self.expires_at
 
-    def void(self) -> None:
+    def invalidate(self) -> None:
         """Forget the lease until it is renewed.
 
         After a stall of the event loop the clock was read before the stall;
         whatever was believed then may have lapsed since.
         """
-        self.until = float("-inf")
+        self.expires_at = float("-inf")
 
 
 @attrs.define(slots=True)
-class SeenLease:
+class ObservedLease:
     """A lease as others must respect it.
 
     :ivar read_at: when its last claim or renewal was *read*: the holder sent
@@ -43,12 +43,12 @@
 
     read_at: float = float("-inf")
 
-    def lapsed(self, now: float, lease_s: float, margin_s: float) -> bool:
+    def has_expired(self, now: float, lease_s: float, margin_s: float) -> bool:
         """Return whether the holder has certainly stopped relying on it."""
-        return now > self.read_at + lease_s * (1 + DRIFT) + margin_s
+        return now > self.read_at + lease_s * (1 + MAX_CLOCK_DRIFT) + margin_s
 
 
-def not_after(stamp: float, read_at: float, until: float) -> float:
+def to_worker_clock(stamp: float, read_at: float, until: float) -> float:
     """Return a lease's end on a worker's clock.
 
     The worker made its stamp before this instance read it, so the worker's
@@ -59,13 +59,13 @@
     :param read_at: when that report was read, on this instance's clock.
     :param until: the lease's end, on this instance's clock.
     """
-    return stamp + (until - read_at) * (1 - DRIFT)
+    return stamp + (until - read_at) * (1 - MAX_CLOCK_DRIFT)
 
 
-def latest(moment: float, span_s: float) -> float:
+def latest_end(moment: float, span_s: float) -> float:
     """Return when a span that another clock counts is over at the latest.
 
     :param moment: when it began at the latest, on this clock.
     :param span_s: its length on a clock that may be slow by the drift.
     """
-    return moment + span_s / (1 - DRIFT)
+    return moment + span_s / (1 - MAX_CLOCK_DRIFT)
--- a/src/firhook/decide/_moves.py
+++ b/src/firhook/decide/_limit_transfers.py
@@ -7,14 +7,14 @@
 
 #: Of its part by the lists a zone without demand keeps one in so many, so that
 #: a team's first requests there run at once and need not wait for a transfer.
-KEEP_SHARE = 8
+RESERVE_DIVISOR = 8
 #: A zone that was given room keeps it for this long, in seconds.  Demand that
 #: shifts to and fro would otherwise cost the log a record for each shift.
-SETTLE_S = 3.0
+MIN_KEEP_S = 3.0
 
 
 @attrs.frozen(slots=True)
-class TeamView:
+class TeamCapacity:
     """A team's room as a zone's lead sees it.
 
     :param home: the zone's part by the lists alone.
@@ -24,14 +24,14 @@
     :param given_at: when this zone was last given room for the team.
     """
 
-    home: int
-    spare: int
-    short: Mapping[str, int]
+    base_part: int
+    transferable: int
+    unmet_demand: Mapping[str, int]
     zones: int
-    given_at: float
+    received_at: float
 
 
-def choose_move(me: str, view: TeamView, now: float) -> tuple[str, int] | None:
+def choose_transfer(me: str, view: TeamCapacity, now: float) -> tuple[str, int] | None:
     """Return the zone to give room to and how much, or ``None``.
 
     Made for a team whose demand is in few zones: it should get most of its
@@ -42,12 +42,12 @@
 
     :param me: the giving zone.
     """
-    if view.short.get(me, 0) or now - view.given_at < SETTLE_S:
+    if view.unmet_demand.get(me, 0) or now - view.received_at < MIN_KEEP_S:
         return None
-    wants = sorted((-n, z) for z, n in view.short.items() if n > 0)
+    wants = sorted((-n, z) for z, n in view.unmet_demand.items() if n > 0)
     if not wants:
         return None
     need, zone = -wants[0][0], wants[0][1]
-    keep = view.home // KEEP_SHARE
-    amount = min(math.ceil(need / max(view.zones - 1, 1)), view.spare - keep)
+    keep = view.base_part // RESERVE_DIVISOR
+    amount = min(math.ceil(need / max(view.zones - 1, 1)), view.transferable - keep)
     return (zone, amount) if amount > 0 else None
--- a/src/firhook/decide/_limits.py
+++ b/src/firhook/decide/_limits.py
@@ -24,38 +24,38 @@
 
     def __init__(self, clock: Callable[[], float] = _no_time) -> None:
         self._clock = clock
-        self.room: dict[str, int] = {}
-        self.until: dict[str, float] = {}
+        self.capacity: dict[str, int] = {}
+        self.expires_at: dict[str, float] = {}
         self.running: dict[str, int] = {}
 
-    def room_now(self, team: str) -> int:
+    def current_capacity(self, team: str) -> int:
         """Return the room of a team that has not lapsed."""
-        if self._clock() >= self.until.get(team, float("inf")):
+        if self._clock() >= self.expires_at.get(team, float("inf")):
             return 0
-        return self.room.get(team, 0)
+        return self.capacity.get(team, 0)
 
-    def lend(self, team: str, amount: int, until: float) -> None:
+    def set_capacity(self, team: str, amount: int, expires_at: float) -> None:
         """Set the room of a team until a time on the clock."""
         if amount > 0:
-            self.room[team] = amount
-            self.until[team] = until
+            self.capacity[team] = amount
+            self.expires_at[team] = expires_at
         else:
-            self.room.pop(team, None)
-            self.until.pop(team, None)
+            self.capacity.pop(team, None)
+            self.expires_at.pop(team, None)
 
-    def held(self, team: str) -> int:
+    def max_in_use(self, team: str) -> int:
         """Return the most that may run here before room is next lent."""
-        return max(self.room_now(team), self.running.get(team, 0))
+        return max(self.current_capacity(team), self.running.get(team, 0))
 
-    def take(self, team: str, amount: int = 1) -> bool:
+    def acquire(self, team: str, amount: int = 1) -> bool:
         """Count ``amount`` more as running if there is room for all of it."""
         used = self.running.get(team, 0)
-        if used + amount > self.room_now(team):
+        if used + amount > self.current_capacity(team):
             return False
         self.running[team] = used + amount
         return True
 
-    def give_back(self, team: str, amount: int = 1) -> None:
+    def release(self, team: str, amount: int = 1) -> None:
         """Count ``amount`` less as running."""
         left = self.running.get(team, 0) - amount
         if left > 0:
--- a/src/firhook/decide/_orders.py
+++ b/src/firhook/decide/_orders.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from firhook.decide._lease import latest, not_after
+from firhook.decide._lease import latest_end, to_worker_clock
 from firhook.model import (
     Ending,
     Endpoint,
@@ -43,7 +43,7 @@
 #: A worker that runs just what it should is asked for its whole inventory this
 #: often, for the progress of its tasks; in between, a digest does.  In full, a
 #: lead's talk with 130 workers takes six times the bytes a node may spend.
-FULL_REPORT_S = 60.0
+FULL_REPORT_INTERVAL_S = 60.0
 
 
 @attrs.frozen(slots=True)
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen(slots=True)
-class Standing:
+class LeaseStatus:
     """What the lead may rely on at this moment.
 
     :param held: whether it holds the lease for certain.
@@ -103,13 +103,13 @@
     report: Report | None = None
     read_at: float = float("-inf")
     full_at: float = float("-inf")
-    until: float = float("-inf")
-    sent: dict[Ref, _Sent] = attrs.field(factory=dict)
-    seen: dict[Ref, float] = attrs.field(factory=dict)
+    orders_expire_at: float = float("-inf")
+    starts_sent: dict[Ref, _Sent] = attrs.field(factory=dict)
+    reported_progress: dict[Ref, float] = attrs.field(factory=dict)
 
-    def may_arrive(self, ref: Ref) -> bool:
+    def start_may_arrive(self, ref: Ref) -> bool:
         """Return whether a start of this lead's may yet reach the worker."""
-        sent = self.sent.get(ref)
+        sent = self.starts_sent.get(ref)
         if sent is None:
             return False
         if self.report is None:
@@ -142,7 +142,7 @@
     ) -> None:
         self.epoch = epoch
         self.settled = False
-        self.fleet = 0
+        self.fleet_version = 0
         self.workers: dict[str, WorkerView] = {}
         self.stopping: dict[Ref, str] = {}
         self._zone = zone
@@ -153,7 +153,7 @@
 
     # -- what is known of the workers --------------------------------------
 
-    def list_workers(self, listed: Iterable[Endpoint]) -> None:
+    def update_workers(self, listed: Iterable[Endpoint]) -> None:
         """Take over the platform's list, which lags.
 
         A worker that has left the list may still run tasks, so it is kept
@@ -163,16 +163,16 @@
         for name in by_name.keys() | self._zone.live.keys():
             if name not in self.workers:
                 self.workers[name] = WorkerView(name)
-                self.fleet += 1
+                self.fleet_version += 1
         for name, view in list(self.workers.items()):
             endpoint = by_name.get(name, view.endpoint)
             if endpoint != view.endpoint:
                 view.endpoint = endpoint
-                self.fleet += 1
+                self.fleet_version += 1
             gone = name not in by_name and name not in self._zone.live
-            if gone and not view.sent:
+            if gone and not view.starts_sent:
                 del self.workers[name]
-                self.fleet += 1
+                self.fleet_version += 1
 
     def note_report(self, name: str, report: Report, now: float) -> None:
         """Note what a worker answered."""
@@ -190,14 +190,18 @@
         for task in report.tasks:
             ref = (task.job_id, task.index, task.attempt)
             if task.state == "running" and self._zone.is_live(ref):
-                view.seen[ref] = task.progress
+                view.reported_progress[ref] = task.progress
         live = self._zone.live.get(name, {})
-        for ref in [r for r in view.seen if r not in live]:
-            del view.seen[ref]
-        for ref in [r for r in view.sent if r not in live and not view.may_arrive(r)]:
-            del view.sent[ref]
-
-    def note_silence(self, name: str) -> None:
+        for ref in [r for r in view.reported_progress if r not in live]:
+            del view.reported_progress[ref]
+        for ref in [
+            r
+            for r in view.starts_sent
+            if r not in live and not view.start_may_arrive(r)
+        ]:
+            del view.starts_sent[ref]
+
+    def note_unreachable(self, name: str) -> None:
         """Note that a worker did not answer, or refused.
 
         It is only looked at from now on.  Each order renews what it runs, so
@@ -210,7 +214,7 @@
 
     # -- orders --------------------------------------------------------------
 
-    def order(self, name: str, standing: Standing, now: float) -> Order | None:
+    def next_order(self, name: str, standing: LeaseStatus, now: float) -> Order | None:
         """Return the order for a worker, noted as sent, or ``None``.
 
         ``None`` means that nothing may be ordered: the worker is to be looked
@@ -231,18 +235,18 @@
             return None
         order = attrs.evolve(
             self._wanted(view, report, standing, held_back),
-            not_after=not_after(report.stamp, view.read_at, now + ttl_s),
+            not_after=to_worker_clock(report.stamp, view.read_at, now + ttl_s),
         )
-        if report.brief and now < view.full_at + FULL_REPORT_S:
+        if report.brief and now < view.full_at + FULL_REPORT_INTERVAL_S:
             order = _shortened(order, report)
-        view.until = max(view.until, now + ttl_s)
+        view.orders_expire_at = max(view.orders_expire_at, now + ttl_s)
         for start in order.start:
             ref = (start.job_id, start.index, start.attempt)
-            view.sent[ref] = _Sent(report.boot, order.not_after)
+            view.starts_sent[ref] = _Sent(report.boot, order.not_after)
         return order
 
     def _wanted(
-        self, view: WorkerView, report: Report, standing: Standing, held_back: bool
+        self, view: WorkerView, report: Report, standing: LeaseStatus, held_back: bool
     ) -> Order:
         known = {(t.job_id, t.index, t.attempt): t.state for t in report.tasks}
         live = self._zone.live.get(view.name, {})
@@ -266,7 +270,7 @@
                 continue
             if state == "running":
                 stop.append(StopOrder(*ref, "it has been given up"))
-            elif not view.may_arrive(ref):
+            elif not view.start_may_arrive(ref):
                 # A worker that has forgotten an attempt would start it anew
                 # if a start of it were still on its way.
                 forget.append(ref)
@@ -284,7 +288,7 @@
     def _entry(self, ref: Ref) -> JobEntry:
         return self._cell.jobs[ref[0]]
 
-    def _unwanted(self, ref: Ref, standing: Standing) -> str:
+    def _unwanted(self, ref: Ref, standing: LeaseStatus) -> str:
         """Return why an attempt is to stop, or nothing if it is to go on."""
         entry = self._cell.jobs.get(ref[0])
         if entry is None or entry.ended:
@@ -308,9 +312,9 @@
         Only by the lead that assigned it: what an earlier lead's start has
         come to is not known, and its attempt is ended as lost instead.
         """
-        if task.epoch != self.epoch or ref in view.seen:
+        if task.epoch != self.epoch or ref in view.reported_progress:
             return False
-        sent = view.sent.get(ref)
+        sent = view.starts_sent.get(ref)
         return sent is None or sent.boot == view.report.boot  # type: ignore[union-attr]
 
     # -- ends ------------------------------------------------------------------
@@ -344,29 +348,29 @@
         for t in report.tasks:
             if (t.job_id, t.index, t.attempt) == ref:
                 return None if t.state == "running" else self._told(ref, t)
-        if report.epoch != self.epoch or view.may_arrive(ref):
+        if report.epoch != self.epoch or view.start_may_arrive(ref):
             return None
-        standing = Standing(held=True, lease_left_s=0.0, hold_left_s=0.0)
+        standing = LeaseStatus(held=True, lease_left_s=0.0, hold_left_s=0.0)
         reason = self._unwanted(ref, standing)
-        if reason and ref not in view.seen and task.epoch == self.epoch:
+        if reason and ref not in view.reported_progress and task.epoch == self.epoch:
             outcome = "cancelled" if reason == "cancelled" else "lost"
             return Ending(*ref, outcome, f"{reason}, before it was started")
         if self._startable(view, ref, task):
             return None
-        progress = view.seen.get(ref, 0.0)
+        progress = view.reported_progress.get(ref, 0.0)
         return Ending(*ref, "lost", "its worker no longer has it", progress)
 
     def _lapsed(self, view: WorkerView, ref: Ref, now: float) -> Ending | None:
         if self._zone.live[view.name][ref].epoch == self.epoch and not (
-            ref in view.sent or ref in view.seen
+            ref in view.starts_sent or ref in view.reported_progress
         ):
             return Ending(*ref, "lost", "its worker fell silent before it was started")
-        hold_end = latest(self._before, self._timing.hold_s)
-        last_renewal = max(view.until, hold_end)
-        lease_end = latest(last_renewal, self._timing.lease_s)
+        hold_end = latest_end(self._before, self._timing.hold_s)
+        last_renewal = max(view.orders_expire_at, hold_end)
+        lease_end = latest_end(last_renewal, self._timing.lease_s)
         if now <= lease_end + self._timing.margin_s:
             return None
-        progress = view.seen.get(ref, 0.0)
+        progress = view.reported_progress.get(ref, 0.0)
         return Ending(*ref, "lost", "its worker fell silent", progress)
 
     def _told(self, ref: Ref, report: object) -> Ending:
--- a/src/firhook/decide/_commit.py
+++ b/src/firhook/decide/_outbox.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Outgoing:
+class OutgoingRecord:
     """A record on its way to the log and back.
 
     :ivar size: its length as it is sent, in bytes.
@@ -61,14 +61,14 @@
     def __init__(self, lane: str) -> None:
         self.lane = lane
         self._seq = 0
-        self._urgent: deque[Outgoing] = deque()
-        self._queue: deque[Outgoing] = deque()
-        self._batch: list[Outgoing] = []
+        self._urgent: deque[OutgoingRecord] = deque()
+        self._queue: deque[OutgoingRecord] = deque()
+        self._batch: list[OutgoingRecord] = []
         self._marker = 0
         self._high = 0
         self._doubt = False
         self._in_flight = False
-        self._unread: dict[int, Outgoing] = {}
+        self._unread: dict[int, OutgoingRecord] = {}
 
     def __len__(self) -> int:
         """Return how many records wait to be sent for the first time."""
@@ -88,13 +88,13 @@
 
     def add(
         self, body: Any, urgent: bool = False, token: Any = None, size: int = 0
-    ) -> Outgoing:
+    ) -> OutgoingRecord:
         """Queue a record."""
-        item = Outgoing(body, urgent, token, size)
+        item = OutgoingRecord(body, urgent, token, size)
         (self._urgent if urgent else self._queue).append(item)
         return item
 
-    def give_up(self, item: Outgoing) -> bool:
+    def give_up(self, item: OutgoingRecord) -> bool:
         """Stop waiting for a record.
 
         :returns: whether the record may be in the log, now or later.  If not,
@@ -107,7 +107,7 @@
         (self._urgent if item.urgent else self._queue).remove(item)
         return False
 
-    def take(self) -> tuple[Envelope, ...]:
+    def next_append(self) -> tuple[Envelope, ...]:
         """Return what to append now; empty if there is nothing.
 
         The outcome of that append must be noted before the next call.
@@ -141,7 +141,7 @@
                 self._marker = self._seq
             yield Envelope(self.lane, self._marker, Marker())
 
-    def note_taken(self) -> None:
+    def note_appended(self) -> None:
         """Note that the log took the copy in flight."""
         self._in_flight = False
         self._settle()
@@ -151,7 +151,7 @@
         self._in_flight = False
         self._doubt = bool(self._batch)
 
-    def note_refused(self) -> None:
+    def note_rejected(self) -> None:
         """Note that the log certainly did not take the copy in flight.
 
         If no earlier copy is in doubt either, the records are as good as
@@ -168,7 +168,7 @@
                 (self._urgent if item.urgent else self._queue).appendleft(item)
         self._settle()
 
-    def note_last(self, last: int) -> None:
+    def note_last_read(self, last: int) -> None:
         """Note the highest number of the lane that was read back.
 
         Every record of the batch has a number up to it, so that none can be
@@ -181,11 +181,11 @@
         self._batch = []
         self._doubt = False
 
-    def read_back(self, seq: int) -> Outgoing | None:
+    def read_back(self, seq: int) -> OutgoingRecord | None:
         """Return the record with this number if it is still waited for."""
         return self._unread.pop(seq, None)
 
-    def passed(self, last: int) -> list[Outgoing]:
+    def take_landed(self, last: int) -> list[OutgoingRecord]:
         """Return the records waited for that landed at or before a number.
 
         After a rebuild from a snapshot the records themselves are never read;
--- a/src/firhook/decide/_preempt.py
+++ b/src/firhook/decide/_preempt.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from firhook.decide._place import Need, Rooms
-from firhook.decide._turns import Want
+from firhook.decide._fair_share import TaskRequest
+from firhook.decide._place import CapacityIndex, ResourceNeed
 from firhook.state import CellState, JobEntry, Ref, TaskState, ZoneState
 
 #: Preemptions a second, and how many may be saved up.  The burst frees the
@@ -15,7 +15,7 @@
 PREEMPT_BURST = 60.0
 #: Workers that are searched in one round for what costs least: all of a zone
 #: at the two-year size.  In a larger zone each round searches the next ones.
-SEARCHED = 130
+MAX_SEARCHED = 130
 #: A task that gave way so often is left to finish.
 MAX_PREEMPTED = 3
 
@@ -27,7 +27,7 @@
     tokens: float = PREEMPT_BURST
     at: float = float("-inf")
 
-    def left(self, now: float) -> int:
+    def available(self, now: float) -> int:
         """Return how many tasks may be preempted now."""
         if self.at > float("-inf"):
             gained = (now - self.at) * PREEMPT_PER_S
@@ -45,7 +45,7 @@
     """A task that may be preempted, and what that costs."""
 
     ref: Ref
-    need: Need
+    need: ResourceNeed
     over_share: bool
     cost: float
 
@@ -56,8 +56,8 @@
 
 
 def choose_victims(
-    wants: Sequence[Want],
-    rooms: Rooms,
+    requests: Sequence[TaskRequest],
+    capacities: CapacityIndex,
     zone: ZoneState,
     cell: CellState,
     over_share: Set[str],
@@ -77,41 +77,41 @@
     :param spared: tasks that are being stopped already.
     :param turn: rises with each round, and moves the search on.
     """
-    workers = _searched(sorted(rooms.by_name), turn)
+    workers = _searched(sorted(capacities.by_name), turn)
     victims = _victims(workers, zone, cell, over_share, lost_s, spared)
     chosen: dict[Ref, str] = {}
-    for want in wants:
-        need = Need.of(want.job)
-        reason = f"preempted: urgent job {want.job.key} needs its room"
+    for request in requests:
+        need = ResourceNeed.of(request.job)
+        reason = f"preempted: urgent job {request.job.key} needs its room"
         taken: list[_Victim] = []
-        for _ in want.indexes:
-            room = rooms.find(need, want.avoid)
-            if room is not None:
-                rooms.take(room.worker, need)
+        for _ in request.indexes:
+            capacity = capacities.best_fit(need, request.avoid)
+            if capacity is not None:
+                capacities.reserve(capacity.worker, need)
                 continue
-            best = _cheapest(need, rooms, victims, want.avoid)
+            best = _cheapest(need, capacities, victims, request.avoid)
             if best is None or len(chosen) + len(taken) + len(best[1]) > budget:
                 break
             worker, group = best
             for victim in group:
                 victims[worker].remove(victim)
-                rooms.give_back(worker, victim.need)
-            rooms.take(worker, need)
+                capacities.release(worker, victim.need)
+            capacities.reserve(worker, need)
             taken += group
         else:
             chosen.update({v.ref: reason for v in taken})
             continue
-        if not want.job.gang:
+        if not request.job.gang:
             chosen.update({v.ref: reason for v in taken})
     return chosen
 
 
 def _searched(workers: list[str], turn: int) -> list[str]:
     """Return the workers to search in a round."""
-    if len(workers) <= SEARCHED:
+    if len(workers) <= MAX_SEARCHED:
         return workers
-    start = turn * SEARCHED % len(workers)
-    return (workers + workers)[start : start + SEARCHED]
+    start = turn * MAX_SEARCHED % len(workers)
+    return (workers + workers)[start : start + MAX_SEARCHED]
 
 
 def _victims(
@@ -132,7 +132,7 @@
             size = entry.job.tasks if entry.job.gang else 1
             cost = lost_s(ref) * size
             over = entry.job.team in over_share
-            victim = _Victim(ref, Need.of(entry.job), over, cost)
+            victim = _Victim(ref, ResourceNeed.of(entry.job), over, cost)
             found.setdefault(worker, []).append(victim)
     for group in found.values():
         group.sort(key=lambda v: v.order)
@@ -144,22 +144,22 @@
 
 
 def _cheapest(
-    need: Need,
-    rooms: Rooms,
+    need: ResourceNeed,
+    capacities: CapacityIndex,
     victims: Mapping[str, list[_Victim]],
     avoid: Set[str],
 ) -> tuple[str, list[_Victim]] | None:
     best, best_key = None, (True, float("inf"), 0, "")
     for worker, group in victims.items():
-        room = rooms.by_name.get(worker)
-        if room is None or worker in avoid:
+        capacity = capacities.by_name.get(worker)
+        if capacity is None or worker in avoid:
             continue
-        trial = attrs.evolve(room)
+        trial = attrs.evolve(capacity)
         taken: list[_Victim] = []
         for victim in group:
             if trial.fits(need):
                 break
-            trial.give_back(victim.need)
+            trial.release(victim.need)
             taken.append(victim)
         if not trial.fits(need):
             continue
@@ -170,7 +170,7 @@
     return best
 
 
-def over_limit(
+def tasks_over_limit(
     zone: ZoneState, cell: CellState, parts: Mapping[str, int]
 ) -> dict[Ref, str]:
     """Return the batch tasks to stop where a team's limit was lowered.
@@ -182,7 +182,7 @@
     excess = {t: n - parts[t] for t, n in zone.running.items() if n > parts.get(t, n)}
     if not excess:
         return chosen
-    refs = [ref for _, ref, _ in zone.attempts() if ref[0] in cell.jobs]
+    refs = [ref for _, ref, _ in zone.live_attempts() if ref[0] in cell.jobs]
     refs.sort(key=lambda r: (cell.jobs[r[0]].offset, r[1]), reverse=True)
     for ref in refs:
         job = cell.jobs[ref[0]].job
@@ -192,7 +192,7 @@
     return chosen
 
 
-def leaving(
+def tasks_on_leaving_workers(
     zone: ZoneState, cell: CellState, workers: Set[str], seen: Set[Ref]
 ) -> dict[Ref, str]:
     """Return the tasks to move off workers that are leaving.
@@ -225,13 +225,13 @@
     )
 
 
-def broken_gangs(zone: ZoneState, cell: CellState) -> dict[Ref, str]:
+def tasks_of_broken_gangs(zone: ZoneState, cell: CellState) -> dict[Ref, str]:
     """Return what still runs of gangs that lost a task.
 
     A gang computes together: the rest would hold its room and get nowhere.
     """
     chosen: dict[Ref, str] = {}
-    for entry in cell.jobs_of(zone.zone):
+    for entry in cell.open_jobs(zone.zone):
         job = entry.job
         tasks = zone.tasks.get(job.key)
         if not job.gang or not tasks:
--- a/src/firhook/decide/_queue.py
+++ b/src/firhook/decide/_queue.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """A request that waits for a slot.
 
     :param arrived: when it came, in seconds.
@@ -37,7 +37,7 @@
     deadline: float
     token: Any = None
     expected_s: float = 0.05
-    needs_s: float = 0.0
+    min_service_s: float = 0.0
     long: bool = False
     tried: list[str] = attrs.field(factory=list)
     kind: tuple[str, ...] = ()
@@ -49,25 +49,25 @@
 class _TeamQueue:
     """One team's requests, by class and by whether they are long."""
 
-    lanes: dict[tuple[str, bool], deque[Waiting]] = attrs.field(factory=dict)
+    lanes: dict[tuple[str, bool], deque[QueuedRequest]] = attrs.field(factory=dict)
     work_s: dict[str, float] = attrs.field(factory=dict)
     count: int = 0
     turns: int = 0
     virtual: float = 0.0
 
-    def head(self, klass: str, long_ok: bool) -> Waiting | None:
+    def head(self, klass: str, long_allowed: bool) -> QueuedRequest | None:
         """Return the oldest request of a class that may go now."""
         heads = [
             head
             for long in (False, True)
-            if (long_ok or not long)
+            if (long_allowed or not long)
             and (head := _first(self.lanes.get((klass, long)))) is not None
         ]
         return min(heads, key=lambda item: item.arrived, default=None)
 
-    def choose(self, long_ok: bool) -> Waiting | None:
+    def choose(self, long_allowed: bool) -> QueuedRequest | None:
         """Return the request whose turn it is within the team."""
-        heads = [h for c in CLASSES if (h := self.head(c, long_ok)) is not None]
+        heads = [h for c in CLASSES if (h := self.head(c, long_allowed)) is not None]
         if not heads:
             return None
         if len(heads) > 1 and self.turns % _LOWER_TURN == _LOWER_TURN - 1:
@@ -75,7 +75,7 @@
         return heads[0]
 
 
-def _first(lane: deque[Waiting] | None) -> Waiting | None:
+def _first(lane: deque[QueuedRequest] | None) -> QueuedRequest | None:
     """Return the first that still waits, dropping those taken out."""
     while lane and not lane[0].queued:
         lane.popleft()
@@ -106,12 +106,12 @@
     def __len__(self) -> int:
         return self._count
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         """Iterate over all waiting requests."""
         for team in self._teams:
             yield from self.items(team)
 
-    def items(self, team: str) -> list[Waiting]:
+    def items(self, team: str) -> list[QueuedRequest]:
         """Return a team's waiting requests in order of its turns."""
         entry = self._teams[team]
         ordered = []
@@ -130,7 +130,7 @@
         """Return the teams that have requests waiting."""
         return [team for team, entry in self._teams.items() if entry.count]
 
-    def ahead_s(self, team: str, klass: str) -> float:
+    def work_ahead_s(self, team: str, klass: str) -> float:
         """Return the slot seconds that go before a new request of the team."""
         entry = self._teams.get(team)
         if entry is None:
@@ -142,7 +142,7 @@
         """Return the slot seconds of all that waits."""
         return sum(sum(e.work_s.values()) for e in self._teams.values() if e.count)
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add a request."""
         entry = self._teams.setdefault(item.team, _TeamQueue())
         if entry.count == 0:
@@ -151,7 +151,7 @@
         lane.append(item)
         self._add(entry, item)
 
-    def _add(self, entry: _TeamQueue, item: Waiting) -> None:
+    def _add(self, entry: _TeamQueue, item: QueuedRequest) -> None:
         item.queued = True
         entry.count += 1
         entry.work_s[item.klass] = entry.work_s.get(item.klass, 0.0) + item.expected_s
@@ -161,8 +161,8 @@
         self,
         weights: Mapping[str, float],
         blocked: Collection[str],
-        long_ok: bool = True,
-    ) -> Waiting | None:
+        long_allowed: bool = True,
+    ) -> QueuedRequest | None:
         """Take the next request.
 
         :param weights: weight of each team.
@@ -175,7 +175,7 @@
                 continue
             if best is not None and entry.virtual >= best.virtual:
                 continue
-            item = entry.choose(long_ok)
+            item = entry.choose(long_allowed)
             if item is not None:
                 best, best_item = entry, item
         if best is None or best_item is None:
@@ -186,7 +186,7 @@
         self.remove(best_item)
         return best_item
 
-    def put_back(self, item: Waiting, weights: Mapping[str, float]) -> None:
+    def put_back(self, item: QueuedRequest, weights: Mapping[str, float]) -> None:
         """Undo the taking of a request that could not go after all."""
         entry = self._teams[item.team]
         entry.virtual -= item.expected_s / weights.get(item.team, 1.0)
@@ -198,7 +198,7 @@
         self._add(entry, item)
 
     def settle(
-        self, item: Waiting, used_s: float, weights: Mapping[str, float]
+        self, item: QueuedRequest, used_s: float, weights: Mapping[str, float]
     ) -> None:
         """Put a team's charge right, now that the slot seconds are known."""
         entry = self._teams.get(item.team)
@@ -206,7 +206,7 @@
             weight = weights.get(item.team, 1.0)
             entry.virtual += (used_s - item.expected_s) / weight
 
-    def remove(self, item: Waiting) -> bool:
+    def remove(self, item: QueuedRequest) -> bool:
         """Take out a request whose caller went away or whose time is up."""
         if not item.queued:
             return False
--- a/src/firhook/decide/_retry.py
+++ b/src/firhook/decide/_retry.py
@@ -3,7 +3,7 @@
 #: Tries of one request in all.
 MAX_TRIES = 3
 #: Methods whose requests may run twice without harm.
-IDEMPOTENT = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
+IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
 
 
 class RetryBudget:
@@ -24,11 +24,11 @@
         self._burst = burst
         self._tokens = burst
 
-    def answered(self) -> None:
+    def note_answer(self) -> None:
         """Count a whole answer."""
         self._tokens = min(self._tokens + self._part, self._burst)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry if the budget has it."""
         if self._tokens < 1.0:
             return False
--- a/src/firhook/decide/_rounds.py
+++ b/src/firhook/decide/_rounds.py
@@ -5,23 +5,23 @@
 import attrs
 
 from firhook.decide._endings import Endings
+from firhook.decide._failure_tracker import FailureTracker, pending_tasks
+from firhook.decide._fair_share import (
+    GANG_RESERVE_AFTER_S,
+    PlacementPlan,
+    Reservation,
+    TaskRequest,
+    dominant_share,
+    plan_placements,
+)
 from firhook.decide._orders import LeadTerm, WorkerView
-from firhook.decide._place import Need, Room, Rooms
+from firhook.decide._place import CapacityIndex, ResourceNeed, WorkerCapacity
 from firhook.decide._preempt import (
     PreemptBudget,
-    broken_gangs,
     choose_victims,
-    leaving,
-    over_limit,
-)
-from firhook.decide._repair import Ledger, pending
-from firhook.decide._turns import (
-    GANG_AGE_S,
-    Plan,
-    Reservation,
-    Want,
-    dominant_share,
-    plan_turns,
+    tasks_of_broken_gangs,
+    tasks_on_leaving_workers,
+    tasks_over_limit,
 )
 from firhook.model import (
     Assignment,
@@ -60,25 +60,25 @@
         self._zone = zone
         self._cell = cell
         self._config = config
-        self._ledger = Ledger()
-        self.endings = Endings(zone, cell, self._ledger)
+        self._failures = FailureTracker()
+        self.endings = Endings(zone, cell, self._failures)
         self._budget = PreemptBudget()
         self._reserved: dict[str, _Reserved] = {}
         self._used: dict[str, float] = {}
-        self._total = Need(0.0, 0, 0)
+        self._total = ResourceNeed(0.0, 0, 0)
         self._waiting_since: dict[str, float] = {}
         self._progressed: dict[Ref, tuple[float, float]] = {}
         self._told: dict[str, tuple[str, float]] = {}
-        self._slots: dict[Need, int] = {}
+        self._slots: dict[ResourceNeed, int] = {}
         self._noted_at: dict[str, float] = {}
-        self._looked_at: dict[str, Report | None] = {}
-        self._rooms = Rooms(())
+        self._seen_reports: dict[str, Report | None] = {}
+        self._capacities = CapacityIndex(())
         self._rack_of: dict[str, str] = {}
         self._fleet = (0, -1)
         self._turn = 0
         self._fresh = False
 
-    def start_over(self) -> None:
+    def invalidate(self) -> None:
         """Forget what was derived from a state that has been replaced."""
         self._fresh = False
 
@@ -86,33 +86,35 @@
 
     def _refresh(self, term: LeadTerm) -> None:
         """Bring what is derived up to the log's state, by what changed."""
-        if self._fleet != (term.epoch, term.fleet) or not self._fresh:
-            self._fleet = (term.epoch, term.fleet)
+        if self._fleet != (term.epoch, term.fleet_version) or not self._fresh:
+            self._fleet = (term.epoch, term.fleet_version)
             self._measure(term)
-        for worker in self._zone.touched:
+        for worker in self._zone.changed_workers:
             self._replace(worker)
-        self._zone.touched.clear()
+        self._zone.changed_workers.clear()
 
     def _measure(self, term: LeadTerm) -> None:
         """Start anew with what the fleet has in all."""
         endpoints = [v.endpoint for v in term.workers.values() if v.endpoint]
-        self._total = Need(
+        self._total = ResourceNeed(
             sum(e.cpus for e in endpoints),
             sum(e.memory_mb for e in endpoints),
             sum(e.accelerators for e in endpoints),
         )
         cpus, memory_mb = self._total.cpus, self._total.memory_mb
-        self._rooms = Rooms((), memory_mb / cpus if cpus and memory_mb else 2048.0)
+        self._capacities = CapacityIndex(
+            (), memory_mb / cpus if cpus and memory_mb else 2048.0
+        )
         self._rack_of = {e.name: e.rack for e in endpoints}
-        self._looked_at.clear()
+        self._seen_reports.clear()
         self._reserved.clear()
         self._used.clear()
         self._slots.clear()
-        self._zone.touched |= self._zone.live.keys()
+        self._zone.changed_workers |= self._zone.live.keys()
         self._fresh = True
 
     def _replace(self, worker: str) -> None:
-        self._looked_at.pop(worker, None)
+        self._seen_reports.pop(worker, None)
         for team, share in self._reserved.pop(worker, _NOTHING).by_team.items():
             self._used[team] -= share
         refs = self._zone.live.get(worker)
@@ -128,13 +130,13 @@
             cpus += job.cpus
             memory_mb += job.memory_mb
             accelerators += job.accelerators
-            share = dominant_share(Need.of(job), self._total)
+            share = dominant_share(ResourceNeed.of(job), self._total)
             by_team[job.team] = by_team.get(job.team, 0.0) + share
         self._reserved[worker] = _Reserved(cpus, memory_mb, accelerators, by_team)
         for team, share in by_team.items():
             self._used[team] = self._used.get(team, 0.0) + share
 
-    def _refresh_rooms(self, term: LeadTerm, now: float) -> None:
+    def _refresh_capacities(self, term: LeadTerm, now: float) -> None:
         """Bring the rooms up to the log and the workers' last reports.
 
         Only what changed is looked at again: at 910 workers a round that
@@ -143,13 +145,13 @@
         marks = self._zone.marks
         for name, view in term.workers.items():
             known = view.report is not None and name not in marks
-            if known and self._looked_at.get(name) is view.report:
+            if known and self._seen_reports.get(name) is view.report:
                 continue
-            self._looked_at[name] = view.report
+            self._seen_reports[name] = view.report
             if self._usable(view, now):
-                self._rooms.put(self._room(view))
+                self._capacities.put(self._room(view))
             else:
-                self._rooms.drop(name)
+                self._capacities.remove(name)
 
     def _usable(self, view: WorkerView, now: float) -> bool:
         """Return whether a worker may be given tasks.
@@ -161,7 +163,7 @@
             return False
         if view.name in self._zone.marks:
             live = self._zone.live.get(view.name)
-            return not live and self._ledger.may_probe(view.name, now)
+            return not live and self._failures.may_probe(view.name, now)
         return not self._strays(view.name, view.report)
 
     def _strays(self, worker: str, report: Report) -> bool:
@@ -171,11 +173,11 @@
             for t in report.tasks
         )
 
-    def _room(self, view: WorkerView) -> Room:
+    def _room(self, view: WorkerView) -> WorkerCapacity:
         e = view.endpoint
         assert e is not None
         used = self._reserved.get(view.name, _NOTHING)
-        return Room(
+        return WorkerCapacity(
             view.name,
             e.rack,
             e.cpus - used.cpus,
@@ -185,37 +187,37 @@
 
     # -- what waits ------------------------------------------------------------
 
-    def _wants(self, now: float, wall: float) -> list[Want]:
+    def _wants(self, now: float, wall: float) -> list[TaskRequest]:
         def may_retry(job_id: str, index: int, failures: int) -> bool:
-            return self._ledger.may_retry(job_id, index, failures, now)
+            return self._failures.may_retry(job_id, index, failures, now)
 
-        wants = []
-        for entry in self._cell.jobs_of(self._zone.zone):
+        requests = []
+        for entry in self._cell.open_jobs(self._zone.zone):
             key = entry.job.key
             if self._zone.live_tasks.get(key, 0) >= entry.job.tasks:
                 self._waiting_since.pop(key, None)
                 continue
-            indexes = pending(entry, self._zone, may_retry)
+            indexes = pending_tasks(entry, self._zone, may_retry)
             if indexes:
-                wants.append(self._want(entry, indexes, now, wall))
+                requests.append(self._want(entry, indexes, now, wall))
             else:
                 self._waiting_since.pop(key, None)
-        return wants
+        return requests
 
     def _want(
         self, entry: JobEntry, indexes: tuple[int, ...], now: float, wall: float
-    ) -> Want:
+    ) -> TaskRequest:
         job = entry.job
         since = self._waiting_since.setdefault(job.key, now)
         left = float("inf")
         if job.deadline_s is not None:
             left = entry.accepted_at + job.deadline_s - wall
-        return Want(
+        return TaskRequest(
             job,
             indexes,
             waited_s=now - since,
             time_left_s=left,
-            avoid=self._ledger.avoid(job.key, now),
+            avoid=self._failures.workers_to_avoid(job.key, now),
             racks=self._racks(job.key) if job.priority == "service" else {},
         )
 
@@ -239,19 +241,25 @@
         """
         self._refresh(term)
         self._note_progress(term, now)
-        wants = self._wants(now, wall)
-        if not wants:
+        requests = self._wants(now, wall)
+        if not requests:
             return (), ()
-        self._refresh_rooms(term, now)
-        reservation = self._reserve(wants, now)
-        shares = {w.job.team: self._share(w.job.team) for w in wants}
-        plan = plan_turns(
-            wants, self._rooms, self._used, shares, left, self._total, reservation
+        self._refresh_capacities(term, now)
+        reservation = self._reserve(requests, now)
+        shares = {w.job.team: self._share(w.job.team) for w in requests}
+        plan = plan_placements(
+            requests,
+            self._capacities,
+            self._used,
+            shares,
+            left,
+            self._total,
+            reservation,
         )
         for placement in plan.placements:
             # The log may yet refuse it, so the room is worked out again.
-            self._looked_at.pop(placement.worker, None)
-        self._preempt(term, wants, plan, left, now)
+            self._seen_reports.pop(placement.worker, None)
+        self._preempt(term, requests, plan, left, now)
         plan.placements = self._one_probe_each(plan)
         items = tuple(
             Assignment(p.job_id, p.index, self._attempt(p.job_id, p.index), p.worker)
@@ -259,7 +267,7 @@
         )
         return items, self._held_notes(plan, reservation, term, now)
 
-    def _one_probe_each(self, plan: Plan) -> list:
+    def _one_probe_each(self, plan: PlacementPlan) -> list:
         probed: set[str] = set()
         kept = []
         for placement in plan.placements:
@@ -284,7 +292,7 @@
             if self._noted_at.get(view.name) == view.read_at:
                 continue
             self._noted_at[view.name] = view.read_at
-            for ref, progress in view.seen.items():
+            for ref, progress in view.reported_progress.items():
                 last = self._progressed.get(ref)
                 if last is None or progress > last[0]:
                     self._progressed[ref] = (progress, now)
@@ -303,79 +311,83 @@
         progress, at = self._progressed.get(ref, (0.0, now))
         return max(job.run_s * (1 - progress) - (now - at), 0.0)
 
-    def _reserve(self, wants: list[Want], now: float) -> Reservation | None:
+    def _reserve(self, requests: list[TaskRequest], now: float) -> Reservation | None:
         """Set workers aside for the gang that has waited longest, if it is due.
 
         One gang at a time: two that each held half of what they need would
         wait for each other for good.
         """
-        due = [w for w in wants if w.job.gang and w.waited_s >= GANG_AGE_S]
+        due = [w for w in requests if w.job.gang and w.waited_s >= GANG_RESERVE_AFTER_S]
         if not due:
             return None
-        want = max(due, key=lambda w: (w.waited_s, w.job.key))
-        need = Need.of(want.job)
+        request = max(due, key=lambda w: (w.waited_s, w.job.key))
+        need = ResourceNeed.of(request.job)
         ranked = []
-        for room in self._rooms.by_name.values():
-            drained = attrs.evolve(room)
+        for capacity in self._capacities.by_name.values():
+            drained = attrs.evolve(capacity)
             free_in_s = 0.0
-            for ref in self._zone.live.get(room.worker, {}):
+            for ref in self._zone.live.get(capacity.worker, {}):
                 entry = self._cell.jobs.get(ref[0])
                 if entry is None or entry.job.priority == "service":
                     continue
-                drained.give_back(Need.of(entry.job))
+                drained.release(ResourceNeed.of(entry.job))
                 free_in_s = max(free_in_s, self._remaining_s(ref, now))
-            slots = drained.slots(need)
+            slots = drained.count_fitting(need)
             if slots:
-                ranked.append((free_in_s / slots, free_in_s, slots, room.worker))
+                ranked.append((free_in_s / slots, free_in_s, slots, capacity.worker))
         ranked.sort()
         chosen, found, free_in_s = set(), 0, 0.0
         for _, ends_s, slots, worker in ranked:
-            if found >= len(want.indexes):
+            if found >= len(request.indexes):
                 break
             found += slots
             free_in_s = max(free_in_s, ends_s)
             chosen.add(worker)
-        if found < len(want.indexes):
+        if found < len(request.indexes):
             return None
-        return Reservation(want.job.key, frozenset(chosen), free_in_s)
+        return Reservation(request.job.key, frozenset(chosen), free_in_s)
 
     def _preempt(
         self,
         term: LeadTerm,
-        wants: list[Want],
-        plan: Plan,
+        requests: list[TaskRequest],
+        plan: PlacementPlan,
         left: Mapping[str, int],
         now: float,
     ) -> None:
         """Have batch tasks give way to urgent ones that found no room."""
         placed = {(p.job_id, p.index) for p in plan.placements}
         urgent = []
-        for want in wants:
-            if want.job.priority != "urgent":
+        for request in requests:
+            if request.job.priority != "urgent":
                 continue
-            if plan.held.get(want.job.key) != "no worker has room for it now":
+            if plan.held.get(request.job.key) != "no worker has room for it now":
                 continue
-            rest = tuple(i for i in want.indexes if (want.job.key, i) not in placed)
-            room = max(left.get(want.job.team, 0), 0)
-            if rest and (not want.job.gang or room >= len(rest)):
-                urgent.append(attrs.evolve(want, indexes=rest[:room]))
+            rest = tuple(
+                i for i in request.indexes if (request.job.key, i) not in placed
+            )
+            capacity = max(left.get(request.job.team, 0), 0)
+            if rest and (not request.job.gang or capacity >= len(rest)):
+                urgent.append(attrs.evolve(request, indexes=rest[:capacity]))
         if not urgent:
             return
-        rooms = self._rooms.copy()
+        capacities = self._capacities.copy()
         for ref in term.stopping:
             if self._zone.is_live(ref):
                 worker = self._zone.tasks[ref[0]][ref[1]].worker
-                if worker in rooms.by_name:
-                    rooms.give_back(worker, Need.of(self._cell.jobs[ref[0]].job))
+                if worker in capacities.by_name:
+                    capacities.release(
+                        worker, ResourceNeed.of(self._cell.jobs[ref[0]].job)
+                    )
         chosen = choose_victims(
             urgent,
-            rooms,
+            capacities,
             self._zone,
             self._cell,
             self._over_share(),
             lambda ref: self._lost_s(ref, now),
             term.stopping.keys(),
-            self._budget.left(now),
+            self._budget.available(now),
             self._turn,
         )
         self._turn += 1
@@ -390,7 +402,11 @@
         return {t for t, u in self._used.items() if u > used * shares[t] / whole}
 
     def _held_notes(
-        self, plan: Plan, reservation: Reservation | None, term: LeadTerm, now: float
+        self,
+        plan: PlacementPlan,
+        reservation: Reservation | None,
+        term: LeadTerm,
+        now: float,
     ) -> tuple[JobNote, ...]:
         """Return why jobs wait, each reason told once until it changes."""
         notes = []
@@ -407,11 +423,13 @@
         return tuple(notes)
 
     def _impossible(self, entry: JobEntry, term: LeadTerm) -> str:
-        need = Need.of(entry.job)
+        need = ResourceNeed.of(entry.job)
         if need not in self._slots:
             endpoints = [v.endpoint for v in term.workers.values() if v.endpoint]
             self._slots[need] = sum(
-                Room(e.name, "", e.cpus, e.memory_mb, e.accelerators).slots(need)
+                WorkerCapacity(
+                    e.name, "", e.cpus, e.memory_mb, e.accelerators
+                ).count_fitting(need)
                 for e in endpoints
             )
         slots = self._slots[need]
@@ -426,11 +444,13 @@
         gone = {
             v.name for v in term.workers.values() if v.endpoint and v.endpoint.leaving
         }
-        seen = {ref for view in term.workers.values() for ref in view.seen}
+        seen = {ref for view in term.workers.values() for ref in view.reported_progress}
         for chosen in (
-            broken_gangs(self._zone, self._cell),
-            leaving(self._zone, self._cell, gone, seen) if gone else {},
-            over_limit(self._zone, self._cell, parts),
+            tasks_of_broken_gangs(self._zone, self._cell),
+            tasks_on_leaving_workers(self._zone, self._cell, gone, seen)
+            if gone
+            else {},
+            tasks_over_limit(self._zone, self._cell, parts),
         ):
             for ref, reason in chosen.items():
                 term.stopping.setdefault(ref, reason)
--- a/src/firhook/decide/_route.py
+++ b/src/firhook/decide/_route.py
@@ -52,13 +52,13 @@
     settled: int = 0
     gained_at: float = 0.0
     in_flight: int = 0
-    elsewhere: int = 0
+    peer_excess: int = 0
     slowness: float = 1.0
     samples: int = 0
     failures: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
-    ramp: int = _SLOW_START
+    ramp_limit: int = _SLOW_START
     leaving: bool = False
 
     key: str = attrs.field(init=False)
@@ -67,13 +67,13 @@
         """Set the key from name and address."""
         self.key = f"{self.endpoint.name}@{self.endpoint.address}"
 
-    def room(self, now: float) -> int:
+    def headroom(self, now: float) -> int:
         """Return how many more requests it may get from here."""
         if self.leaving or now < self.ejected_until:
             return 0
         # A slot that moved here lately may still be in use by its old holder.
-        doubtful = min(self.elsewhere, self.part - self.settled)
-        return max(min(self.part - doubtful, self.ramp) - self.in_flight, 0)
+        doubtful = min(self.peer_excess, self.part - self.settled)
+        return max(min(self.part - doubtful, self.ramp_limit) - self.in_flight, 0)
 
     def set_part(self, part: int, now: float) -> None:
         """Take over this instance's part."""
@@ -81,7 +81,7 @@
             self.gained_at = now
         self.part = part
         if part < self.settled or (
-            self.elsewhere == 0 and now - self.gained_at > _SETTLE_S
+            self.peer_excess == 0 and now - self.gained_at > _SETTLE_S
         ):
             self.settled = part
 
@@ -110,8 +110,8 @@
         listed = {}
         for endpoint in endpoints:
             # On the first list the runners are not new, only this instance is.
-            ramp = _SLOW_START if self.views else endpoint.slots
-            fresh = RunnerView(endpoint, ramp=ramp)
+            ramp_limit = _SLOW_START if self.views else endpoint.slots
+            fresh = RunnerView(endpoint, ramp_limit=ramp_limit)
             view = self.views.get(fresh.key, fresh)
             view.endpoint = endpoint
             # A runner said to be leaving stays so at its address: the list
@@ -124,7 +124,7 @@
         """Return the slots of each runner that takes new work."""
         return {k: v.endpoint.slots for k, v in self.views.items() if not v.leaving}
 
-    def has_other(self, tried: Collection[str]) -> bool:
+    def has_untried(self, tried: Collection[str]) -> bool:
         """Return whether a runner takes new work that is not among those tried."""
         return any(not v.leaving and k not in tried for k, v in self.views.items())
 
@@ -142,7 +142,7 @@
     def capacity(self, now: float) -> int:
         """Return how many slots this instance may use in all."""
         return sum(
-            min(v.part, v.ramp)
+            min(v.part, v.ramp_limit)
             for v in self.views.values()
             if not v.leaving and now >= v.ejected_until
         )
@@ -158,7 +158,7 @@
             # Most have no part here at the two-year size; ask that first.
             if view.in_flight >= view.part or view.key in tried:
                 continue
-            if view.room(now) <= 0:
+            if view.headroom(now) <= 0:
                 continue
             cost = view.cost(self._zone)
             if cost < best_cost:
@@ -167,11 +167,11 @@
             best.in_flight += 1
         return best
 
-    def done(self, view: RunnerView) -> None:
+    def release(self, view: RunnerView) -> None:
         """Count a request as ended at its runner."""
         view.in_flight -= 1
 
-    def answered(
+    def note_answer(
         self, view: RunnerView, took_s: float, expected_s: float, now: float
     ) -> None:
         """Learn from an answer.
@@ -179,7 +179,7 @@
         :param expected_s: how long such a request usually takes.
         """
         view.failures = 0
-        view.ramp = min(view.ramp + 1, view.endpoint.slots)
+        view.ramp_limit = min(view.ramp_limit + 1, view.endpoint.slots)
         ratio = min(took_s / max(expected_s, 1e-4), 100.0)
         view.samples += 1
         view.slowness += max(_ALPHA, 1 / view.samples) * (ratio - view.slowness)
@@ -190,7 +190,7 @@
         else:
             view.ejections = 0
 
-    def failed(self, view: RunnerView, now: float) -> None:
+    def note_failure(self, view: RunnerView, now: float) -> None:
         """Learn from an exchange that was refused, cut or too late."""
         view.failures += 1
         # Back from an ejection, its first failure tells that it is not well.
@@ -214,15 +214,15 @@
         view.ejections += 1
         view.ejected_until = now + pause_s
         # It comes back with one request at a time, judged afresh.
-        view.ramp = 1
+        view.ramp_limit = 1
         view.samples = 0
         view.slowness = 1.0
         view.failures = 0
 
-    def set_elsewhere(self, counts: Mapping[str, int]) -> None:
+    def set_peer_excess(self, counts: Mapping[str, int]) -> None:
         """Take over what the peers have at each runner beyond their parts."""
         for key, view in self.views.items():
-            view.elsewhere = counts.get(key, 0)
+            view.peer_excess = counts.get(key, 0)
 
     def set_leaving(self, keys: Collection[str]) -> None:
         """Take over which runners told a peer that they are leaving."""
@@ -230,7 +230,7 @@
             if key in self.views:
                 self.views[key].leaving = True
 
-    def beyond_parts(self) -> Counter[str]:
+    def excess_by_runner(self) -> Counter[str]:
         """Return what this instance has in flight beyond its part, by runner.
 
         Peers work out its parts by themselves, and what is within them takes
--- a/src/firhook/decide/_staleness.py
+++ b/src/firhook/decide/_staleness.py
@@ -6,7 +6,7 @@
 import attrs
 
 
-class Served(enum.IntEnum):
+class ServiceLevel(enum.IntEnum):
     """What is served; each includes those below it."""
 
     NOTHING = 0
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(slots=True)
-class StalePolicy:
+class StalenessPolicy:
     """The operators' choice between serving on and not serving withdrawn keys.
 
     :param strict: whether to refuse all as soon as the view is stale.
@@ -42,7 +42,7 @@
     offset: int
 
 
-def view_age(own_s: float, own_offset: int, peers: Iterable[PeerLogView]) -> float:
+def view_age_s(own_s: float, own_offset: int, peers: Iterable[PeerLogView]) -> float:
     """Return how old this instance's view of lists and keys is, in seconds.
 
     A peer's view counts as this instance's own once this instance has all
@@ -54,7 +54,7 @@
     return min([own_s, *ages])
 
 
-def served(policy: StalePolicy, age_s: float) -> Served:
+def allowed_service(policy: StalenessPolicy, age_s: float) -> ServiceLevel:
     """Return what may be served on a view of this age.
 
     Load: a zone cut off from the log and from every peer with a fresher view,
@@ -65,7 +65,7 @@
     past ``max_s`` is a leaked key the greater harm.
     """
     if age_s < policy.stale_s:
-        return Served.ALL
+        return ServiceLevel.ALL
     if policy.strict or age_s >= policy.max_s:
-        return Served.NOTHING
-    return Served.IDEMPOTENT
+        return ServiceLevel.NOTHING
+    return ServiceLevel.IDEMPOTENT
--- a/src/firhook/decide/_times.py
+++ b/src/firhook/decide/_times.py
@@ -50,7 +50,7 @@
         self.mean_s = _DEFAULT_S
         self._count = 0
 
-    def expect(self, kind: tuple[str, ...]) -> float:
+    def expected_s(self, kind: tuple[str, ...]) -> float:
         """Return how long a request of the kind is expected to take.
 
         A kind never seen counts as an average request: to take it for short
@@ -60,7 +60,7 @@
         known = self._kinds.get(kind)
         return known.mean_s if known else self.mean_s
 
-    def at_least(self, kind: tuple[str, ...], now: float) -> float:
+    def min_service_s(self, kind: tuple[str, ...], now: float) -> float:
         """Return how long it takes at least, for all that is known for certain.
 
         Nothing is certain of a kind never seen, and little of one not seen
@@ -71,7 +71,7 @@
             return 0.0
         return known.mean_s * 0.5 ** ((now - known.learnt_at) / _DOUBT_S)
 
-    def keep_s(
+    def min_remaining_s(
         self, kind: tuple[str, ...], allowed_s: float, running_s: float, now: float
     ) -> float:
         """Return how much time must be left when a request is sent.
@@ -105,11 +105,11 @@
         silent_s = max(now - known.learnt_at - longest_s, 0.0)
         return longest_s * 0.5 ** (silent_s / _DOUBT_S)
 
-    def knows(self, kind: tuple[str, ...]) -> bool:
+    def has_seen(self, kind: tuple[str, ...]) -> bool:
         """Return whether a request of the kind has ended before."""
         return kind in self._kinds
 
-    def learn(self, kind: tuple[str, ...], took_s: float, now: float) -> None:
+    def record(self, kind: tuple[str, ...], took_s: float, now: float) -> None:
         """Take in how long a request of the kind took."""
         known = self._kinds.pop(kind, None)
         if known is None:
--- a/src/firhook/decide/admit.py
+++ b/src/firhook/decide/admit.py
@@ -2,18 +2,18 @@
 
 from firhook.decide._admit import (
     REBALANCE_S,
+    DispatchedRequest,
     Dispatcher,
-    GivenUp,
-    Placed,
     QueueLimits,
-    expected_item,
+    RefusedRequest,
+    make_queued_request,
 )
 
 __all__ = [
     "REBALANCE_S",
+    "DispatchedRequest",
     "Dispatcher",
-    "GivenUp",
-    "Placed",
     "QueueLimits",
-    "expected_item",
+    "RefusedRequest",
+    "make_queued_request",
 ]
--- a/src/firhook/decide/adopt.py
+++ b/src/firhook/decide/adopt.py
@@ -1,5 +1,10 @@
 """When a zone counts as lost, and which other zone adopts its jobs."""
 
-from firhook.decide._adopt import SIGHT_S, Sight, adopter, carried
+from firhook.decide._adopt import (
+    MAX_LOG_AGE_S,
+    LeadActivity,
+    choose_adopter,
+    tasks_to_carry,
+)
 
-__all__ = ["SIGHT_S", "Sight", "adopter", "carried"]
+__all__ = ["MAX_LOG_AGE_S", "LeadActivity", "choose_adopter", "tasks_to_carry"]
--- a/src/firhook/decide/gossip.py
+++ b/src/firhook/decide/gossip.py
@@ -1,5 +1,5 @@
 """How often an instance tells its peers of itself."""
 
-from firhook.decide._gossip import gossip_every
+from firhook.decide._gossip import gossip_interval_s
 
-__all__ = ["gossip_every"]
+__all__ = ["gossip_interval_s"]
--- a/src/firhook/decide/lead.py
+++ b/src/firhook/decide/lead.py
@@ -1,19 +1,19 @@
 """When to claim a zone's lead, and when its holder may lend room."""
 
 from firhook.decide._lead import (
+    LeadObservation,
     LeadTimes,
-    Sight,
-    TakeOver,
+    PreviousLead,
+    holdings_end_at,
     may_claim,
     may_lend,
-    silent_until,
 )
 
 __all__ = [
+    "LeadObservation",
     "LeadTimes",
-    "Sight",
-    "TakeOver",
+    "PreviousLead",
+    "holdings_end_at",
     "may_claim",
     "may_lend",
-    "silent_until",
 ]
--- a/src/firhook/decide/lease.py
+++ b/src/firhook/decide/lease.py
@@ -1,5 +1,17 @@
 """Leases and clocks."""
 
-from firhook.decide._lease import DRIFT, HeldLease, SeenLease, latest, not_after
+from firhook.decide._lease import (
+    MAX_CLOCK_DRIFT,
+    HeldLease,
+    ObservedLease,
+    latest_end,
+    to_worker_clock,
+)
 
-__all__ = ["DRIFT", "HeldLease", "SeenLease", "latest", "not_after"]
+__all__ = [
+    "MAX_CLOCK_DRIFT",
+    "HeldLease",
+    "ObservedLease",
+    "latest_end",
+    "to_worker_clock",
+]
--- a/src/firhook/decide/orders.py
+++ b/src/firhook/decide/orders.py
@@ -3,9 +3,9 @@
 from firhook.decide._orders import (
     ORDER_TTL_S,
     LeadTerm,
-    Standing,
+    LeaseStatus,
     Timing,
     WorkerView,
 )
 
-__all__ = ["ORDER_TTL_S", "LeadTerm", "Standing", "Timing", "WorkerView"]
+__all__ = ["ORDER_TTL_S", "LeadTerm", "LeaseStatus", "Timing", "WorkerView"]
--- a/src/firhook/decide/place.py
+++ b/src/firhook/decide/place.py
@@ -1,5 +1,5 @@
 """Which worker gets a task."""
 
-from firhook.decide._place import Need, Room, Rooms
+from firhook.decide._place import CapacityIndex, ResourceNeed, WorkerCapacity
 
-__all__ = ["Need", "Room", "Rooms"]
+__all__ = ["CapacityIndex", "ResourceNeed", "WorkerCapacity"]
--- a/src/firhook/decide/queue.py
+++ b/src/firhook/decide/queue.py
@@ -1,5 +1,5 @@
 """Fair queueing of requests."""
 
-from firhook.decide._queue import CLASSES, FairQueue, Waiting
+from firhook.decide._queue import CLASSES, FairQueue, QueuedRequest
 
-__all__ = ["CLASSES", "FairQueue", "Waiting"]
+__all__ = ["CLASSES", "FairQueue", "QueuedRequest"]
--- a/src/firhook/decide/retry.py
+++ b/src/firhook/decide/retry.py
@@ -1,5 +1,5 @@
 """Retries of requests to runners."""
 
-from firhook.decide._retry import IDEMPOTENT, MAX_TRIES, RetryBudget, may_resend
+from firhook.decide._retry import IDEMPOTENT_METHODS, MAX_TRIES, RetryBudget, may_resend
 
-__all__ = ["IDEMPOTENT", "MAX_TRIES", "RetryBudget", "may_resend"]
+__all__ = ["IDEMPOTENT_METHODS", "MAX_TRIES", "RetryBudget", "may_resend"]
--- a/src/firhook/decide/staleness.py
+++ b/src/firhook/decide/staleness.py
@@ -2,10 +2,16 @@
 
 from firhook.decide._staleness import (
     PeerLogView,
-    Served,
-    StalePolicy,
-    served,
-    view_age,
+    ServiceLevel,
+    StalenessPolicy,
+    allowed_service,
+    view_age_s,
 )
 
-__all__ = ["PeerLogView", "Served", "StalePolicy", "served", "view_age"]
+__all__ = [
+    "PeerLogView",
+    "ServiceLevel",
+    "StalenessPolicy",
+    "allowed_service",
+    "view_age_s",
+]
--- a/src/firhook/roles/_adopter.py
+++ b/src/firhook/roles/_adopter.py
@@ -1,6 +1,6 @@
 """Takes over the jobs of a zone that was lost, from its stream on the log."""
 
-from firhook.decide.adopt import Sight, adopter, carried
+from firhook.decide.adopt import LeadActivity, choose_adopter, tasks_to_carry
 from firhook.decide.orders import Timing
 from firhook.errors import LogTrimmedError, RecordMalformedError
 from firhook.events import (
@@ -24,7 +24,7 @@
     decode_envelope,
 )
 from firhook.platform.clients import LogService
-from firhook.state import Rebuild, Snapshot, ZoneState
+from firhook.state import Snapshot, SnapshotFinder, ZoneState
 
 #: Attempts in one record, about 50 kB.
 MAX_CARRIED = 500
@@ -36,32 +36,32 @@
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
         self._cell = kernel.states.cell
-        self._sight = Sight()
+        self._sight = LeadActivity()
         bus = kernel.bus
         bus.subscribe(RecordApplied, self._on_record)
-        bus.subscribe(StreamRebuilt, lambda _: self._sight.lose())
-        bus.subscribe(LoopStalled, lambda _: self._sight.lose())
+        bus.subscribe(StreamRebuilt, lambda _: self._sight.reset())
+        bus.subscribe(LoopStalled, lambda _: self._sight.reset())
 
     def _on_record(self, event: RecordApplied) -> None:
         body = event.envelope.body
         if not isinstance(body, (LeadClaimed, LeadRenewed, LeadReleased)):
             return
         if event.verdict is Verdict.APPLIED:
-            self._sight.note_lead(body.zone, self._kernel.clock())
+            self._sight.record_lead(body.zone, self._kernel.clock())
 
     async def step(self, epoch: int, timing: Timing) -> None:
         """Adopt the jobs of the lost zones that fall to this one."""
         kernel, now = self._kernel, self._kernel.clock()
-        self._sight.note_age(await kernel.bus.ask(LogAge("cell")), now)
+        self._sight.record_log_age(await kernel.bus.ask(LogAge("cell")), now)
         zones = kernel.cfg.zones
         fresh_s = 2 * kernel.cfg.lead_lease_s
-        alive = {z: self._sight.silent_s(z, now) <= fresh_s for z in zones}
+        alive = {z: self._sight.inactive_s(z, now) <= fresh_s for z in zones}
         for zone in zones:
-            if zone == kernel.cfg.zone or not self._cell.jobs_of(zone):
+            if zone == kernel.cfg.zone or not self._cell.open_jobs(zone):
                 continue
-            if not self._sight.lost(zone, timing, now):
+            if not self._sight.is_lost(zone, timing, now):
                 continue
-            if adopter(zones, zone, alive) == kernel.cfg.zone:
+            if choose_adopter(zones, zone, alive) == kernel.cfg.zone:
                 await self._adopt(zone, epoch)
 
     async def _adopt(self, zone: str, epoch: int) -> None:
@@ -71,9 +71,9 @@
         lead between the two would have its successor start them from nothing.
         """
         seen = self._cell.leads[zone].offset
-        job_ids = [entry.job.key for entry in self._cell.jobs_of(zone)]
+        job_ids = [entry.job.key for entry in self._cell.open_jobs(zone)]
         giver = await read_zone(self._kernel.platform.log, zone)
-        items = carried(giver, job_ids)
+        items = tasks_to_carry(giver, job_ids)
         ask = self._kernel.bus.ask
         own = self._kernel.cfg.zone
         for i in range(0, len(items), MAX_CARRIED):
@@ -100,13 +100,13 @@
     """
     state, offset = ZoneState(zone), 0
     kept: list[tuple[int, Envelope]] = []
-    rebuild: Rebuild | None = None
+    rebuild: SnapshotFinder | None = None
     while True:
         try:
             page = await service.read(f"zone.{zone}", offset, 0.0)
         except LogTrimmedError as exc:
             offset = int(exc.extra["first"])
-            state, kept, rebuild = ZoneState(zone), [], Rebuild(offset)
+            state, kept, rebuild = ZoneState(zone), [], SnapshotFinder(offset)
             continue
         for entry in page.entries:
             offset = entry.offset + 1
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -8,7 +8,7 @@
 
 from firhook._principal import principal
 from firhook._web import json_response, read_json
-from firhook.decide.place import Need, Room
+from firhook.decide.place import ResourceNeed, WorkerCapacity
 from firhook.errors import (
     FirhookError,
     JobConflictError,
@@ -187,11 +187,11 @@
         is known, so that a job is taken and held rather than refused.
     :raises JobImpossibleError: if no zone's workers could ever run it.
     """
-    need = Need.of(spec)
+    need = ResourceNeed.of(spec)
     slots: dict[str, int] = {}
     for e in workers:
-        room = Room(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
-        slots[e.zone] = slots.get(e.zone, 0) + room.slots(need)
+        capacity = WorkerCapacity(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
+        slots[e.zone] = slots.get(e.zone, 0) + capacity.count_fitting(need)
     wanted = spec.tasks if spec.gang else 1
     if not workers or slots.get(own, 0) >= wanted:
         return own
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -5,10 +5,10 @@
 
 from firhook.decide.staleness import (
     PeerLogView,
-    Served,
-    StalePolicy,
-    served,
-    view_age,
+    ServiceLevel,
+    StalenessPolicy,
+    allowed_service,
+    view_age_s,
 )
 from firhook.errors import (
     ConfigConflictError,
@@ -59,7 +59,7 @@
     def wire(self) -> None:
         """Offer changes and checks of keys."""
         cfg = self.cfg
-        self._policy = StalePolicy(
+        self._policy = StalenessPolicy(
             cfg.stale == "refuse", cfg.key_stale_s, cfg.key_stale_max_s
         )
         self.bus.answer(ChangeRows, self._change_rows)
@@ -132,15 +132,17 @@
                 retry_after_s=_NOT_READY_RETRY_S,
             )
         entry = self.states.config.find_key(digest)
-        await self._require(Served.IDEMPOTENT)
+        await self._require(ServiceLevel.IDEMPOTENT)
         return Principal(entry.key_id, entry.team)
 
     async def _check_fresh(self, query: CheckFresh) -> None:
-        await self._require(Served.IDEMPOTENT if query.idempotent else Served.ALL)
+        await self._require(
+            ServiceLevel.IDEMPOTENT if query.idempotent else ServiceLevel.ALL
+        )
 
-    async def _require(self, wanted: Served) -> None:
+    async def _require(self, wanted: ServiceLevel) -> None:
         age_s = await self._view_age()
-        if served(self._policy, age_s) < wanted:
+        if allowed_service(self._policy, age_s) < wanted:
             raise ZoneStaleError(
                 f"the last word of withdrawn keys came {age_s:.0f} s ago",
                 retry_after_s=_STALE_RETRY_S,
@@ -155,7 +157,7 @@
             PeerLogView(m.age_s, m.gossip.log_age_s, m.gossip.config_offset)
             for m in members
         ]
-        return view_age(own_s, self.states.config.next_offset, views)
+        return view_age_s(own_s, self.states.config.next_offset, views)
 
     # -- what is in force ------------------------------------------------
 
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -13,11 +13,11 @@
 from firhook._web import REQUEST_KEY, problem_response, serve, wait_let_go
 from firhook.decide.admit import (
     REBALANCE_S,
+    DispatchedRequest,
     Dispatcher,
-    GivenUp,
-    Placed,
     QueueLimits,
-    expected_item,
+    RefusedRequest,
+    make_queued_request,
 )
 from firhook.decide.retry import may_resend
 from firhook.errors import (
@@ -178,7 +178,7 @@
                 may_have_run = may_have_run or exc.ran != "no"
                 cut = isinstance(exc, _SEND_ERRORS) and len(tried) > 0
                 again = cut and may_resend(call.idempotent, exc.ran, len(tried))
-                if again and service.has_untried(tried) and service.budget.take():
+                if again and service.has_untried(tried) and service.budget.try_spend():
                     continue
                 if may_have_run:
                     exc.ran = "unknown"
@@ -195,10 +195,10 @@
 
     async def _wait_for_slot(
         self, service: Dispatcher, call: Call, tried: list[str], allowed_s: float
-    ) -> Placed:
+    ) -> DispatchedRequest:
         now = self.kernel.clock()
         waiter = _Waiter(call, asyncio.get_running_loop().create_future())
-        item = expected_item(
+        item = make_queued_request(
             service.times, call.kind, call.team, call.klass, now, call.deadline, waiter
         )
         item.tried = list(tried)
@@ -210,7 +210,7 @@
         return placed
 
     async def _send(
-        self, service: Dispatcher, call: Call, placed: Placed, once_key: str
+        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
     ) -> EndpointResponse:
         """Send a request, and wait for its answer until the deadline.
 
@@ -264,7 +264,7 @@
             self._late_keys.discard(once_key)
 
     async def _exchange(
-        self, service: Dispatcher, call: Call, placed: Placed, once_key: str
+        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
     ) -> EndpointResponse:
         if once_key:
             self.bus.publish(OnceSending(once_key))
@@ -279,7 +279,7 @@
                 self.cfg.default_deadline_s,
             )
         except FirhookError:
-            service.router.failed(view, self.kernel.clock())
+            service.router.note_failure(view, self.kernel.clock())
             raise
         else:
             self._learn(service, call, placed, answer)
@@ -289,7 +289,11 @@
             self._pump()
 
     def _learn(
-        self, service: Dispatcher, call: Call, placed: Placed, answer: EndpointResponse
+        self,
+        service: Dispatcher,
+        call: Call,
+        placed: DispatchedRequest,
+        answer: EndpointResponse,
     ) -> None:
         now = self.kernel.clock()
         took_s = now - placed.started
@@ -297,10 +301,10 @@
         if answer.leaving:
             view.leaving = True
             self.kernel.load.leaving.add(view.key)
-        expected_s = service.times.expect(call.kind)
-        service.router.answered(view, took_s, expected_s, now)
-        service.times.learn(call.kind, took_s, now)
-        service.budget.answered()
+        expected_s = service.times.expected_s(call.kind)
+        service.router.note_answer(view, took_s, expected_s, now)
+        service.times.record(call.kind, took_s, now)
+        service.budget.note_answer()
         self.stats.answered(
             call.team, call.klass, placed.started - call.arrived, took_s
         )
@@ -311,16 +315,16 @@
         """Give free slots to waiting requests."""
         now = self.kernel.clock()
         for service in self._services.values():
-            while (placed := service.take(now, self._jitter)) is not None:
+            while (placed := service.dispatch_next(now, self._jitter)) is not None:
                 waiter = placed.item.token
-                if isinstance(placed, GivenUp):
+                if isinstance(placed, RefusedRequest):
                     _refuse(waiter.fut, placed.exc)
                 elif waiter.call.gone or waiter.fut.done():
                     service.end(placed, now)
                     _refuse(waiter.fut, CallerGoneError("its turn had come"))
                 else:
                     waiter.fut.set_result(placed)
-            for team in service.roomless():
+            for team in service.teams_awaiting_capacity():
                 running = self.kernel.account.running.get(team, 0)
                 wanted = running + service.queue.waiting(team)
                 self.bus.publish(RoomWanted(team, wanted))
@@ -343,7 +347,7 @@
                     service.queue.remove(item)
                     _refuse(item.token.fut, CallerGoneError("it was waiting"))
             self._jitter = random.random()
-            for given_up in service.sweep(now, self._jitter):
+            for given_up in service.refuse_hopeless(now, self._jitter):
                 _refuse(given_up.item.token.fut, given_up.exc)
         self._fleet.note(
             self.kernel.account, self._services.values(), self.kernel.load, now
@@ -401,7 +405,7 @@
         counts = self._fleet.beyond_parts(now)
         leaving = [load.runner for load in event.body.runners if load.leaving]
         for service in self._services.values():
-            service.router.set_elsewhere(counts)
+            service.router.set_peer_excess(counts)
             service.router.set_leaving(leaving)
 
 
@@ -410,9 +414,9 @@
     """The caller's side of a queued request."""
 
     call: Call
-    fut: "asyncio.Future[Placed]"
+    fut: "asyncio.Future[DispatchedRequest]"
 
 
-def _refuse(fut: "asyncio.Future[Placed]", exc: FirhookError) -> None:
+def _refuse(fut: "asyncio.Future[DispatchedRequest]", exc: FirhookError) -> None:
     if not fut.done():
         fut.set_exception(exc)
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -13,7 +13,7 @@
 
 from firhook._budget import Budget
 from firhook._lane import Lane
-from firhook.decide.carry import carry_due, carry_rank
+from firhook.decide.snapshot_timing import is_snapshot_due, snapshot_rank
 from firhook.errors import FirhookError, FrameMalformedError, NotReadyError
 from firhook.events import (
     Append,
@@ -116,13 +116,13 @@
         if lead.released or lead.instance != self.kernel.lane:
             return False
         own = lane.stream.startswith("zone.")
-        rank = 0 if own else carry_rank(self.cfg.zone, self.cfg.zones)
+        rank = 0 if own else snapshot_rank(self.cfg.zone, self.cfg.zones)
         state = lane.stream_state
-        return carry_due(
-            state.next_offset - state.carried_upto,
+        return is_snapshot_due(
+            state.next_offset - state.snapshot_offset,
             time.monotonic() - lane.carried_at,
             rank,
-            state.carried_parts,
+            state.snapshot_parts,
             self.cfg.carry_forward_records,
             self.cfg.carry_forward_s,
         )
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -10,7 +10,7 @@
 from firhook._lender import Lender
 from firhook._mesh import Mesh
 from firhook._room import RoomKeeper
-from firhook.decide.gossip import gossip_every
+from firhook.decide.gossip import gossip_interval_s
 from firhook.errors import (
     FirhookError,
     FrameMalformedError,
@@ -165,7 +165,9 @@
         assert self._mesh is not None
         size = self._mesh.tell_all(await self._word()) + TRANSPORT_BYTES
         peers = len(self._mesh.addresses)
-        self._every_s = gossip_every(size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S)
+        self._every_s = gossip_interval_s(
+            size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S
+        )
 
     async def _word(self) -> Gossip:
         config = self.states.config
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from firhook.decide.claims import ClaimBook, Phase, Sent
+from firhook.decide.claims import ClaimTable, Phase, SendStatus
 from firhook.errors import (
     FirhookError,
     LogOutcomeUnknownError,
@@ -60,7 +60,7 @@
 
     def wire(self) -> None:
         """Offer claims."""
-        self._book = ClaimBook()
+        self._book = ClaimTable()
         self._unstored: dict[str, EndpointResponse] = {}
         self._unstored_bytes = 0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -121,9 +121,9 @@
             ) from exc
         finally:
             if won:
-                self._book.move(claim.key, Phase.HELD)
+                self._book.set_phase(claim.key, Phase.HELD)
             else:
-                self._book.drop(claim.key)
+                self._book.remove(claim.key)
                 self._on_own_entry(claim)
         return won
 
@@ -140,7 +140,7 @@
 
     def _on_own_claim(self, claim: OnceClaimed) -> None:
         """Give back a claim that was given up here and landed all the same."""
-        if self._book.sent(claim.key, claim.nonce) is Sent.NEVER:
+        if self._book.send_status(claim.key, claim.nonce) is SendStatus.NEVER:
             self._keep(self._release(claim.key, claim.holder, claim.nonce))
 
     def _on_own_entry(self, claim: OnceClaimed) -> None:
@@ -162,17 +162,17 @@
         if key in self._unstored and known.holder == self.kernel.lane:
             return _repeated(self._unstored[key])
         sent = await self._ask_holder(key, known)
-        if sent is Sent.DONE:
+        if sent is SendStatus.DONE:
             await self._wait_done(key)
         # The outcome may have been read while the holder was asked.
         known = self.states.once.entries.get(key, known)
         if known.done:
             return stored_answer(known)
-        if sent in (Sent.RUNNING, Sent.DONE):
+        if sent in (SendStatus.RUNNING, SendStatus.DONE):
             raise OnceInProgressError(
                 "the first request is being run", retry_after_s=_COME_BACK_S
             )
-        if sent is Sent.NEVER:
+        if sent is SendStatus.NEVER:
             self._keep(self._release(key, known.holder, known.nonce))
             raise OnceInProgressError(
                 "the first request was never sent; its claim is being given back",
@@ -195,34 +195,36 @@
             if not self._outcomes[key]:
                 del self._outcomes[key]
 
-    async def _ask_holder(self, key: str, known: OnceEntry) -> Sent:
+    async def _ask_holder(self, key: str, known: OnceEntry) -> SendStatus:
         """Return what the holder of a claim says became of its request.
 
         A holder that does not answer may have gone after it sent the request,
         or may just be cut off; that it is heard by gossip tells which.
         """
         if known.holder == self.kernel.lane:
-            return self._book.sent(key, known.nonce)
+            return self._book.send_status(key, known.nonce)
         peer = known.holder.partition("#")[0]
         ask = ClaimInquiry(key, known.holder, known.nonce)
         try:
             answer = await self.bus.ask(AskPeer(peer, ask, _INQUIRY_S))
-            return Sent(answer.sent)
+            return SendStatus(answer.sent)
         except (FirhookError, ValueError, AttributeError):
             members = await self.bus.ask(Members())
             alive = known.holder in {m.incarnation for m in members}
-            return Sent.RUNNING if alive else Sent.UNKNOWN
+            return SendStatus.RUNNING if alive else SendStatus.UNKNOWN
 
     async def _on_inquiry(self, ask: ClaimInquiry) -> ClaimInquiryAnswer:
         if ask.holder != self.kernel.lane:
             # An earlier run of this instance, which took its book with it.
-            return ClaimInquiryAnswer(ask.key, Sent.UNKNOWN.value)
-        return ClaimInquiryAnswer(ask.key, self._book.sent(ask.key, ask.nonce).value)
+            return ClaimInquiryAnswer(ask.key, SendStatus.UNKNOWN.value)
+        return ClaimInquiryAnswer(
+            ask.key, self._book.send_status(ask.key, ask.nonce).value
+        )
 
     # -- ends ------------------------------------------------------------
 
     def _on_sending(self, event: OnceSending) -> None:
-        self._book.move(event.key, Phase.SENDING)
+        self._book.set_phase(event.key, Phase.SENDING)
 
     def _on_lost(self, event: OnceLost) -> None:
         claim = self._book.find(event.key)
@@ -231,7 +233,7 @@
         if claim.phase is Phase.HELD:
             self._abandon(event.key, claim.nonce)
         else:
-            self._book.move(event.key, Phase.LOST)
+            self._book.set_phase(event.key, Phase.OUTCOME_UNKNOWN)
 
     async def _finish(self, query: OnceFinish) -> None:
         """Store an outcome without making its caller wait for the log."""
@@ -244,9 +246,9 @@
             # The log has been out for long.  Repeats are told "unknown",
             # which is true of what they can be told, and nothing runs twice.
             log("once.outcome_dropped", level="error", key=query.key)
-            self._book.move(query.key, Phase.LOST)
+            self._book.set_phase(query.key, Phase.OUTCOME_UNKNOWN)
             return
-        self._book.move(query.key, Phase.DONE)
+        self._book.set_phase(query.key, Phase.DONE)
         self._unstored[query.key] = query.answer
         self._unstored_bytes += size
         self._keep(self._store(query.key, claim.nonce, query.answer))
@@ -268,7 +270,7 @@
             self._abandon(query.key, claim.nonce)
 
     def _abandon(self, key: str, nonce: int) -> None:
-        self._book.drop(key)
+        self._book.remove(key)
         self._keep(self._release(key, self.kernel.lane, nonce))
 
     async def _release(self, key: str, holder: str, nonce: int) -> None:
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -10,7 +10,7 @@
 from mode import Service
 
 from firhook.decide.limits import zone_parts
-from firhook.decide.orders import LeadTerm, Standing, Timing
+from firhook.decide.orders import LeadTerm, LeaseStatus, Timing
 from firhook.decide.rounds import Scheduler
 from firhook.errors import FirhookError, WorkerFencedError, WorkerUnreachableError
 from firhook.events import (
@@ -109,7 +109,7 @@
             self._wake()
 
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
-        self._scheduler.start_over()
+        self._scheduler.invalidate()
         if event.stream == "cell":
             # What the snapshot holds may have been recorded a moment ago.
             self._lead_read_at = self.kernel.clock()
@@ -121,7 +121,7 @@
             if isinstance(body, (JobAccepted, JobCancelled, JobsAdopted)):
                 self._wake()
         elif event.stream == self._stream and isinstance(body, (Assigned, Ended)):
-            self._eager |= self._states.zone.touched
+            self._eager |= self._states.zone.changed_workers
             self._count_tasks()
             self._wake()
 
@@ -156,7 +156,7 @@
             )
             self._scheduler = self._new_scheduler()
         if self._term is not None:
-            self._term.list_workers(self._listed)
+            self._term.update_workers(self._listed)
         return lead, self._term
 
     @Service.task
@@ -200,7 +200,9 @@
         items, notes = self._scheduler.plan(
             term, self._left(), self.kernel.clock(), time.time()
         )
-        self.kernel.grants.promise(Counter(i.job_id.partition("/")[0] for i in items))
+        self.kernel.grants.keep_set_aside(
+            Counter(i.job_id.partition("/")[0] for i in items)
+        )
         if term.stopping:
             self._eager |= {w for w, r, _ in self._attempts() if r in term.stopping}
             self._talk_due.set()
@@ -221,7 +223,7 @@
         self.kernel.grants.tasks = counts
 
     def _attempts(self) -> Iterable[Any]:
-        return self._states.zone.attempts()
+        return self._states.zone.live_attempts()
 
     async def _settle(self, term: LeadTerm) -> None:
         """Append the term's first record, or one that settles a lost outcome."""
@@ -249,8 +251,8 @@
         for i in range(0, len(endings), MAX_BATCH):
             batch = endings[i : i + MAX_BATCH]
             await self._append(term, Ended(term.epoch, batch))
-            self._scheduler.endings.note(batch, now)
-            for mark in self._scheduler.endings.marks(batch, now):
+            self._scheduler.endings.record(batch, now)
+            for mark in self._scheduler.endings.worker_marks(batch, now):
                 log("worker.marked", worker=mark.worker, mark=mark.mark)
                 await self._append(term, mark)
 
@@ -273,7 +275,7 @@
             waits.append(self.kernel.bus.ask(Append("cell", body)))
         if notes:
             waits.append(self._append(term, JobsNoted(notes)))
-        closed = self._scheduler.endings.closable(self.kernel.clock())
+        closed = self._scheduler.endings.closable_jobs(self.kernel.clock())
         if closed:
             waits.append(self._append(term, JobsClosed(term.epoch, closed)))
         for result in await asyncio.gather(*waits, return_exceptions=True):
@@ -292,8 +294,8 @@
 
     def _left(self) -> dict[str, int]:
         now = self.kernel.clock()
-        teams = {e.job.team for e in self._states.cell.jobs_of(self.cfg.zone)}
-        room = self.kernel.grants.room_for_tasks
+        teams = {e.job.team for e in self._states.cell.open_jobs(self.cfg.zone)}
+        room = self.kernel.grants.set_aside_for_tasks
         return {team: room(team, self._part(team), now) for team in teams}
 
     # -- orders: what is said to workers ---------------------------------------------
@@ -329,7 +331,7 @@
                 report = await workers.send_order(view.endpoint, order)
         except (WorkerUnreachableError, WorkerFencedError) as exc:
             log("worker.silent", level="warning", worker=name, code=exc.code)
-            term.note_silence(name)
+            term.note_unreachable(name)
             return
         term.note_report(name, report, self.kernel.clock())
         if any(task.state != "running" for task in report.tasks) or name in self._eager:
@@ -338,8 +340,8 @@
     def _order(self, term: LeadTerm, name: str, lead: Lead) -> Any:
         if lead.epoch != term.epoch or lead.instance != self.kernel.lane:
             return None
-        standing = Standing(lead.held, lead.lease_left_s, lead.hold_left_s)
-        return term.order(name, standing, self.kernel.clock())
+        standing = LeaseStatus(lead.held, lead.lease_left_s, lead.hold_left_s)
+        return term.next_order(name, standing, self.kernel.clock())
 
 
 def batches(items: Sequence[Assignment]) -> list[list[Assignment]]:
--- a/src/firhook/state/__init__.py
+++ b/src/firhook/state/__init__.py
@@ -3,25 +3,30 @@
 from firhook.state._base import StreamState
 from firhook.state._cell import CellState, JobEntry, LeadState, job_digest
 from firhook.state._config import ConfigState, KeyEntry
-from firhook.state._lanes import Lanes
+from firhook.state._lanes import LaneSequences
 from firhook.state._once import OnceEntry, OnceState
-from firhook.state._snapshots import ChunkSets, Rebuild, Snapshot, split_snapshot
+from firhook.state._snapshots import (
+    ChunkAssembler,
+    Snapshot,
+    SnapshotFinder,
+    split_snapshot,
+)
 from firhook.state._states import States
 from firhook.state._zone import Ref, TaskState, ZoneState
 
 __all__ = [
     "CellState",
-    "ChunkSets",
+    "ChunkAssembler",
     "ConfigState",
     "JobEntry",
     "KeyEntry",
-    "Lanes",
+    "LaneSequences",
     "LeadState",
     "OnceEntry",
     "OnceState",
-    "Rebuild",
     "Ref",
     "Snapshot",
+    "SnapshotFinder",
     "States",
     "StreamState",
     "TaskState",
--- a/src/firhook/state/_base.py
+++ b/src/firhook/state/_base.py
@@ -7,8 +7,8 @@
 
 from firhook.errors import RecordMalformedError
 from firhook.model import Envelope, Marker, SnapshotChunk, Verdict
-from firhook.state._lanes import Lanes
-from firhook.state._snapshots import ChunkSets
+from firhook.state._lanes import LaneSequences
+from firhook.state._snapshots import ChunkAssembler
 
 
 class StreamState(ABC):
@@ -23,11 +23,11 @@
 
     def __init__(self) -> None:
         self.next_offset = 0
-        self.lanes = Lanes()
-        self.carried_upto = 0
-        self.carried_parts = 0
+        self.lanes = LaneSequences()
+        self.snapshot_offset = 0
+        self.snapshot_parts = 0
         self.fault = ""
-        self._chunks = ChunkSets(keep=False)
+        self._chunks = ChunkAssembler(keep=False)
 
     def apply(self, offset: int, envelope: Envelope) -> Verdict:
         """Apply a record and return the verdict that every reader reaches."""
@@ -51,9 +51,9 @@
 
     def _note_chunk(self, lane: str, chunk: SnapshotChunk) -> None:
         snapshot = self._chunks.add(lane, chunk)
-        if snapshot is not None and snapshot.upto >= self.carried_upto:
-            self.carried_upto = snapshot.upto
-            self.carried_parts = snapshot.parts
+        if snapshot is not None and snapshot.upto >= self.snapshot_offset:
+            self.snapshot_offset = snapshot.upto
+            self.snapshot_parts = snapshot.parts
 
     def skip(self, offset: int) -> None:
         """Pass over a record that cannot be understood."""
@@ -63,7 +63,7 @@
     def apply_body(self, offset: int, lane: str, body: Any) -> Verdict:
         """Apply a record that is new."""
 
-    def holds(self, lane: str, body: Any) -> bool:
+    def has_applied(self, lane: str, body: Any) -> bool:
         """Return whether the state shows that a record of a lane was applied.
 
         Asked for a record that expired before its own sender read it.  A
@@ -84,7 +84,7 @@
         """Return the whole state as JSON text, for a snapshot."""
         data = {
             "lanes": self.lanes.dump(),
-            "carried": [self.carried_upto, self.carried_parts],
+            "carried": [self.snapshot_offset, self.snapshot_parts],
             "state": self.dump(),
         }
         return msgspec.json.encode(data).decode()
@@ -107,5 +107,5 @@
         except Exception as exc:
             raise RecordMalformedError(f"snapshot as of {offset}: {exc!r}") from exc
         self.lanes.load(lanes)
-        self.carried_upto, self.carried_parts = upto, parts
+        self.snapshot_offset, self.snapshot_parts = upto, parts
         self.next_offset = offset
--- a/src/firhook/state/_cell.py
+++ b/src/firhook/state/_cell.py
@@ -84,7 +84,7 @@
         self.leads: dict[str, LeadState] = {z: LeadState() for z in self.zones}
         self.moved: dict[str, tuple[Span, ...]] = {}
         self.jobs: dict[str, JobEntry] = {}
-        self.known: dict[str, str] = {}
+        self.pruned_jobs: dict[str, str] = {}
         self._open: dict[str, dict[str, JobEntry]] = {}
         self._ended: dict[str, bool] = {}
 
@@ -157,8 +157,8 @@
         if key in self.jobs:
             same = self.jobs[key].job == accepted.job
             return Verdict.REPEATED if same else Verdict.CONFLICT
-        if key in self.known:
-            same = self.known[key] == job_digest(accepted.job)
+        if key in self.pruned_jobs:
+            same = self.pruned_jobs[key] == job_digest(accepted.job)
             return Verdict.REPEATED if same else Verdict.CONFLICT
         if accepted.zone not in self.leads:
             return Verdict.IGNORED
@@ -205,9 +205,9 @@
         while len(self._ended) > MAX_ENDED:
             oldest = next(iter(self._ended))
             del self._ended[oldest]
-            self.known[oldest] = job_digest(self.jobs.pop(oldest).job)
-        while len(self.known) > MAX_KNOWN:
-            del self.known[next(iter(self.known))]
+            self.pruned_jobs[oldest] = job_digest(self.jobs.pop(oldest).job)
+        while len(self.pruned_jobs) > MAX_KNOWN:
+            del self.pruned_jobs[next(iter(self.pruned_jobs))]
 
     def _apply_adoption(self, adoption: JobsAdopted) -> Verdict:
         giver = self.leads.get(adoption.giver)
@@ -216,11 +216,11 @@
             return Verdict.CONFLICT
         if giver.offset != adoption.seen:
             return Verdict.CONFLICT
-        for entry in self.jobs_of(adoption.giver):
+        for entry in self.open_jobs(adoption.giver):
             self._put(entry.job.key, attrs.evolve(entry, zone=adoption.receiver))
         return Verdict.APPLIED
 
-    def jobs_of(self, zone: str) -> list[JobEntry]:
+    def open_jobs(self, zone: str) -> list[JobEntry]:
         """Return the jobs that a zone's lead places and that have not ended."""
         return list(self._open.get(zone, {}).values())
 
@@ -232,7 +232,7 @@
                 "moved": self.moved,
                 "jobs": self.jobs,
                 "ended": list(self._ended),
-                "known": self.known,
+                "known": self.pruned_jobs,
             }
         )
 
@@ -245,13 +245,13 @@
         known = msgspec.convert(data["known"], dict[str, str])
         # Zones that were added since the snapshot have had no lead yet.
         self.leads = {z: leads.get(z, LeadState()) for z in self.zones}
-        self.moved, self.known = moved, known
+        self.moved, self.pruned_jobs = moved, known
         self.jobs, self._open = {}, {}
         self._ended = dict.fromkeys(ended, True)
         for key, entry in jobs.items():
             self._put(key, entry)
 
-    def holds(self, lane: str, body: Any) -> bool:
+    def has_applied(self, lane: str, body: Any) -> bool:
         """Return whether a claim of lead or a job is in force."""
         if isinstance(body, (LeadClaimed, LeadRenewed)):
             lead = self.leads.get(body.zone)
--- a/src/firhook/state/_config.py
+++ b/src/firhook/state/_config.py
@@ -176,7 +176,7 @@
         """Return the rows that changed after a version, as ``list/name``."""
         return sorted(name for name, at in self.changed_at.items() if at > version)
 
-    def holds(self, lane: str, body: Any) -> bool:
+    def has_applied(self, lane: str, body: Any) -> bool:
         """Return whether a key is given or withdrawn as a record says."""
         if isinstance(body, KeyGiven):
             entry = KeyEntry(body.key_id, body.team, body.digest)
--- a/src/firhook/state/_lanes.py
+++ b/src/firhook/state/_lanes.py
@@ -1,7 +1,7 @@
 """Recognises records that the log holds twice or out of their sender's order."""
 
 
-class Lanes:
+class LaneSequences:
     """The highest sequence number applied for each lane of one stream.
 
     An append whose answer was lost is sent again with the same id, and may
--- a/src/firhook/state/_once.py
+++ b/src/firhook/state/_once.py
@@ -116,7 +116,7 @@
         del self.entries[key]
         self._total -= self._data.pop(key, 0)
 
-    def holds(self, lane: str, body: Any) -> bool:
+    def has_applied(self, lane: str, body: Any) -> bool:
         """Return whether a claim is held, or an outcome is stored."""
         entry = self.entries.get(getattr(body, "key", ""))
         if entry is None or (entry.holder, entry.nonce) != (
--- a/src/firhook/state/_snapshots.py
+++ b/src/firhook/state/_snapshots.py
@@ -29,7 +29,7 @@
     )
 
 
-class ChunkSets:
+class ChunkAssembler:
     """Finds the sets of chunks that are complete.
 
     A set is complete only if every part of the same sender and the same
@@ -60,7 +60,7 @@
         return None
 
 
-class Rebuild:
+class SnapshotFinder:
     """Looks through what the log kept for a snapshot to start from.
 
     The head of a trimmed log may hold the last parts of a set whose first
@@ -73,7 +73,7 @@
     def __init__(self, first: int) -> None:
         self.next_offset = first
         self._first = first
-        self._sets = ChunkSets(keep=True)
+        self._sets = ChunkAssembler(keep=True)
 
     def add(self, lane: str, chunk: SnapshotChunk) -> Snapshot | None:
         """Take in a chunk, and return a snapshot that can be started from."""
--- a/src/firhook/state/_zone.py
+++ b/src/firhook/state/_zone.py
@@ -82,7 +82,7 @@
         self.live: dict[str, dict[Ref, TaskState]] = {}
         self.running: dict[str, int] = {}
         self.live_tasks: dict[str, int] = {}
-        self.touched: set[str] = set()
+        self.changed_workers: set[str] = set()
 
     def apply_body(self, offset: int, lane: str, body: Any) -> Verdict:
         """Apply assignments, endings, marks or notes."""
@@ -112,7 +112,7 @@
             return Verdict.APPLIED
         return Verdict.IGNORED
 
-    def attempts(self) -> Iterator[tuple[str, Ref, TaskState]]:
+    def live_attempts(self) -> Iterator[tuple[str, Ref, TaskState]]:
         """Return every attempt that may be running, with its worker."""
         for worker, refs in self.live.items():
             for ref, task in refs.items():
@@ -132,7 +132,7 @@
             ref = (job_id, index, task.attempt)
             self.live.setdefault(task.worker, {})[ref] = task
             self._count(job_id, 1)
-            self.touched.add(task.worker)
+            self.changed_workers.add(task.worker)
 
     def _unlist(self, job_id: str, index: int, task: TaskState | None) -> None:
         if task is None or not task.live:
@@ -142,7 +142,7 @@
         if not refs:
             del self.live[task.worker]
         self._count(job_id, -1)
-        self.touched.add(task.worker)
+        self.changed_workers.add(task.worker)
 
     def _count(self, job_id: str, amount: int) -> None:
         team = job_id.partition("/")[0]
@@ -270,7 +270,7 @@
         self.epoch = msgspec.convert(data["epoch"], int)
         self.marks, self.notes = marks, notes
         self.closed = dict.fromkeys(closed, True)
-        self.touched |= self.live.keys()
+        self.changed_workers |= self.live.keys()
         self.tasks, self.live, self.running, self.live_tasks = {}, {}, {}, {}
         for job_id, tasks in loaded.items():
             for index, task in tasks.items():
