--- a/tests/decide/cell_world.py
+++ b/tests/decide/cell_world.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from firhook.decide.lease import HeldLease, SeenLease
-from firhook.decide.orders import LeadTerm, Standing, Timing
-from firhook.decide.place import Need, Room, Rooms
-from firhook.decide.turns import Want, plan_turns
+from firhook.decide.fair_share import TaskRequest, plan_placements
+from firhook.decide.lease import HeldLease, ObservedLease
+from firhook.decide.orders import LeadTerm, LeaseStatus, Timing
+from firhook.decide.place import CapacityIndex, ResourceNeed, WorkerCapacity
 from firhook.model import (
     Assigned,
     Assignment,
@@ -138,7 +138,7 @@
         self.rate = rate
         self.seq = 0
         self.states = {"cell": CellState((ZONE,)), STREAM: ZoneState(ZONE)}
-        self.held, self.hold, self.seen = HeldLease(), HeldLease(), SeenLease()
+        self.held, self.hold, self.seen = HeldLease(), HeldLease(), ObservedLease()
         self.sent = {}
         self.waiting = {}
         self.term = None
@@ -178,8 +178,8 @@
             self.seen.read_at = self.now()
             if own:
                 sent_at = self.sent[envelope.seq]
-                self.held.renewed(sent_at, LEAD_LEASE_S)
-                self.hold.renewed(sent_at, TIMING.hold_s)
+                self.held.renew(sent_at, LEAD_LEASE_S)
+                self.hold.renew(sent_at, TIMING.hold_s)
                 self._open_term(body.epoch)
         if own:
             del self.waiting[stream]
@@ -193,8 +193,8 @@
 
     def standing(self):
         now = self.now()
-        held = self.held.held(now)
-        return Standing(held, self.held.until - now, self.hold.until - now)
+        held = self.held.is_held(now)
+        return LeaseStatus(held, self.held.expires_at - now, self.hold.expires_at - now)
 
     def campaign(self):
         """Claim or renew, as the members role does."""
@@ -204,7 +204,7 @@
             self.append(
                 "cell", LeadRenewed(ZONE, lead.epoch, self.lane, (self.lane,), 1)
             )
-        elif lead.epoch == 0 or self.seen.lapsed(
+        elif lead.epoch == 0 or self.seen.has_expired(
             self.now(), LEAD_LEASE_S, TIMING.margin_s
         ):
             self.append(
@@ -218,12 +218,12 @@
 
     def decide(self):
         """Append what the log must hold next: fence, ends or assignments."""
-        if self.term is None or not self.held.held(self.now()):
+        if self.term is None or not self.held.is_held(self.now()):
             return
         if STREAM in self.waiting:
             return
         term = self.term
-        term.list_workers(self.world.endpoints())
+        term.update_workers(self.world.endpoints())
         if not term.settled:
             self.append(STREAM, ZoneFenced(term.epoch, self.lane))
             return
@@ -236,16 +236,16 @@
             self.append(STREAM, Assigned(term.epoch, items))
 
     def _place(self):
-        rooms = []
+        capacities = []
         for view in self.term.workers.values():
             if view.report is None:
                 continue
-            room = Room(view.name, "r", CPUS, 4096, 0)
+            capacity = WorkerCapacity(view.name, "r", CPUS, 4096, 0)
             for ref in self.zone.live.get(view.name, {}):
-                room.take(Need.of(self.cell.jobs[ref[0]].job))
-            rooms.append(room)
-        wants = []
-        for entry in self.cell.jobs_of(ZONE):
+                capacity.reserve(ResourceNeed.of(self.cell.jobs[ref[0]].job))
+            capacities.append(capacity)
+        requests = []
+        for entry in self.cell.open_jobs(ZONE):
             tasks = self.zone.tasks.get(entry.job.key, {})
             over = {"done", "cancelled"}
             pending = tuple(
@@ -254,9 +254,16 @@
                 if i not in tasks or (tasks[i].outcome and tasks[i].outcome not in over)
             )
             if pending and not entry.cancelled:
-                wants.append(Want(entry.job, pending))
+                requests.append(TaskRequest(entry.job, pending))
         left = {"t": 100}
-        plan = plan_turns(wants, Rooms(rooms), {}, {}, left, Need(CPUS, 4096, 0))
+        plan = plan_placements(
+            requests,
+            CapacityIndex(capacities),
+            {},
+            {},
+            left,
+            ResourceNeed(CPUS, 4096, 0),
+        )
         for p in plan.placements:
             last = self.zone.tasks.get(p.job_id, {}).get(p.index)
             attempt = last.attempt + 1 if last else 1
@@ -314,7 +321,7 @@
         """Hand an order to a worker and, unless it is lost, the answer back."""
         report = self.workers[name].sync(order, self.now)
         if report is None or not answered:
-            lead.term.note_silence(name)
+            lead.term.note_unreachable(name)
         else:
             lead.term.note_report(name, report, lead.now())
 
@@ -329,13 +336,13 @@
                 report = self.workers[name].report(self.now)
                 term.note_report(name, report, lead.now())
             return
-        order = term.order(name, lead.standing(), lead.now())
+        order = term.next_order(name, lead.standing(), lead.now())
         if order is None:
             return
         if fault in ("late", "twice"):
             self.mail.append((name, order))
         if fault in ("late", "cut"):
-            term.note_silence(name)
+            term.note_unreachable(name)
         else:
             self.deliver(lead, name, order, answered=fault != "unanswered")
 
--- a/tests/decide/test_adopt.py
+++ b/tests/decide/test_adopt.py
@@ -2,8 +2,13 @@
 
 import asyncio
 
-from firhook.decide.adopt import SIGHT_S, Sight, adopter, carried
-from firhook.decide.lease import latest
+from firhook.decide.adopt import (
+    MAX_LOG_AGE_S,
+    LeadActivity,
+    choose_adopter,
+    tasks_to_carry,
+)
+from firhook.decide.lease import latest_end
 from firhook.decide.orders import Timing
 from firhook.errors import LogTrimmedError
 from firhook.model import (
@@ -26,9 +31,9 @@
 def watch(sight, until, heard_until, start=0, blind=()):
     for now in range(start, until):
         out = any(a <= now < b for a, b in blind)
-        sight.note_age(SIGHT_S + 1 if out else 0.5, float(now))
+        sight.record_log_age(MAX_LOG_AGE_S + 1 if out else 0.5, float(now))
         if now <= heard_until and not out:
-            sight.note_lead("lekki", float(now))
+            sight.record_lead("lekki", float(now))
 
 
 def test_a_zone_is_lost_only_after_hold_and_lease_without_a_renewal():
@@ -37,11 +42,11 @@
     Were its jobs adopted before that lead's hold and its tasks' last lease
     are over, a plan would run in two zones at once.
     """
-    sight = Sight()
+    sight = LeadActivity()
     watch(sight, 200, heard_until=10)
-    end = 10 + latest(0.0, TIMING.hold_s + TIMING.lease_s) + TIMING.margin_s
-    assert not sight.lost("lekki", TIMING, end)
-    assert sight.lost("lekki", TIMING, end + 0.01)
+    end = 10 + latest_end(0.0, TIMING.hold_s + TIMING.lease_s) + TIMING.margin_s
+    assert not sight.is_lost("lekki", TIMING, end)
+    assert sight.is_lost("lekki", TIMING, end + 0.01)
 
 
 def test_after_an_outage_of_the_log_zones_get_time_to_renew():
@@ -50,24 +55,24 @@
     All zones were silent for ten minutes.  Adopting them at once would move
     every job of the cell for nothing.
     """
-    sight = Sight()
+    sight = LeadActivity()
     watch(sight, 700, heard_until=50, blind=((50, 650),))
-    assert not sight.lost("lekki", TIMING, 700.0)
+    assert not sight.is_lost("lekki", TIMING, 700.0)
 
 
 def test_a_stalled_instance_starts_counting_anew():
-    sight = Sight()
+    sight = LeadActivity()
     watch(sight, 200, heard_until=10)
-    sight.lose()
-    assert not sight.lost("lekki", TIMING, 200.0)
+    sight.reset()
+    assert not sight.is_lost("lekki", TIMING, 200.0)
 
 
 def test_lost_zones_fall_to_the_next_that_is_alive():
     zones = ("apapa", "ikeja", "lekki", "yaba")
     alive = {"apapa": True, "yaba": True}
-    assert adopter(zones, "lekki", alive) == "yaba"
-    assert adopter(zones, "yaba", alive) == "apapa"
-    assert adopter(zones, "lekki", {}) == ""
+    assert choose_adopter(zones, "lekki", alive) == "yaba"
+    assert choose_adopter(zones, "yaba", alive) == "apapa"
+    assert choose_adopter(zones, "lekki", {}) == ""
 
 
 def giver_records():
@@ -107,7 +112,7 @@
     envelopes = [Envelope("i", n, b) for n, b in enumerate(giver_records(), 1)]
     giver = asyncio.run(read_zone(FakeLog(envelopes), "lekki"))
     own = ZoneState("yaba")
-    items = tuple(carried(giver, ["t/a"]))
+    items = tuple(tasks_to_carry(giver, ["t/a"]))
     own.apply(0, Envelope("k", 1, TasksCarried(7, "lekki", items)))
     own.apply(1, Envelope("k", 2, Assigned(7, (Assignment("t/a", 0, 3, "y0"),))))
     assert own.tasks["t/a"][0].progress == 0.6
--- a/tests/decide/test_lead.py
+++ b/tests/decide/test_lead.py
@@ -4,14 +4,14 @@
 from hypothesis import strategies as st
 
 from firhook.decide.lead import (
+    LeadObservation,
     LeadTimes,
-    Sight,
-    TakeOver,
+    PreviousLead,
+    holdings_end_at,
     may_claim,
     may_lend,
-    silent_until,
 )
-from firhook.decide.lease import DRIFT, HeldLease, SeenLease
+from firhook.decide.lease import MAX_CLOCK_DRIFT, HeldLease, ObservedLease
 
 TIMES = LeadTimes(lease_s=6, margin_s=1, ttl_s=3, linger_s=30, outage_s=900)
 MOMENT = st.floats(0, 100)
@@ -24,33 +24,41 @@
     The holder counts from before it sent, the others from when they read; were
     it otherwise, both could lead the zone at the same moment.
     """
-    held, seen = HeldLease(), SeenLease()
-    held.renewed(sent, TIMES.lease_s)
+    held, seen = HeldLease(), ObservedLease()
+    held.renew(sent, TIMES.lease_s)
     seen.read_at = sent + delay + late
-    if seen.lapsed(now, TIMES.lease_s, TIMES.margin_s):
-        assert not held.held(now)
+    if seen.has_expired(now, TIMES.lease_s, TIMES.margin_s):
+        assert not held.is_held(now)
 
 
 def test_lease_is_judged_by_the_clock_at_the_moment_of_use():
     held = HeldLease()
-    held.renewed(10.0, 6.0)
-    assert held.held(15.9)
-    assert not held.held(16.0)
+    held.renew(10.0, 6.0)
+    assert held.is_held(15.9)
+    assert not held.is_held(16.0)
 
 
 def test_claim_waits_for_lapse_sight_and_promise():
-    fresh = Sight(released=False, lapsed=True, log_age_s=0.1, promised_at=0.0)
-    after = 0.0 + TIMES.ttl_s * (1 + DRIFT) + 0.01
+    fresh = LeadObservation(
+        released=False, lease_expired=True, log_age_s=0.1, promised_at=0.0
+    )
+    after = 0.0 + TIMES.ttl_s * (1 + MAX_CLOCK_DRIFT) + 0.01
     assert may_claim(fresh, TIMES, after, 6.0)
     assert not may_claim(fresh, TIMES, after - 0.02, 6.0)
-    blind = Sight(released=True, lapsed=True, log_age_s=7.0, promised_at=0.0)
+    blind = LeadObservation(
+        released=True, lease_expired=True, log_age_s=7.0, promised_at=0.0
+    )
     assert not may_claim(blind, TIMES, after, 6.0)
-    live = Sight(released=False, lapsed=False, log_age_s=0.1, promised_at=0.0)
+    live = LeadObservation(
+        released=False, lease_expired=False, log_age_s=0.1, promised_at=0.0
+    )
     assert not may_claim(live, TIMES, after, 6.0)
 
 
 def test_released_lead_is_taken_at_once():
-    sight = Sight(released=True, lapsed=False, log_age_s=0.1, promised_at=99.9)
+    sight = LeadObservation(
+        released=True, lease_expired=False, log_age_s=0.1, promised_at=99.9
+    )
     assert may_claim(sight, TIMES, 100.0, 6.0)
 
 
@@ -66,11 +74,11 @@
     seen = {
         "released": False,
         "roster": frozenset("ab"),
-        "me": "b",
+        "new_lead": "b",
         "answered": frozenset(),
         "lead_read_at": 50.0,
     }
-    return silent_until(TakeOver(**{**seen, **changed}), TIMES, 60.0)
+    return holdings_end_at(PreviousLead(**{**seen, **changed}), TIMES, 60.0)
 
 
 def test_silent_holders_are_waited_for_as_long_as_the_old_lead_may_lend():
@@ -81,7 +89,7 @@
     """
     lapse_s = TIMES.ttl_s + TIMES.linger_s
     assert silent() == 60.0 + lapse_s
-    assert silent(me="c", released=True) == 60.0 + lapse_s
-    answered = silent(me="c", answered=frozenset("b"))
+    assert silent(new_lead="c", released=True) == 60.0 + lapse_s
+    answered = silent(new_lead="c", answered=frozenset("b"))
     assert 60.0 + lapse_s < answered < 60.0 + lapse_s + 2 * TIMES.ttl_s
-    assert silent(me="c") >= 50.0 + TIMES.outage_s + lapse_s
+    assert silent(new_lead="c") >= 50.0 + TIMES.outage_s + lapse_s
--- a/tests/decide/test_limits.py
+++ b/tests/decide/test_limits.py
@@ -101,11 +101,11 @@
 
 def test_account_counts_what_runs_when_its_room_shrinks():
     account = Account()
-    account.room["t"] = 2
-    assert account.take("t", 2)
-    account.room["t"] = 1
-    account.give_back("t")
-    assert not account.take("t")
+    account.capacity["t"] = 2
+    assert account.acquire("t", 2)
+    account.capacity["t"] = 1
+    account.release("t")
+    assert not account.acquire("t")
 
 
 def test_room_that_lapsed_during_a_pause_is_not_taken():
@@ -117,7 +117,7 @@
     """
     now = 10.0
     account = Account(lambda: now)
-    account.lend("t", 2, 13.0)
-    assert account.take("t")
+    account.set_capacity("t", 2, 13.0)
+    assert account.acquire("t")
     now = 13.0
-    assert not account.take("t")
+    assert not account.acquire("t")
--- a/tests/decide/test_orders.py
+++ b/tests/decide/test_orders.py
@@ -53,7 +53,7 @@
 
 
 def worker_of(world, lead):
-    ((name, _ref, _task),) = lead.zone.attempts()
+    ((name, _ref, _task),) = lead.zone.live_attempts()
     return world.workers[name]
 
 
@@ -125,7 +125,7 @@
 
 def logged_cpus(world):
     zone, cell = world.truth[STREAM], world.truth["cell"]
-    return sum(cell.jobs[ref[0]].job.cpus for _, ref, _ in zone.attempts())
+    return sum(cell.jobs[ref[0]].job.cpus for _, ref, _ in zone.live_attempts())
 
 
 def test_a_deposed_leads_assignment_after_the_fence_is_void():
@@ -152,7 +152,7 @@
     """
     world, new, late = deposed_world()
     new.read(STREAM)
-    new.term.list_workers(world.endpoints())
+    new.term.update_workers(world.endpoints())
     talk_all(world, new)
     new.decide()
     world.appends.insert(0, late)
@@ -255,7 +255,7 @@
     world.submit(1, 3.0)
     lead.read("cell")
     log_decisions(world, lead)
-    lead.term.note_silence("w0")
+    lead.term.note_unreachable("w0")
     lead.decide()
     assert len(world.appends) == 1
     talk_all(world, lead)
@@ -360,7 +360,7 @@
         log_decisions(world, lead)
     busy = [w for w in world.workers.values() if w.tasks]
     assert sum(len(w.running(world.now)) for w in busy) == 2
-    order = lead.term.order(busy[0].name, lead.standing(), lead.now())
+    order = lead.term.next_order(busy[0].name, lead.standing(), lead.now())
     assert order.renew_all
     assert not order.renew
 
--- a/tests/decide/test_parts.py
+++ b/tests/decide/test_parts.py
@@ -75,12 +75,12 @@
 def test_retries_stay_within_a_tenth_of_the_answers():
     """A fleet that fails under overload must not be sent everything again."""
     budget = RetryBudget()
-    while budget.take():
+    while budget.try_spend():
         pass
     retried = 0
     for _ in range(1000):
-        budget.answered()
-        retried += budget.take()
+        budget.note_answer()
+        retried += budget.try_spend()
     assert 95 <= retried <= 100
 
 
--- a/tests/decide/test_requests.py
+++ b/tests/decide/test_requests.py
@@ -7,15 +7,15 @@
 
 from bench._virtual import Fleet, Req, Stream, make_all, percentile
 from firhook.decide.admit import (
+    DispatchedRequest,
     Dispatcher,
-    GivenUp,
-    Placed,
     QueueLimits,
-    expected_item,
+    RefusedRequest,
+    make_queued_request,
 )
 from firhook.decide.limits import Account
 from firhook.decide.parts import FleetUse
-from firhook.decide.queue import FairQueue, Waiting
+from firhook.decide.queue import FairQueue, QueuedRequest
 from firhook.errors import DeadlineUnmeetableError, NoEndpointError
 from firhook.model import Endpoint
 
@@ -33,7 +33,7 @@
 
 def dispatcher(*endpoints, room=100):
     account = Account()
-    account.room = {"a": room, "b": room}
+    account.capacity = {"a": room, "b": room}
     result = Dispatcher("i0", "z0", account, QueueLimits(50, 40))
     result.update(endpoints, 0.0)
     result.rebalance(FLEET_OF_ONE, {"a": 1.0, "b": 1.0}, 0.0)
@@ -41,7 +41,7 @@
 
 
 def admit(disp, now=0.0, deadline=30.0, team="a", expected_s=None, allowed_s=0.0):
-    item = expected_item(disp.times, (team,), team, "standard", now, deadline)
+    item = make_queued_request(disp.times, (team,), team, "standard", now, deadline)
     if expected_s is not None:
         item.expected_s = expected_s
     item.allowed_s = allowed_s
@@ -59,7 +59,7 @@
     weights = {"short": 1.0, "long": 1.0}
     for i in range(6000):
         for team in weights:
-            queue.push(Waiting(team, "standard", 0.1 * i, 1e9))
+            queue.push(QueuedRequest(team, "standard", 0.1 * i, 1e9))
     running = []
     for step in range(400):
         while len(running) < 24 and (item := queue.pop(weights, ())) is not None:
@@ -147,7 +147,7 @@
     disp = dispatcher(*endpoints)
     for view in disp.router.views.values():
         for _ in range(10):
-            disp.router.failed(view, 1.0)
+            disp.router.note_failure(view, 1.0)
     ejected = [v for v in disp.router.views.values() if v.ejected_until > 1.0]
     assert len(ejected) == 2
 
@@ -160,12 +160,12 @@
     disp = dispatcher(*endpoints)
     view = next(iter(disp.router.views.values()))
     for _ in range(3):
-        disp.router.failed(view, 1.0)
-    assert view.room(1.5) == 0
-    assert view.room(3.0) == 1
+        disp.router.note_failure(view, 1.0)
+    assert view.headroom(1.5) == 0
+    assert view.headroom(3.0) == 1
     for _ in range(8):
-        disp.router.answered(view, 0.1, 0.1, 3.0)
-    assert view.room(3.0) == 8
+        disp.router.note_answer(view, 0.1, 0.1, 3.0)
+    assert view.headroom(3.0) == 8
 
 
 def test_runner_back_at_a_new_address_is_a_new_runner():
@@ -198,10 +198,10 @@
     disp = dispatcher(runner("r"))
     for _ in range(20):
         admit(disp)
-    while disp.take(0.0) is not None:
+    while disp.dispatch_next(0.0) is not None:
         pass
     disp.update([], 1.0)
-    given_up = disp.sweep(1.0, 0.5)
+    given_up = disp.refuse_hopeless(1.0, 0.5)
     assert given_up
     assert all(isinstance(g.exc, NoEndpointError) for g in given_up)
     assert all(g.exc.ran == "no" and g.exc.retry_after_s > 0 for g in given_up)
@@ -213,7 +213,7 @@
     disp = dispatcher(runner("r"))
     for _ in range(40):
         admit(disp, expected_s=2.0, team="a")
-    while disp.take(0.0) is not None:
+    while disp.dispatch_next(0.0) is not None:
         pass
     with pytest.raises(DeadlineUnmeetableError) as caught:
         admit(disp, deadline=1.0)
@@ -227,9 +227,9 @@
     """
     disp = dispatcher(runner("r"), room=0)
     admit(disp)
-    assert disp.take(0.0) is None
-    assert disp.sweep(1.0, 0.5) == []
-    given_up = disp.sweep(2.5, 0.5)
+    assert disp.dispatch_next(0.0) is None
+    assert disp.refuse_hopeless(1.0, 0.5) == []
+    given_up = disp.refuse_hopeless(2.5, 0.5)
     assert [g.exc.code for g in given_up] == ["queue.team_full"]
 
 
@@ -255,11 +255,11 @@
     """
     disp = dispatcher(runner("r"))
     for _ in range(20):
-        disp.times.learn(("a",), 5.0, 1.0)
+        disp.times.record(("a",), 5.0, 1.0)
     with pytest.raises(DeadlineUnmeetableError):
         admit(disp, now=1.0, deadline=2.0)
     assert admit(disp, now=20.0, deadline=21.0).queued
-    assert disp.take(20.0) is not None
+    assert disp.dispatch_next(20.0) is not None
     assert admit(disp, now=20.0, deadline=20.01, team="b").queued
 
 
@@ -267,7 +267,7 @@
     """Return a dispatcher of a kind that seldom takes long, at time 0."""
     disp = dispatcher(runner("r"))
     for took_s in [longest_s, *[0.02] * 30]:
-        disp.times.learn(("a",), took_s, 0.0)
+        disp.times.record(("a",), took_s, 0.0)
     return disp
 
 
@@ -277,12 +277,12 @@
     """
     disp = unequal()
     admit(disp, deadline=6.0, allowed_s=6.0)
-    got = disp.take(3.0)
-    assert isinstance(got, GivenUp)
+    got = disp.dispatch_next(3.0)
+    assert isinstance(got, RefusedRequest)
     assert isinstance(got.exc, DeadlineUnmeetableError)
     assert got.exc.ran == "no" and got.exc.retry_after_s > 0
     assert len(disp.queue) == disp.running == 0
-    assert disp.take(3.0) is None
+    assert disp.dispatch_next(3.0) is None
 
 
 def test_request_is_not_sent_once_its_deadline_has_passed():
@@ -291,21 +291,21 @@
     """
     disp = dispatcher(runner("r"))
     admit(disp, deadline=1.0)
-    assert isinstance(disp.take(1.01), GivenUp)
+    assert isinstance(disp.dispatch_next(1.01), RefusedRequest)
 
 
 def test_entry_that_waits_too_long_is_told_before_its_turn():
     disp = unequal()
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert disp.sweep(2.0, 0.5) == []
-    assert [g.exc.code for g in disp.sweep(3.0, 0.5)] == ["queue.deadline"]
+    assert disp.refuse_hopeless(2.0, 0.5) == []
+    assert [g.exc.code for g in disp.refuse_hopeless(3.0, 0.5)] == ["queue.deadline"]
 
 
 def test_entry_whose_wait_would_leave_too_little_time_is_refused_on_arrival():
     disp = unequal()
     for _ in range(20):
         admit(disp, expected_s=2.0)
-    while disp.take(0.0) is not None:
+    while disp.dispatch_next(0.0) is not None:
         pass
     assert admit(disp, deadline=6.0).queued
     with pytest.raises(DeadlineUnmeetableError):
@@ -315,7 +315,7 @@
 def test_entry_with_time_for_the_longest_is_sent():
     disp = unequal()
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(2.0), Placed)
+    assert isinstance(disp.dispatch_next(2.0), DispatchedRequest)
 
 
 def test_entry_that_need_not_wait_is_sent_however_long_its_kind_takes():
@@ -324,7 +324,7 @@
     """
     disp = unequal(longest_s=5.9)
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(1.0), Placed)
+    assert isinstance(disp.dispatch_next(1.0), DispatchedRequest)
 
 
 def test_entry_whose_caller_has_no_time_for_the_longest_is_sent():
@@ -333,7 +333,7 @@
     """
     disp = unequal()
     admit(disp, deadline=1.0, allowed_s=1.0)
-    assert isinstance(disp.take(0.8), Placed)
+    assert isinstance(disp.dispatch_next(0.8), DispatchedRequest)
 
 
 def test_kind_given_up_for_its_longest_is_not_given_up_for_good():
@@ -342,9 +342,9 @@
     """
     disp = unequal()
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(3.0), GivenUp)
+    assert isinstance(disp.dispatch_next(3.0), RefusedRequest)
     admit(disp, now=9.0, deadline=15.0, allowed_s=6.0)
-    assert isinstance(disp.take(12.0), Placed)
+    assert isinstance(disp.dispatch_next(12.0), DispatchedRequest)
 
 
 def test_entry_behind_one_that_outlasts_all_others_is_given_up():
@@ -353,12 +353,12 @@
     """
     disp = unequal(longest_s=0.02)
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(0.0), Placed)
+    assert isinstance(disp.dispatch_next(0.0), DispatchedRequest)
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(2.5), GivenUp)
+    assert isinstance(disp.dispatch_next(2.5), RefusedRequest)
 
 
 def test_entry_of_a_kind_never_seen_is_sent():
     disp = dispatcher(runner("r"))
     admit(disp, deadline=6.0, allowed_s=6.0)
-    assert isinstance(disp.take(5.9), Placed)
+    assert isinstance(disp.dispatch_next(5.9), DispatchedRequest)
--- a/tests/decide/shop.py
+++ b/tests/decide/zone_simulation.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from firhook.decide.orders import LeadTerm, Standing, Timing
+from firhook.decide.orders import LeadTerm, LeaseStatus, Timing
 from firhook.decide.rounds import Scheduler
 from firhook.model import (
     Assigned,
@@ -32,7 +32,7 @@
 
 ZONE = "ikeja"
 TIMING = Timing(lease_s=15.0, hold_s=45.0, margin_s=1.0, sync_s=2.0)
-WELL = Standing(held=True, lease_left_s=6.0, hold_left_s=45.0)
+HEALTHY = LeaseStatus(held=True, lease_left_s=6.0, hold_left_s=45.0)
 
 
 def fleet(count, cpus=32.0, memory_mb=65536, per_rack=6, accelerators=0, zone=ZONE):
@@ -64,7 +64,7 @@
     reason: str = ""
 
 
-class Shop:
+class ZoneSimulation:
     """The states, the decisions and the workers of one zone."""
 
     def __init__(self, workers, teams):
@@ -137,7 +137,7 @@
         self.term.note_report(worker, report, self.now)
 
     def _report_all(self):
-        self.term.list_workers(self.workers.values())
+        self.term.update_workers(self.workers.values())
         for worker in self.runs:
             self._tick(worker)
         for worker in self._dirty:
@@ -145,7 +145,7 @@
         self._dirty.clear()
 
     def _carry_out(self, worker):
-        order = self.term.order(worker, WELL, self.now)
+        order = self.term.next_order(worker, HEALTHY, self.now)
         runs = self.runs[worker]
         for ref in order.forget:
             del runs[tuple(ref)]
@@ -177,7 +177,7 @@
     # -- the lead's round ------------------------------------------------------
 
     def left(self):
-        teams = {e.job.team for e in self.cell.jobs_of(ZONE)}
+        teams = {e.job.team for e in self.cell.open_jobs(ZONE)}
         return {
             t: max(self.config.plan_of(t).limit - self.zone.running.get(t, 0), 0)
             for t in teams
@@ -190,8 +190,8 @@
         if endings:
             self.apply(self.zone, Ended(1, endings))
             self.ended += endings
-            self.scheduler.endings.note(endings, self.now)
-            for mark in self.scheduler.endings.marks(endings, self.now):
+            self.scheduler.endings.record(endings, self.now)
+            for mark in self.scheduler.endings.worker_marks(endings, self.now):
                 self.apply(self.zone, mark)
         ended = self.scheduler.endings.ended_jobs()
         if ended:
@@ -205,12 +205,12 @@
             self.apply(self.zone, JobsNoted(notes))
         touched = {i.worker for i in items}
         touched |= {
-            w for w, ref, _ in self.zone.attempts() if ref in self.term.stopping
+            w for w, ref, _ in self.zone.live_attempts() if ref in self.term.stopping
         }
         touched |= {w for w, runs in self.runs.items() if self._idle(runs)}
-        for entry in self.cell.jobs_of(ZONE):
+        for entry in self.cell.open_jobs(ZONE):
             if entry.cancelled:
-                touched |= {w for w, ref, _ in self.zone.attempts()}
+                touched |= {w for w, ref, _ in self.zone.live_attempts()}
         for worker in sorted(touched):
             self._carry_out(worker)
         return items
@@ -248,7 +248,7 @@
     def cpus_by_team(self):
         """Return the processors that each team's running tasks have."""
         used = {}
-        for _, ref, _ in self.zone.attempts():
+        for _, ref, _ in self.zone.live_attempts():
             job = self.cell.jobs[ref[0]].job
             used[job.team] = used.get(job.team, 0.0) + job.cpus
         return used
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -104,7 +104,7 @@
         await s.until(lambda: bool(s.kernels[other].states.zone.tasks))
         await s.kill(lead)
         zone = s.kernels[other].states.zone
-        await s.until(lambda: not any(zone.attempts()), 120.0)
+        await s.until(lambda: not any(zone.live_attempts()), 120.0)
         await s.call(other, "GET", "/v1/jobs/reconcile", key)
 
     assert play(script) == snapshot
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -16,7 +16,7 @@
 from firhook._leadership import Leadership
 from firhook._lender import Lender
 from firhook._room import RoomKeeper
-from firhook.decide.grants import GrantBook
+from firhook.decide.grants import GrantTable
 from firhook.decide.limits import Account
 from firhook.errors import (
     FirhookError,
@@ -103,7 +103,7 @@
         self.bus = Bus()
         self.states = States(Config(fleet.log), CellState(ZONES))
         self.account = Account(self.clock)
-        self.grants = GrantBook(self.cfg.grant_ttl_s, LINGER_S)
+        self.grants = GrantTable(self.cfg.grant_ttl_s, LINGER_S)
         self.load = Load()
         self.stopping = False
         self.alive = True
@@ -281,7 +281,7 @@
         if not self.alive or not self.gate.is_set() or self.stopping:
             return
         while self.account.running.get(TEAM, 0) < self.demand:
-            if not self.account.take(TEAM):
+            if not self.account.acquire(TEAM):
                 self.load.waiting = {TEAM: 1}
                 self.bus.publish(RoomWanted(TEAM, self.demand))
                 return
@@ -292,7 +292,7 @@
         """Give room back once the answer is read."""
         if self.alive:
             await self.gate.wait()
-            self.account.give_back(TEAM)
+            self.account.release(TEAM)
 
     def kill(self):
         """End the process; its requests run on at the runners."""
--- a/tests/roles/test_cell.py
+++ b/tests/roles/test_cell.py
@@ -9,7 +9,7 @@
 from firhook.roles._cell import check_possible, choose_zone
 from firhook.roles._fold import MAX_FOLDED, Folder
 from firhook.roles._zone_lead import MAX_BATCH, batches
-from tests.decide.shop import fleet
+from tests.decide.zone_simulation import fleet
 
 WORKERS = (*fleet(4, cpus=16.0), *fleet(12, cpus=32.0, zone="lekki"))
 
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -122,7 +122,7 @@
             self.events.append(query)
 
     def _lend(self, event):
-        self.kernel.account.room[event.team] = self.room
+        self.kernel.account.capacity[event.team] = self.room
         if self.room:
             loop = asyncio.get_running_loop()
             loop.call_soon(self.kernel.bus.publish, RoomChanged(event.team))
@@ -323,7 +323,7 @@
         call.cancel()
         while len(service.queue):
             await asyncio.sleep(0.01)
-        world.kernel.account.room["team"] = 10
+        world.kernel.account.capacity["team"] = 10
         assert (await world.call(path="/r/svc/other")).body == b"fine"
         assert [s.path for s in world.runners.sent] == ["/other"]
 
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -41,8 +41,8 @@
             await give_lists(a)
             for version in range(1, 25):
                 await a.bus.ask(ChangeRows(version, (TEAM,), "root"))
-            await until(lambda: a.states.config.carried_upto > 0)
-            log.first["config"] = a.states.config.carried_upto
+            await until(lambda: a.states.config.snapshot_offset > 0)
+            log.first["config"] = a.states.config.snapshot_offset
             b = Mini("b", log, {})
             async with running(b):
                 assert b.states.config.version == a.states.config.version == 25
@@ -70,7 +70,7 @@
             await give_lists(minis[2])
             for version in range(1, 21):
                 await minis[2].bus.ask(ChangeRows(version, (TEAM,), "root"))
-            await until(lambda: minis[2].states.config.carried_upto > 0)
+            await until(lambda: minis[2].states.config.snapshot_offset > 0)
             lanes = {
                 decode_envelope(p).lane
                 for p in log.streams["config"]
--- a/tests/roles/test_members.py
+++ b/tests/roles/test_members.py
@@ -112,7 +112,7 @@
         guest.cut = True
         lead.log_cut = True
         fleet.log.down = False
-        while not other.grants.opened:
+        while not other.grants.is_open:
             fleet.run(0.1)
         assert other.grants.lent("t", other.clock()) >= running
 
@@ -449,7 +449,7 @@
             for name, node in fleet.nodes.items():
                 node.demand = 20 if name == "b0" else 0
             fleet.run(OUTAGE_S + 2 * LINGER_S + 20)
-            room = fleet.nodes["b0"].account.room_now("t")
+            room = fleet.nodes["b0"].account.current_capacity("t")
             assert room >= 12, "room was lost for good"
         finally:
             fleet.close()
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -4,7 +4,7 @@
 import types
 
 from firhook._bus import Bus
-from firhook.decide.grants import GrantBook
+from firhook.decide.grants import GrantTable
 from firhook.errors import LogOutcomeUnknownError, WorkerUnreachableError
 from firhook.events import (
     Append,
@@ -28,7 +28,7 @@
 )
 from firhook.roles._zone_lead import ZoneLead
 from firhook.state import States
-from tests.decide.shop import ZONE, fleet
+from tests.decide.zone_simulation import ZONE, fleet
 
 STREAM = f"zone.{ZONE}"
 
@@ -66,7 +66,7 @@
         )
         self.bus = Bus()
         self.states = States((ZONE,), ZONE)
-        self.grants = GrantBook(3.0, 30.0)
+        self.grants = GrantTable(3.0, 30.0)
         self.grants.open(0.0, {}, (), 0.0, 1, 1)
         self.platform = types.SimpleNamespace(workers=workers, log=None)
         self.lane = "i#1"
@@ -124,7 +124,7 @@
 
         def spoil(body):
             if isinstance(body, Assigned):
-                seen.append(desk.grants.ask("a", "peer", 8, 0, 8, desk.clock()))
+                seen.append(desk.grants.grant("a", "peer", 8, 0, 8, desk.clock()))
 
         desk.spoil = spoil
         desk.put("cell", JobAccepted(JobSpec("j", "a", 5), ZONE))
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -128,9 +128,9 @@
             self.late.append(copy)
         port.copy = None
         if fate == "ok":
-            port.outbox.note_taken()
+            port.outbox.note_appended()
         elif fate == "refused":
-            port.outbox.note_refused()
+            port.outbox.note_rejected()
         else:
             port.outbox.note_unknown()
 
@@ -175,7 +175,7 @@
         log = self.log[stream]
         first = log.end - keep
         if wild != 13:
-            first = min(first, log.reference.carried_upto)
+            first = min(first, log.reference.snapshot_offset)
         log.first = max(log.first, first)
 
     @rule(name=names, chance=st.integers(0, 3))
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -6,7 +6,7 @@
 
 from firhook.errors import RecordMalformedError
 from firhook.model import Row, RowsChanged, SnapshotChunk
-from firhook.state import ConfigState, Rebuild, _snapshots, split_snapshot
+from firhook.state import ConfigState, SnapshotFinder, _snapshots, split_snapshot
 from tests.state.test_config import SMALL, feed
 
 TEXT = "x" * (_snapshots.CHUNK_CHARS + 1)
@@ -19,7 +19,7 @@
         chunks = split_snapshot(7, text + "x")
     finally:
         _snapshots.CHUNK_CHARS = old
-    rebuild = Rebuild(0)
+    rebuild = SnapshotFinder(0)
     found = [rebuild.add("a#1", chunk) for chunk in reversed(chunks)]
     assert found[-1].text == text + "x"
     assert not any(found[:-1])
@@ -32,7 +32,7 @@
     half of the other would lose some and double others.
     """
     first, last = split_snapshot(9, TEXT)
-    rebuild = Rebuild(0)
+    rebuild = SnapshotFinder(0)
     assert rebuild.add("a#1", first) is None
     assert rebuild.add("b#1", last) is None
     assert rebuild.add("b#1", first).text == TEXT
@@ -40,7 +40,7 @@
 
 def test_snapshot_whose_following_records_expired_is_of_no_use():
     """The chunks are kept, but records between them and their offset are not."""
-    rebuild = Rebuild(10)
+    rebuild = SnapshotFinder(10)
     assert rebuild.add("a#1", SnapshotChunk(9, 0, 1, "{}")) is None
     assert rebuild.add("a#1", SnapshotChunk(10, 0, 1, "{}")).upto == 10
 
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -68,7 +68,7 @@
         for i, t in tasks.items()
         if t.live
     }
-    assert {(w, ref) for w, ref, _ in state.attempts()} == live
+    assert {(w, ref) for w, ref, _ in state.live_attempts()} == live
     for job in JOBS:
         count = sum(ref[0] == job for _, ref in live)
         assert state.live_tasks.get(job, 0) == count
@@ -152,7 +152,7 @@
     ]
     assert apply_all(state, again, "m") == [Verdict.REPEATED, Verdict.CONFLICT]
     assert "t/j0" not in state.jobs
-    assert len(state.known) <= MAX_KNOWN
+    assert len(state.pruned_jobs) <= MAX_KNOWN
 
 
 def test_a_deposed_lead_cannot_end_jobs():
@@ -167,4 +167,4 @@
         ],
     )
     assert verdicts[-1] is Verdict.CONFLICT
-    assert state.jobs_of("z")[0].ended == ""
+    assert state.open_jobs("z")[0].ended == ""
--- a/tests/state/world.py
+++ b/tests/state/world.py
@@ -3,8 +3,8 @@
 import attrs
 import msgspec
 
-from firhook.decide.claims import ClaimBook, Phase, Sent
-from firhook.decide.commit import Outbox, Outgoing
+from firhook.decide.claims import ClaimTable, Phase, SendStatus
+from firhook.decide.outbox import Outbox, OutgoingRecord
 from firhook.model import (
     KeyGiven,
     OnceClaimed,
@@ -17,7 +17,13 @@
     decode_envelope,
     encode_envelope,
 )
-from firhook.state import ConfigState, OnceState, Rebuild, StreamState, split_snapshot
+from firhook.state import (
+    ConfigState,
+    OnceState,
+    SnapshotFinder,
+    StreamState,
+    split_snapshot,
+)
 
 STREAMS = {"config": ConfigState, "once": OnceState}
 
@@ -93,9 +99,9 @@
         self.log = stream
         self.state: StreamState = stream.kind()
         self.outbox = Outbox(lane)
-        self.rebuild: Rebuild | None = None
+        self.rebuild: SnapshotFinder | None = None
         self.copy: Copy | None = None
-        self.waiting: list[Outgoing] = []
+        self.waiting: list[OutgoingRecord] = []
         self.on_applied = lambda envelope, verdict: None
 
     def add(self, body: object, urgent: bool = False) -> Ticket:
@@ -108,13 +114,13 @@
         """Send the next append unless one is in flight."""
         if self.copy is not None:
             return None
-        batch = self.outbox.take()
+        batch = self.outbox.next_append()
         if batch:
             payloads = tuple(encode_envelope(e) for e in batch)
             self.copy = Copy(self.name, payloads)
         return self.copy
 
-    def give_up(self, item: Outgoing) -> None:
+    def give_up(self, item: OutgoingRecord) -> None:
         """Stop waiting, and tell whoever asked what is known."""
         self.waiting.remove(item)
         item.token.told = "unknown" if self.outbox.give_up(item) else "never"
@@ -123,7 +129,7 @@
         """Read some records, or start a rebuild where they have expired."""
         source = self.rebuild or self.state
         if source.next_offset < self.log.first:
-            self.rebuild = Rebuild(self.log.first)
+            self.rebuild = SnapshotFinder(self.log.first)
             return
         for offset in range(source.next_offset, self.log.end)[:count]:
             envelope = decode_envelope(self.log.records[offset])
@@ -149,12 +155,12 @@
         self.state.from_text(offset, text)
         self.rebuild = None
         last = self.state.lanes.last(self.lane)
-        for item in self.outbox.passed(last):
+        for item in self.outbox.take_landed(last):
             self.waiting.remove(item)
-            held = self.state.holds(self.lane, item.body)
+            held = self.state.has_applied(self.lane, item.body)
             item.token.told = "applied" if held else "unknown"
             item.token.verdict = Verdict.APPLIED if held else None
-        self.outbox.note_last(last)
+        self.outbox.note_last_read(last)
 
     def _resolve(self, offset: int, seq: int, verdict: Verdict) -> None:
         item = self.outbox.read_back(seq)
@@ -162,7 +168,7 @@
             self.waiting.remove(item)
             item.token.told = "applied"
             item.token.offset, item.token.verdict = offset, verdict
-        self.outbox.note_last(self.state.lanes.last(self.lane))
+        self.outbox.note_last_read(self.state.lanes.last(self.lane))
 
     @property
     def ready(self) -> bool:
@@ -177,7 +183,7 @@
         self.name = name
         self.lane = f"{name}#{run}"
         self.ports = {s: Port(s, self.lane, log[s]) for s in STREAMS}
-        self.book = ClaimBook()
+        self.book = ClaimTable()
         self.claims: dict[str, Ticket] = {}
         self.dispatched: set[str] = set()
         self.version = 0
@@ -212,27 +218,27 @@
                 continue
             del self.claims[key]
             if ticket.told == "applied" and ticket.verdict is Verdict.APPLIED:
-                self.book.move(key, Phase.HELD)
+                self.book.set_phase(key, Phase.HELD)
                 won.append(key)
             else:
-                self.book.drop(key)
+                self.book.remove(key)
         return won
 
     def dispatch(self, key: str) -> None:
         """Send a claimed request to a runner."""
-        self.book.move(key, Phase.SENDING)
+        self.book.set_phase(key, Phase.SENDING)
         self.dispatched.add(key)
 
     def give_back(self, key: str) -> None:
         """Give back a claim that was not dispatched."""
         nonce = self.book.find(key).nonce
-        self.book.drop(key)
+        self.book.remove(key)
         self.ports["once"].add(OnceReleased(key, self.lane, nonce))
 
     def finish(self, key: str) -> None:
         """Store the outcome of a dispatched request."""
         nonce = self.book.find(key).nonce
-        self.book.move(key, Phase.DONE)
+        self.book.set_phase(key, Phase.DONE)
         done = OnceDone(key, 200, "", "", True, self.lane, nonce)
         self.ports["once"].add(done)
 
@@ -241,7 +247,7 @@
         entry = self.ports["once"].state.entries.get(key)
         if entry is None or entry.done or holder is None:
             return
-        if holder.book.sent(key, entry.nonce) is Sent.NEVER:
+        if holder.book.send_status(key, entry.nonce) is SendStatus.NEVER:
             release = OnceReleased(key, entry.holder, entry.nonce)
             self.ports["once"].add(release)
 
@@ -251,7 +257,7 @@
             return
         if body.holder != self.lane:
             return
-        if self.book.sent(body.key, body.nonce) is Sent.NEVER:
+        if self.book.send_status(body.key, body.nonce) is SendStatus.NEVER:
             release = OnceReleased(body.key, body.holder, body.nonce)
             self.ports["once"].add(release)
 
