--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -10,7 +10,7 @@
 from firhook._capacity_lender import CapacityLender
 from firhook._leadership import Leadership
 from firhook._mesh import Mesh
-from firhook.decide.gossip import gossip_every
+from firhook.decide.gossip import gossip_interval_s
 from firhook.errors import (
     FirhookError,
     FrameMalformedError,
@@ -167,7 +167,9 @@
         assert self._mesh is not None
         size = self._mesh.broadcast(await self._word()) + TRANSPORT_BYTES
         peers = len(self._mesh.addresses)
-        self._every_s = gossip_every(size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S)
+        self._every_s = gossip_interval_s(
+            size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S
+        )
 
     async def _word(self) -> Gossip:
         config = self.states.config
