--- a/tests/test_stream_client.py
+++ b/tests/test_stream_client.py
@@ -35,7 +35,9 @@
 async def lane_on(log: FakeLog, ready: bool = True):
     """Run a lane on a log."""
     bus = Bus()
-    lane = StreamClient("config", "i#1", ConfigState(), log, bus, AppendRateLimiter(1000), 0.05)
+    lane = StreamClient(
+        "config", "i#1", ConfigState(), log, bus, AppendRateLimiter(1000), 0.05
+    )
     lane.rebuilt = []
     bus.subscribe(StreamRebuilt, lane.rebuilt.append)
     await lane.start()
