--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -7,9 +7,9 @@
 
 from firhook._capacity_borrower import CapacityBorrower, instance_name
 from firhook._leadership import Leadership
-from firhook.decide.grants import guests_of
+from firhook.decide.grants import guest_holder_of
+from firhook.decide.limit_transfers import TeamCapacity, choose_transfer
 from firhook.decide.limits import zone_parts
-from firhook.decide.moves import TeamView, choose_move
 from firhook.errors import FirhookError, LogUnavailableError, NotLeadError
 from firhook.events import Append, AskPeer, RecordApplied
 from firhook.kernel import Kernel
@@ -61,7 +61,7 @@
         self._kernel = kernel
         self._leadership = leadership
         self._grants = kernel.grants
-        self._grants.host = kernel.lane
+        self._grants.lead_name = kernel.lane
         self._epoch = 0
         self._unresolved_moves: list[_UnresolvedMove] = []
         self._received_at: dict[str, float] = {}
@@ -87,7 +87,7 @@
             self._remaining_holders(),
             self._holders_with_joiners(),
         )
-        if self._grants.opened and self._grants.fits(
+        if self._grants.is_open and self._grants.fits_caps(
             len(with_joiners), self.zone_limit
         ):
             return with_joiners
@@ -96,7 +96,7 @@
     def _remaining_holders(self) -> frozenset[str]:
         now = self._kernel.clock()
         roster = self._leadership.state.roster
-        if not self._grants.opened:
+        if not self._grants.is_open:
             return frozenset(roster) | {self._kernel.lane}
         remaining = frozenset(h for h in roster if not self._has_left(h, now))
         return remaining | {self._kernel.lane}
@@ -107,25 +107,25 @@
 
     def published_holders(self) -> int:
         """Return the number of holders to publish with the roster."""
-        return self._grants.capped_by(self._kernel.clock(), len(self.roster()))
+        return self._grants.cap_holders(self._kernel.clock(), len(self.roster()))
 
     def _has_left(self, holder: str, now: float) -> bool:
         if holder in self._leadership.leaving:
             return True
-        not_asking = not self._grants.asked_lately(holder, now)
-        return not_asking and self._grants.lapsed(holder, now)
+        not_asking = not self._grants.asked_recently(holder, now)
+        return not_asking and self._grants.has_expired(holder, now)
 
     async def sync_with_lead(self) -> None:
         """Open the book after a won claim; close it after a loss."""
         lead = self._leadership
         if not lead.is_lead:
-            if self._grants.opened:
+            if self._grants.is_open:
                 self._grants.close()
             self._epoch = 0
             return
         if self._epoch != lead.state.epoch and lead.is_held(self._kernel.clock()):
             await self._take_over(lead.state.epoch)
-        elif self._grants.opened:
+        elif self._grants.is_open:
             await self._poll_silent_holders()
 
     async def _take_over(self, epoch: int) -> None:
@@ -141,7 +141,7 @@
         for h in (*answers, self.borrower.all_holdings()):
             holdings[h.instance] = _held_by_team(h.teams)
             if h.guests:
-                holdings[guests_of(h.instance)] = _held_by_team(h.guests)
+                holdings[guest_holder_of(h.instance)] = _held_by_team(h.guests)
         silent = roster - set(holdings)
         until = lead.silent_until(frozenset(holdings), now)
         holders = len(roster) + 1
@@ -157,10 +157,10 @@
 
     async def _poll_silent_holders(self) -> None:
         now = self._kernel.clock()
-        silent = self._grants.silent(now)
+        silent = self._grants.unaccounted(now)
         for h in await self._fetch_holdings(self._epoch, silent):
             now = self._kernel.clock()
-            self._grants.heard(h.instance, _held_by_team(h.teams), now)
+            self._grants.note_late_answer(h.instance, _held_by_team(h.teams), now)
             self._record_guests(h.instance, h.guests, now)
 
     async def _fetch_holdings(
@@ -183,7 +183,7 @@
     def _record_guests(
         self, holder: str, guests: tuple[TeamRoom, ...], now: float
     ) -> None:
-        self._grants.note_guests(holder, _held_by_team(guests), now)
+        self._grants.record_guest_loans(holder, _held_by_team(guests), now)
 
     # -- lending ---------------------------------------------------------
 
@@ -191,7 +191,7 @@
         """Answer an instance of the zone that wants room."""
         now = self._kernel.clock()
         lead = self._leadership
-        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._grants.opened:
+        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._grants.is_open:
             raise NotLeadError(f"epoch {ask.epoch} is not led from here")
         if ask.echo >= 0:
             lead.record_promise(ask.instance, ask.echo)
@@ -199,12 +199,12 @@
             # The stamp alone goes back, so that the asker can promise anew;
             # an error would leave every promise lapsed until the log returns.
             return GrantAnswer(ask.epoch, now, self._grants.ttl_s, False)
-        if self._grants.is_late(ask.instance, ask.seq, now):
+        if self._grants.is_outdated(ask.instance, ask.seq, now):
             raise NotLeadError(f"ask {ask.seq} came after a later one")
         if ask.instance != self._kernel.lane:
             self._record_guests(ask.instance, ask.guests, now)
         if ask.leaving:
-            self._grants.left(ask.instance)
+            self._grants.remove_holder(ask.instance)
             lead.leaving.add(ask.instance)
             lead.wake.set()
             return GrantAnswer(ask.epoch, now, self._grants.ttl_s, False)
@@ -215,9 +215,9 @@
                 raise NotLeadError("the roster does not name the asker yet")
             # The log is out, so no record can name an instance that started
             # since; without room it would refuse all that it is sent.
-            self._grants.seat(ask.instance)
+            self._grants.add_guest(ask.instance)
         else:
-            self._grants.unseat(ask.instance)
+            self._grants.remove_guest(ask.instance)
         # Loans are held to the smaller cap of all who want to join from now on,
         # so that they come to fit it; the larger cap of fewer holders is used
         # only once the log has the smaller roster.
@@ -232,7 +232,7 @@
         """Lend what a holder wants; return the grant if it is something else."""
         wanted, held = max(room.wanted, 0), max(room.held, 0)
         limit = self.zone_limit(room.team)
-        granted = self._grants.ask(room.team, holder, wanted, held, limit, now)
+        granted = self._grants.grant(room.team, holder, wanted, held, limit, now)
         return None if granted == room.wanted else TeamGrant(room.team, granted)
 
     # -- transfers between zones -----------------------------------------
@@ -265,16 +265,16 @@
         if move.epoch != self._epoch:
             # The book was closed since, and counts only this epoch's.
             return
-        remaining = self._grants.moving.get(move.team, 0) - move.amount
-        self._grants.moving[move.team] = max(remaining, 0)
+        remaining = self._grants.in_transfer.get(move.team, 0) - move.amount
+        self._grants.in_transfer[move.team] = max(remaining, 0)
 
     async def transfer_spare(self) -> None:
         """Give spare room to zones where teams are short of it."""
         now = self._kernel.clock()
-        if not self._leadership.is_held(now) or not self._grants.opened:
+        if not self._leadership.is_held(now) or not self._grants.is_open:
             return
         moves = []
-        own = self._grants.short(now)
+        own = self._grants.unmet_demand(now)
         if own:
             await self._announce_shortages(own)
         now = self._kernel.clock()
@@ -293,21 +293,21 @@
         plan = self._kernel.states.config.plan_of(team)
         if plan is None:
             return None
-        view = TeamView(
+        view = TeamCapacity(
             zone_parts(plan.limit, cfg.zones)[cfg.zone],
-            self._grants.spare(team, self.zone_limit(team), now),
+            self._grants.transferable(team, self.zone_limit(team), now),
             short,
             len(cfg.zones),
             self._received_at.get(team, float("-inf")),
         )
-        chosen = choose_move(cfg.zone, view, now)
+        chosen = choose_transfer(cfg.zone, view, now)
         if chosen is None:
             return None
         zone, amount = chosen
         epoch = self._leadership.state.epoch
         move = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
         # Counted as gone from now on, whatever becomes of the append.
-        moving = self._grants.moving
+        moving = self._grants.in_transfer
         moving[team] = moving.get(team, 0) + amount
         return move
 
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -6,14 +6,14 @@
 import attrs
 
 from firhook.decide.lead import (
+    LeadObservation,
     LeadTimes,
-    Sight,
-    TakeOver,
+    PreviousLead,
+    holdings_end_at,
     may_claim,
     may_lend,
-    silent_until,
 )
-from firhook.decide.lease import DRIFT, HeldLease, SeenLease
+from firhook.decide.lease import MAX_CLOCK_DRIFT, HeldLease, ObservedLease
 from firhook.events import Append, Lead, LogAge
 from firhook.kernel import Kernel
 from firhook.logs import log
@@ -44,9 +44,9 @@
         self._log_lease = HeldLease()
         self._hold_lease = HeldLease()
         self._outage_lease = HeldLease()
-        self._seen_lease = SeenLease()
+        self._seen_lease = ObservedLease()
         self._seen_offset: int | None = None
-        self._takeover: TakeOver | None = None
+        self._takeover: PreviousLead | None = None
         self._possible_roster: frozenset[str] = frozenset()
         self.previous_holders = 1
         self._promises: dict[str, float] = {}
@@ -67,7 +67,7 @@
     @property
     def promised_until(self) -> float:
         """When the last promise not to claim has ended for certain."""
-        return self.promised_at + self.times.ttl_s * (1 + DRIFT)
+        return self.promised_at + self.times.ttl_s * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def state(self) -> LeadState:
@@ -86,7 +86,7 @@
 
     def is_held(self, now: float) -> bool:
         """Return whether the lease by the log is held for certain."""
-        return self.is_lead and self._log_lease.held(now)
+        return self.is_lead and self._log_lease.is_held(now)
 
     def may_lend(self, now: float) -> bool:
         """Return whether room may be lent at this moment."""
@@ -94,7 +94,7 @@
             return False
         others = (self._possible_roster | set(self.state.roster)) - {self._kernel.lane}
         promises = [self._promises.get(o, float("-inf")) for o in others]
-        return may_lend(self._log_lease.until, self._outage_lease.until, promises, now)
+        return may_lend(self._log_lease.expires_at, self._outage_lease.expires_at, promises, now)
 
     def view(self, now: float) -> Lead:
         """Return the lead for other roles."""
@@ -105,8 +105,8 @@
             lead.epoch,
             lead.instance,
             self.is_held(now),
-            self._hold_lease.until - now,
-            self._log_lease.until - now,
+            self._hold_lease.expires_at - now,
+            self._log_lease.expires_at - now,
         )
 
     def record_promise(self, holder: str, stamp: float) -> None:
@@ -122,13 +122,13 @@
 
     def void(self) -> None:
         """Forget everything believed held until the log confirms it again."""
-        self._log_lease.void()
-        self._hold_lease.void()
-        self._outage_lease.void()
+        self._log_lease.invalidate()
+        self._hold_lease.invalidate()
+        self._outage_lease.invalidate()
 
     def on_loop_stall(self) -> None:
         """Void the lease by the log after a stall of the event loop."""
-        self._log_lease.void()
+        self._log_lease.invalidate()
 
     def observe_record(self, now: float) -> None:
         """Note when the lead's latest record was read.
@@ -145,7 +145,7 @@
         if self._takeover is None:
             return now + self.times.outage_s
         takeover = self._takeover
-        return silent_until(
+        return holdings_end_at(
             attrs.evolve(takeover, answered=answered),
             self.times,
             max(now, self.promised_until),
@@ -169,14 +169,14 @@
         if self._kernel.stopping:
             return
         log_age_s = await self._kernel.bus.ask(LogAge("cell"))
-        expired = self._seen_lease.lapsed(now, self.times.lease_s, self.times.margin_s)
+        expired = self._seen_lease.has_expired(now, self.times.lease_s, self.times.margin_s)
         # In an outage of the log for everybody the last sight of it is older
         # than a lease once the lead's has expired, and nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
         # A lead that the log has lost, but this instance has not, must be
         # replaced although it still answers, or nobody places the zone's tasks.
         self.may_promise = not (expired and log_age_s <= max_age_s)
-        sight = Sight(lead.released, expired, log_age_s, self.promised_at)
+        sight = LeadObservation(lead.released, expired, log_age_s, self.promised_at)
         if not may_claim(sight, self.times, now, max_age_s):
             return
         await asyncio.sleep(random.uniform(0, _CLAIM_SPREAD_S))
@@ -186,7 +186,7 @@
 
     async def _claim(self, lead: LeadState) -> None:
         me = self._kernel.lane
-        self._takeover = TakeOver(
+        self._takeover = PreviousLead(
             lead.released,
             frozenset(lead.roster),
             me,
@@ -218,9 +218,9 @@
         if not await self._append(body):
             self.void()
             return False
-        self._log_lease.renewed(sent_at, self.times.lease_s)
-        self._hold_lease.renewed(sent_at, self._cfg.hold_s)
-        self._outage_lease.renewed(sent_at, self.times.outage_s)
+        self._log_lease.renew(sent_at, self.times.lease_s)
+        self._hold_lease.renew(sent_at, self._cfg.hold_s)
+        self._outage_lease.renew(sent_at, self.times.outage_s)
         return True
 
     async def release(self, roster: frozenset[str]) -> None:
