--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -191,7 +191,11 @@
         """Answer an instance of the zone that wants room."""
         now = self._kernel.clock()
         lead = self._leadership
-        if not lead.is_lead or ask.epoch != lead.state.epoch or not self._grants.is_open:
+        if (
+            not lead.is_lead
+            or ask.epoch != lead.state.epoch
+            or not self._grants.is_open
+        ):
             raise NotLeadError(f"epoch {ask.epoch} is not led from here")
         if ask.echo >= 0:
             lead.record_promise(ask.instance, ask.echo)
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -94,7 +94,9 @@
             return False
         others = (self._possible_roster | set(self.state.roster)) - {self._kernel.lane}
         promises = [self._promises.get(o, float("-inf")) for o in others]
-        return may_lend(self._log_lease.expires_at, self._outage_lease.expires_at, promises, now)
+        return may_lend(
+            self._log_lease.expires_at, self._outage_lease.expires_at, promises, now
+        )
 
     def view(self, now: float) -> Lead:
         """Return the lead for other roles."""
@@ -169,7 +171,9 @@
         if self._kernel.stopping:
             return
         log_age_s = await self._kernel.bus.ask(LogAge("cell"))
-        expired = self._seen_lease.has_expired(now, self.times.lease_s, self.times.margin_s)
+        expired = self._seen_lease.has_expired(
+            now, self.times.lease_s, self.times.margin_s
+        )
         # In an outage of the log for everybody the last sight of it is older
         # than a lease once the lead's has expired, and nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
