--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -35,14 +35,14 @@
 #: How long to wait until another lead has heard it, in seconds.
 _ANNOUNCE_TIMEOUT_S = 0.5
 #: How long the outcome of a transfer is waited for, in seconds.
-_MOVE_TIMEOUT_S = 2.0
+_TRANSFER_TIMEOUT_S = 2.0
 
 
 @attrs.define(slots=True, eq=False)
-class _UnresolvedMove:
+class _UnresolvedTransfer:
     """A transfer whose outcome the log has not told."""
 
-    move: LimitMoved
+    record: LimitMoved
     failed_at: float
 
 
@@ -63,7 +63,7 @@
         self._grants = kernel.grants
         self._grants.lead_name = kernel.lane
         self._epoch = 0
-        self._unresolved_moves: list[_UnresolvedMove] = []
+        self._unresolved: list[_UnresolvedTransfer] = []
         self._received_at: dict[str, float] = {}
         self._zone_shortages: dict[str, tuple[float, ZoneShort]] = {}
         self.borrower: CapacityBorrower | None = None
@@ -143,7 +143,7 @@
             if h.guests:
                 holdings[guest_holder_of(h.instance)] = _held_by_team(h.guests)
         silent = roster - set(holdings)
-        until = lead.silent_until(frozenset(holdings), now)
+        until = lead.holdings_end_at(frozenset(holdings), now)
         holders = len(roster) + 1
         self._grants.open(now, holdings, silent, until, lead.previous_holders, holders)
         self._epoch = epoch
@@ -249,35 +249,35 @@
         if event.verdict is Verdict.APPLIED and body.receiver == self._kernel.cfg.zone:
             self._received_at[body.team] = self._kernel.clock()
         if event.envelope.lane == self._kernel.lane:
-            for item in [u for u in self._unresolved_moves if u.move == body][:1]:
-                self._resolve_move(item)
+            for item in [u for u in self._unresolved if u.record == body][:1]:
+                self._resolve_transfer(item)
 
-    def settle_moves_before(self, sent_at: float) -> None:
+    def settle_transfers_before(self, sent_at: float) -> None:
         """Settle transfers given up before a record that was read back.
 
         Readers pass over a record that lands after a later one of its lane,
         so such a transfer can no longer take effect.
         """
-        for item in [u for u in self._unresolved_moves if u.failed_at < sent_at]:
-            self._resolve_move(item)
+        for item in [u for u in self._unresolved if u.failed_at < sent_at]:
+            self._resolve_transfer(item)
 
-    def _resolve_move(self, item: _UnresolvedMove) -> None:
-        self._unresolved_moves.remove(item)
-        self._release_move(item.move)
+    def _resolve_transfer(self, item: _UnresolvedTransfer) -> None:
+        self._unresolved.remove(item)
+        self._release_transfer(item.record)
 
-    def _release_move(self, move: LimitMoved) -> None:
-        if move.epoch != self._epoch:
+    def _release_transfer(self, transfer: LimitMoved) -> None:
+        if transfer.epoch != self._epoch:
             # The book was closed since, and counts only this epoch's.
             return
-        remaining = self._grants.in_transfer.get(move.team, 0) - move.amount
-        self._grants.in_transfer[move.team] = max(remaining, 0)
+        remaining = self._grants.in_transfer.get(transfer.team, 0) - transfer.amount
+        self._grants.in_transfer[transfer.team] = max(remaining, 0)
 
     async def transfer_spare(self) -> None:
         """Give spare room to zones where teams are short of it."""
         now = self._kernel.clock()
         if not self._leadership.is_held(now) or not self._grants.is_open:
             return
-        moves = []
+        transfers = []
         own = self._grants.unmet_demand(now)
         if own:
             await self._announce_shortages(own)
@@ -285,12 +285,12 @@
         if not self._leadership.is_held(now):
             return
         for team, short in self._shortages(own, now).items():
-            move = self._choose_move(team, short, now)
-            if move is not None:
-                moves.append(self._append_move(move))
-        await asyncio.gather(*moves)
+            transfer = self._choose_transfer(team, short, now)
+            if transfer is not None:
+                transfers.append(self._append_transfer(transfer))
+        await asyncio.gather(*transfers)
 
-    def _choose_move(
+    def _choose_transfer(
         self, team: str, short: dict[str, int], now: float
     ) -> LimitMoved | None:
         cfg = self._kernel.cfg
@@ -309,11 +309,11 @@
             return None
         zone, amount = chosen
         epoch = self._leadership.state.epoch
-        move = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
+        transfer = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
         # Counted as gone from now on, whatever becomes of the append.
-        moving = self._grants.in_transfer
-        moving[team] = moving.get(team, 0) + amount
-        return move
+        in_transfer = self._grants.in_transfer
+        in_transfer[team] = in_transfer.get(team, 0) + amount
+        return transfer
 
     async def on_zone_short(self, message: ZoneShort) -> Ack:
         """Note what another zone is short of."""
@@ -347,22 +347,22 @@
         # A lead that does not hear of it gives nothing; it is told again.
         await asyncio.gather(*asks, return_exceptions=True)
 
-    async def _append_move(self, move: LimitMoved) -> None:
+    async def _append_transfer(self, transfer: LimitMoved) -> None:
         try:
             applied = await self._kernel.bus.ask(
-                Append("cell", move, deadline_s=_MOVE_TIMEOUT_S)
+                Append("cell", transfer, deadline_s=_TRANSFER_TIMEOUT_S)
             )
         except LogUnavailableError:
             # Certainly never sent.
-            self._release_move(move)
+            self._release_transfer(transfer)
         except FirhookError:
-            self._unresolved_moves.append(_UnresolvedMove(move, self._kernel.clock()))
+            self._unresolved.append(_UnresolvedTransfer(transfer, self._kernel.clock()))
         else:
-            self._release_move(move)
+            self._release_transfer(transfer)
             log(
                 "limit.moved",
-                team=move.team,
-                receiver=move.receiver,
-                amount=move.amount,
+                team=transfer.team,
+                receiver=transfer.receiver,
+                amount=transfer.amount,
                 verdict=applied.verdict.value,
             )
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -46,7 +46,7 @@
         self._outage_lease = HeldLease()
         self._seen_lease = ObservedLease()
         self._seen_offset: int | None = None
-        self._takeover: PreviousLead | None = None
+        self._previous_lead: PreviousLead | None = None
         self._possible_roster: frozenset[str] = frozenset()
         self.previous_holders = 1
         self._promises: dict[str, float] = {}
@@ -120,9 +120,9 @@
         """Follow no lead of an older epoch from now on, this one included."""
         self._fencing_epoch = max(self._fencing_epoch, epoch)
         if self.state.epoch < epoch:
-            self.void()
+            self.invalidate()
 
-    def void(self) -> None:
+    def invalidate(self) -> None:
         """Forget everything believed held until the log confirms it again."""
         self._log_lease.invalidate()
         self._hold_lease.invalidate()
@@ -142,13 +142,13 @@
             self._seen_offset = self.state.offset
             self._seen_lease.read_at = now
 
-    def silent_until(self, answered: frozenset[str], now: float) -> float:
+    def holdings_end_at(self, answered: frozenset[str], now: float) -> float:
         """Return when what silent holders have has certainly ended."""
-        if self._takeover is None:
+        if self._previous_lead is None:
             return now + self.times.outage_s
-        takeover = self._takeover
+        previous_lead = self._previous_lead
         return holdings_end_at(
-            attrs.evolve(takeover, answered=answered),
+            attrs.evolve(previous_lead, answered=answered),
             self.times,
             max(now, self.promised_until),
         )
@@ -180,8 +180,10 @@
         # A lead that the log has lost, but this instance has not, must be
         # replaced although it still answers, or nobody places the zone's tasks.
         self.may_promise = not (expired and log_age_s <= max_age_s)
-        sight = LeadObservation(lead.released, expired, log_age_s, self.promised_at)
-        if not may_claim(sight, self.times, now, max_age_s):
+        observation = LeadObservation(
+            lead.released, expired, log_age_s, self.promised_at
+        )
+        if not may_claim(observation, self.times, now, max_age_s):
             return
         await asyncio.sleep(random.uniform(0, _CLAIM_SPREAD_S))
         # The claim is for the lead as judged before the wait.  Had anyone
@@ -190,7 +192,7 @@
 
     async def _claim(self, lead: LeadState) -> None:
         me = self._kernel.lane
-        self._takeover = PreviousLead(
+        self._previous_lead = PreviousLead(
             lead.released,
             frozenset(lead.roster),
             me,
@@ -220,7 +222,7 @@
     async def _append_and_extend(self, body: LeadClaimed | LeadRenewed) -> bool:
         sent_at = self._kernel.clock()
         if not await self._append(body):
-            self.void()
+            self.invalidate()
             return False
         self._log_lease.renew(sent_at, self.times.lease_s)
         self._hold_lease.renew(sent_at, self._cfg.hold_s)
@@ -233,7 +235,7 @@
         :param roster: the instances that may still hold room.
         """
         lead = self.state
-        self.void()
+        self.invalidate()
         names = tuple(sorted(roster))
         await self._append(
             LeadReleased(self._cfg.zone, lead.epoch, lead.instance, names)
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -338,7 +338,7 @@
         )
         self._note_lead(self.kernel.clock())
         if self.leadership.is_held(self.kernel.clock()):
-            self.lender.settle_moves_before(started)
+            self.lender.settle_transfers_before(started)
         await self.lender.sync_with_lead()
 
     async def _pause(self, seconds: float) -> None:
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -232,7 +232,7 @@
             self.lender.roster(), self.lender.published_holders()
         )
         if self.leadership.is_held(self.clock()):
-            self.lender.settle_moves_before(started)
+            self.lender.settle_transfers_before(started)
         await self.lender.sync_with_lead()
 
     async def _follow(self):
