--- a/src/firhook/cli/_cell.py
+++ b/src/firhook/cli/_cell.py
@@ -1,4 +1,4 @@
-"""Commands for the cell as a whole: teams, status, endpoints, events, drain."""
+"""Commands that cover the whole cell: teams, status, endpoints, events, drain."""
 
 from typing import Annotated, Any
 
@@ -8,7 +8,7 @@
 from firhook.cli._client import local_error, stream
 from firhook.cli._common import Common, path, table
 
-team = App(name="team", help="Teams, their plans and what they use.")
+team = App(name="team", help="Teams, their plans and their usage.")
 
 _TEAM_HEADERS = ["TEAM", "PLAN", "SHARE", "LIMIT", "REQUESTS", "WAITING"]
 
@@ -26,7 +26,7 @@
 
 @team.command(name="list")
 def team_list(*, common: Common | None = None) -> None:
-    """List all teams, their plans and the requests they have in the fleet."""
+    """List all teams with their plans and their requests across the fleet."""
     common = common or Common()
     data = common.ask("GET", path("teams"))
     common.show(data, table(_TEAM_HEADERS, [_team_row(r) for r in data["teams"]]))
@@ -34,7 +34,7 @@
 
 @team.command(name="show")
 def team_show(name: str, *, common: Common | None = None) -> None:
-    """Show one team, its plan and the requests it has in the fleet."""
+    """Show one team with its plan and its requests across the fleet."""
     common = common or Common()
     rows = common.ask("GET", path("teams"))["teams"]
     found = [row for row in rows if row["team"] == name]
@@ -65,10 +65,10 @@
 
 
 def endpoints(*, kind: str = "", zone: str = "", common: Common | None = None) -> None:
-    """List entry instances, runners and workers, as the platform tells of them.
+    """List the entry instances, runners and workers that the platform reports.
 
-    :param kind: only ``entry``, ``runner`` or ``worker``.
-    :param zone: only this zone's.
+    :param kind: list only ``entry``, ``runner`` or ``worker`` endpoints.
+    :param zone: list only the endpoints of this zone.
     """
     common = common or Common()
     data = common.ask("GET", path("endpoints"))
@@ -98,7 +98,7 @@
     *,
     common: Common | None = None,
 ) -> None:
-    """Stop one instance gracefully, as SIGTERM would; no request is cut."""
+    """Stop one instance gracefully, like SIGTERM, without aborting any request."""
     common = common or Common()
     common.url = ops_url if "://" in ops_url else f"http://{ops_url}"
     data = common.ask("POST", path("drain"))
@@ -113,7 +113,7 @@
 ) -> None:
     """Print the latest repair steps: starts, ends, adoptions, marks and leads.
 
-    :param after: only steps with a higher number.
+    :param after: print only steps with a higher sequence number.
     """
     common = common or Common()
 
--- a/src/firhook/cli/_client.py
+++ b/src/firhook/cli/_client.py
@@ -1,4 +1,4 @@
-"""The tool's side of the operators' and callers' interface."""
+"""HTTP client for the API of an instance."""
 
 import asyncio
 import os
@@ -14,9 +14,9 @@
 
 
 class RefusedError(FirhookError):
-    """An instance refused what was asked of it, or could not be asked.
+    """An instance refused a request or could not be reached.
 
-    :param problem: the problem document.
+    :param problem: the problem document that describes the error.
     """
 
     def __init__(self, problem: dict[str, Any]) -> None:
@@ -25,24 +25,25 @@
 
 
 def local_error(code: str, title: str, detail: str, remedy: str) -> RefusedError:
-    """Return an error of the tool itself, in the form of an instance's."""
+    """Return an error of the tool itself in the form of a problem document."""
     return RefusedError(
         {"code": code, "title": title, "detail": detail, "remedy": remedy}
     )
 
 
 def call(url: str, key: str, method: str, path: str, body: Any = None) -> Any:
-    """Call an instance and return the decoded answer.
+    """Call an instance and return the decoded response.
 
-    :param url: base address of the cell, such as ``http://10.0.0.7:8080``.
+    :param url: base URL of the cell, such as ``http://10.0.0.7:8080``.
     :raises RefusedError: with the instance's problem document.
     """
     return asyncio.run(_call(url, key, method, path, body))
 
 
 def stream(url: str, key: str, path: str, on_line: Callable[[Any], None]) -> None:
-    """Call an instance and hand over each JSON line of its answer as it comes.
+    """Call an instance and process each JSON line of its response as it arrives.
 
+    :param on_line: receives each decoded line.
     :raises RefusedError: with the instance's problem document.
     """
     asyncio.run(_stream(url, key, path, on_line))
@@ -58,14 +59,17 @@
 
 
 def _decode_answer(status: int, text: bytes) -> Any:
-    """Return the decoded answer of an instance, or raise its refusal."""
+    """Return the decoded response of an instance.
+
+    :raises RefusedError: if the status code signals an error.
+    """
     answer = msgspec.json.decode(text or b"null")
     if status < 400:
         return answer
     if not isinstance(answer, dict) or "code" not in answer:
         answer = {
             "code": "cell.not_firhook",
-            "title": "The answer is not one of firhook",
+            "title": "The response is not from firhook",
             "detail": f"status {status}",
             "remedy": "Check that --url, or FIRHOOK_URL, names an instance's port.",
         }
@@ -107,10 +111,10 @@
 
 
 def default_url() -> str:
-    """Return the cell's address from the environment."""
+    """Return the URL of the cell from the environment."""
     return os.environ.get("FIRHOOK_URL", "http://127.0.0.1:8080")
 
 
 def default_key() -> str:
-    """Return the key from the environment."""
+    """Return the API key from the environment."""
     return os.environ.get("FIRHOOK_KEY", "")
--- a/src/firhook/cli/_common.py
+++ b/src/firhook/cli/_common.py
@@ -1,4 +1,4 @@
-"""Options, tables, files and exit codes that all commands share."""
+"""Options, tables, file access and exit codes shared by all commands."""
 
 import enum
 import sys
@@ -15,7 +15,7 @@
 
 
 class Exit(enum.IntEnum):
-    """Exit codes, so that scripts can tell what to do next."""
+    """Exit codes that tell a script how to react to a failure."""
 
     DONE = 0
     REFUSED = 1
@@ -27,7 +27,7 @@
 
 
 def exit_code(problem: dict[str, Any]) -> Exit:
-    """Return the exit code for a problem document."""
+    """Return the exit code that corresponds to a problem document."""
     code = str(problem.get("code", ""))
     if code.startswith("file.") or code == "usage":
         return Exit.USAGE
@@ -45,7 +45,7 @@
 @Parameter(name="*")
 @attrs.define
 class Common:
-    """Options of every command that asks the cell."""
+    """Options of every command that calls the cell."""
 
     url: Annotated[str, Parameter(help="Address of the cell; or FIRHOOK_URL.")] = (
         attrs.field(factory=default_url)
@@ -56,11 +56,11 @@
     json: Annotated[bool, Parameter(help="Print JSON.", negative="")] = False
 
     def ask(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the cell."""
+        """Call the cell and return the decoded response."""
         return call(self.url.rstrip("/"), self.key, method, path, body)
 
     def show(self, data: Any, text: str) -> None:
-        """Print the data as JSON, or the text for people."""
+        """Print the data as JSON if ``--json`` is set, otherwise the text."""
         if self.json:
             print(msgspec.json.encode(data).decode())
         else:
@@ -68,9 +68,9 @@
 
 
 def path(*parts: str, **query: str) -> str:
-    """Return a path of the interface with its parts made safe.
+    """Return an API path whose parts are percent-encoded.
 
-    :param query: options that are left out if empty.
+    :param query: query parameters; empty ones are omitted.
     """
     joined = "/v1/" + "/".join(quote(part, safe="") for part in parts)
     given = {name: value for name, value in query.items() if value}
@@ -78,7 +78,7 @@
 
 
 def table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return rows as aligned text."""
+    """Return the rows as text with aligned columns."""
     cells = [list(headers)] + [[str(c) for c in row] for row in rows]
     widths = [max(len(r[i]) for r in cells) for i in range(len(headers))]
     return "\n".join(
@@ -88,7 +88,7 @@
 
 
 def read_file(file: Path) -> str:
-    """Return a file's text; ``-`` stands for standard input.
+    """Return the text of a file; ``-`` reads standard input.
 
     :raises RefusedError: if it cannot be read.
     """
@@ -122,9 +122,9 @@
 
 
 def read_json_file(file: Path) -> Any:
-    """Return what a JSON file holds.
+    """Return the decoded content of a JSON file.
 
-    :raises RefusedError: if it cannot be read or is not JSON.
+    :raises RefusedError: if the file cannot be read or is not valid JSON.
     """
     text = read_file(file)
     try:
@@ -134,5 +134,5 @@
             "file.not_json",
             "A file is not JSON",
             f"{file}: {exc}",
-            "Mend the file at the place named; nothing was sent.",
+            "Fix the file at the named position; nothing was sent.",
         ) from exc
--- a/src/firhook/cli/_config.py
+++ b/src/firhook/cli/_config.py
@@ -1,4 +1,4 @@
-"""Commands for the two lists."""
+"""Commands for the two configuration lists, teams and plans."""
 
 import re
 import time
@@ -23,8 +23,8 @@
 def show(*, save: Path | None = None, common: Common | None = None) -> None:
     """Show the lists in force and their version.
 
-    :param save: a directory to write ``plans.ini`` and ``teams.ini`` to; they
-        say which version they were made from, for ``config apply``.
+    :param save: a directory to write ``plans.ini`` and ``teams.ini`` to.  Each
+        file records the version it was made from, for ``config apply``.
     """
     common = common or Common()
     data = common.ask("GET", path("config"))
@@ -44,16 +44,16 @@
     base: int | None = None,
     common: Common | None = None,
 ) -> None:
-    """Bring the lists in force to what the files say.
+    """Replace the lists in force by those of the files.
 
-    Rows that a file leaves out are removed.  If another operator's change came
-    after the version that the files were made from, nothing is changed and the
-    rows that the other one changed are named.
+    Rows that are missing from a file are removed.  If another operator has
+    changed the lists since the version that the files were made from, nothing
+    is changed and the rows of that change are printed.
 
     :param plans: the list of plans, in INI.
     :param teams: the list of teams, in INI.
-    :param base: the version the files were made from; else the one that their
-        ``# version N`` line names, else the one in force.
+    :param base: the version the files were made from.  The default is the one
+        in their ``# version N`` line, or else the one in force.
     """
     common = common or Common()
     files = {"plans": plans, "teams": teams}
@@ -76,7 +76,7 @@
 
 
 def _base_version(*texts: str) -> int | None:
-    """Return the version that the files say they were made from."""
+    """Return the version that the files name in their version lines, if any."""
     found = {int(v) for text in texts for v in _VERSION_LINE.findall(text)}
     if len(found) > 1:
         raise _usage(f"the files were made from versions {sorted(found)}; give --base")
@@ -86,7 +86,7 @@
 def _change_row(
     common: Common, list_name: str, name: str, values: dict[str, str] | None
 ) -> None:
-    """Change one row, made from the version that is in force now."""
+    """Change one row, based on the version that is in force now."""
     data = common.ask("GET", path("config"))
     try:
         rows = {r.name: r.values for r in parse_list(list_name, data[list_name])}
@@ -129,15 +129,15 @@
     slo_target: float | None = None,
     common: Common | None = None,
 ) -> None:
-    """Add a plan, or change the options given of one.
+    """Add a plan, or change the given options of an existing one.
 
     :param share: weight of each of its teams when the fleet is full.
-    :param limit: most requests and tasks that a team may have running.
+    :param limit: maximum number of running requests and tasks per team.
     :param urgent: whether its teams may submit urgent jobs.
-    :param slo_ms: waiting time in ms that the service level promises.
-    :param slo_standard_ms: the same for standard requests, if it differs.
-    :param slo_bulk_ms: the same for bulk requests, if it differs.
-    :param slo_target: share of requests that must keep it, such as 0.99.
+    :param slo_ms: waiting-time objective in milliseconds.
+    :param slo_standard_ms: objective for standard requests, if it differs.
+    :param slo_bulk_ms: objective for bulk requests, if it differs.
+    :param slo_target: share of requests that must meet it, such as 0.99.
     """
     numbers = {
         "share": share,
@@ -157,13 +157,13 @@
 
 @app.command(name="remove-team")
 def remove_team(name: str, *, common: Common | None = None) -> None:
-    """Remove a team; its keys run nothing from then on."""
+    """Remove a team; requests with its keys are refused from then on."""
     _change_row(common or Common(), "teams", name, None)
 
 
 @app.command(name="remove-plan")
 def remove_plan(name: str, *, common: Common | None = None) -> None:
-    """Remove a plan that no team has."""
+    """Remove a plan that no team uses."""
     _change_row(common or Common(), "plans", name, None)
 
 
@@ -173,7 +173,7 @@
 
 @app.command(name="versions")
 def versions(*, common: Common | None = None) -> None:
-    """Show the version in force at each instance heard lately."""
+    """Show the version in force at each instance that is currently reachable."""
     common = common or Common()
     found = _versions(common)
     rows = sorted(found.items())
@@ -184,15 +184,15 @@
 def wait(
     version: int,
     *,
-    timeout: Annotated[float, Parameter(help="Seconds to wait at most.")] = 17.0,
+    timeout: Annotated[float, Parameter(help="Maximum wait in seconds.")] = 17.0,
     common: Common | None = None,
 ) -> None:
-    """Wait until a version, or a later one, is in force everywhere.
+    """Wait until a version, or a later one, is in force at all instances.
 
-    Instances that nobody has heard lately are not waited for; ``status`` says
-    which are heard.
+    Unreachable instances are not waited for; ``status`` lists those that can
+    be reached.
 
-    :param version: as ``config apply`` printed it.
+    :param version: the version that ``config apply`` printed.
     """
     common = common or Common()
     deadline = time.monotonic() + timeout
@@ -206,7 +206,7 @@
                 "wait.timed_out",
                 "The version is not in force everywhere yet",
                 f"behind: {', '.join(f'{n} at {found[n]}' for n in behind)}",
-                "See 'firhook status'; a cut zone follows once it is reached again.",
+                "See 'firhook status'; an unreachable zone catches up when it is back.",
             )
         time.sleep(_POLL_S)
     text = f"version {version} is in force at {len(found)} instances"
@@ -215,7 +215,7 @@
 
 @app.command(name="curve")
 def curve(*, json: Annotated[bool, Parameter(negative="")] = False) -> None:
-    """Print a fresh CURVE key pair for [mesh]; all instances share one.
+    """Print a new CURVE key pair for [mesh]; all instances share one pair.
 
     :param json: print JSON.
     """
--- a/src/firhook/cli/_job.py
+++ b/src/firhook/cli/_job.py
@@ -22,7 +22,7 @@
 def list_jobs(*, team: str = "", common: Common | None = None) -> None:
     """List jobs.
 
-    :param team: only this team's jobs.
+    :param team: list only the jobs of this team.
     """
     common = common or Common()
     data = common.ask("GET", path("jobs", team=team))
@@ -35,7 +35,7 @@
 
 @app.command(name="show")
 def show(job_id: str, *, team: str = "", common: Common | None = None) -> None:
-    """Show a job as it was declared and how far its tasks are.
+    """Show the declaration of a job and the progress of its tasks.
 
     :param team: the job's team; needed with an operator's key.
     """
@@ -48,7 +48,7 @@
 
 
 def _states(data: dict[str, Any]) -> str:
-    """Return how many tasks are in each state."""
+    """Return the number of tasks in each state."""
     counts: dict[str, int] = {}
     placed = data.get("placed", {}).values()
     for task in placed:
@@ -72,7 +72,7 @@
 
 
 def explain(job_id: str, *, team: str = "", common: Common | None = None) -> None:
-    """Say what was decided for a job, step by step, and why.
+    """Show the scheduling decisions for a job, step by step, with their reasons.
 
     :param team: the job's team; needed with an operator's key.
     """
--- a/src/firhook/cli/_key.py
+++ b/src/firhook/cli/_key.py
@@ -14,7 +14,7 @@
 
 @app.command(name="give")
 def give(team: str = "", *, common: Common | None = None) -> None:
-    """Give a team a key and show it once; without a team, an operator's key."""
+    """Create a key for a team, or for an operator without one, and show it once."""
     common = common or Common()
     data = common.ask("POST", path("keys"), {"team": team})
     common.show(data, f"key id {data['key_id']}\nkey    {data['key']}")
@@ -22,7 +22,7 @@
 
 @app.command(name="withdraw")
 def withdraw(key_id: str, *, common: Common | None = None) -> None:
-    """Withdraw a key for good."""
+    """Withdraw a key permanently."""
     common = common or Common()
     data = common.ask("DELETE", path("keys", key_id))
     common.show(data, f"key {key_id} is withdrawn")
@@ -30,9 +30,9 @@
 
 @app.command(name="list")
 def list_keys(*, team: str = "", common: Common | None = None) -> None:
-    """List the keys' ids.
+    """List the ids of all keys.
 
-    :param team: only this team's keys.
+    :param team: list only the keys of this team.
     """
     common = common or Common()
     data = common.ask("GET", path("keys"))
@@ -51,10 +51,10 @@
     stdin: Annotated[bool, Parameter(negative="")] = False,
     json: Annotated[bool, Parameter(negative="")] = False,
 ) -> None:
-    """Make a first operator's key and its digest for [keys] operator_digest.
+    """Create the first operator's key and its digest for [keys] operator_digest.
 
-    :param stdin: take the key from the first line of standard input instead;
-        a key on the command line would show in the list of processes.
+    :param stdin: read the key from the first line of standard input instead.
+        A key on the command line would be visible in the process list.
     :param json: print JSON.
     """
     key = sys.stdin.readline().strip() if stdin else f"fk_{secrets.token_urlsafe(24)}"
--- a/src/firhook/cli/_main.py
+++ b/src/firhook/cli/_main.py
@@ -1,4 +1,4 @@
-"""The tool's commands, and what it says and returns when one fails."""
+"""Entry point of the tool: its commands, and the output when one fails."""
 
 import sys
 from typing import Any
@@ -15,8 +15,8 @@
 _HELP = """Operate a firhook cell.
 
 Set FIRHOOK_URL and FIRHOOK_KEY, or give --url and --key.  Exit codes: 0 done,
-1 refused, 2 wrong usage or file, 3 another change came first, 4 come back
-later, 5 the key does not permit it, 6 waited in vain.
+1 refused, 2 wrong usage or file, 3 another change came first, 4 retry
+later, 5 the key does not permit it, 6 timed out.
 """
 
 app = App(name="firhook", version=__version__, help=_HELP)
@@ -35,7 +35,7 @@
 
 
 def describe(problem: dict[str, Any]) -> str:
-    """Return a problem document for people: what happened and what to do."""
+    """Return a problem document as readable text, with its remedy."""
     lines = [
         f"{problem.get('title')}: {problem.get('detail')}",
         f"[{problem.get('code')}] {problem.get('remedy')}",
@@ -43,7 +43,7 @@
     if problem.get("changed"):
         lines.append(f"changed by others: {', '.join(problem['changed'])}")
     if problem.get("retry_after") is not None:
-        lines.append(f"come back in {problem['retry_after']:g} s")
+        lines.append(f"retry in {problem['retry_after']:g} s")
     if problem.get("request_id"):
         lines.append(f"request id {problem['request_id']}")
     return "\n".join(lines)
@@ -55,7 +55,10 @@
 
 
 def main() -> None:
-    """Run the tool; a refusal is printed with its remedy and sets the exit code."""
+    """Run the tool.
+
+    If a command fails, print the problem with its remedy and set the exit code.
+    """
     try:
         app(sys.argv[1:])
     except RefusedError as exc:
--- a/src/firhook/cli/_report.py
+++ b/src/firhook/cli/_report.py
@@ -1,4 +1,4 @@
-"""The burn report as text, JSON and a page of its own."""
+"""The ``report`` command: the burn report as text, JSON or an HTML page."""
 
 from pathlib import Path
 from typing import Any
@@ -40,23 +40,23 @@
 
 
 def render_text(data: dict[str, Any]) -> str:
-    """Return the report for people."""
+    """Return the report as readable text."""
     parts = [table(_HEADERS, [_row(r) for r in data["rows"]])]
     if data["refusals"]:
         parts.append(table(["REFUSED WITH", "COUNT"], sorted(data["refusals"].items())))
     parts.append(f"figures of {len(data['instances'])} instances")
     if data["missing"]:
-        parts.append(f"WITHOUT {', '.join(data['missing'])}, which did not answer")
+        parts.append(f"MISSING {', '.join(data['missing'])}: did not respond")
     return "\n\n".join(parts)
 
 
 def report(*, html: Path | None = None, common: Common | None = None) -> None:
-    """Show how fast each team burns its service level's error budget.
+    """Show how fast each team burns the error budget of its service level.
 
-    A burn rate of 1 uses the budget up exactly; refusals that are not the
+    A burn rate of 1 uses the budget up exactly.  Refusals that are not the
     caller's fault count as misses.
 
-    :param html: also write the report to this file, as a page with a plot.
+    :param html: also write the report to this file, as an HTML page with a plot.
     """
     common = common or Common()
     data = common.ask("GET", path("report"))
--- a/src/firhook/cli/_report_page.py
+++ b/src/firhook/cli/_report_page.py
@@ -1,4 +1,4 @@
-"""The burn report as one HTML file with its plot drawn inside."""
+"""The burn report as a single HTML file with an embedded SVG plot."""
 
 import math
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 _WINDOWS = ("5m", "30m", "1h", "6h")
 _COLOURS = {"5m": "#c0392b", "30m": "#e67e22", "1h": "#2980b9", "6h": "#7f8c8d"}
 _LABEL_WIDTH, _PLOT_WIDTH, _BAR_HEIGHT, _ROW_GAP = 220, 520, 9, 14
-#: The two alerts' burn rates are drawn as lines for the eye.
+#: Burn rates drawn as vertical lines: the exact budget and both alert thresholds.
 _REFERENCE_RATES = ((1.0, "budget"), (6.0, "ticket"), (14.4, "page"))
 
 _STYLE = """
@@ -20,12 +20,15 @@
 
 
 def _x_position(rate: float, top: float) -> float:
-    """Return where a burn rate lies; by logarithm, so that 0.1 and 100 both show."""
+    """Return the x coordinate of a burn rate.
+
+    The scale is logarithmic, so that both 0.1 and 100 are visible.
+    """
     return _LABEL_WIDTH + _PLOT_WIDTH * math.log1p(rate) / math.log1p(top)
 
 
 def render_plot(rows: Sequence[dict[str, Any]]) -> str:
-    """Return an SVG of the burn rates: for each team and class a bar a window."""
+    """Return an SVG plot with one bar per team, class and window."""
     rates = [rate for row in rows for rate in row["burn_rates"].values()]
     top = max([20.0, *rates])
     height = len(rows) * (len(_WINDOWS) * _BAR_HEIGHT + _ROW_GAP) + 40
@@ -85,7 +88,7 @@
 
 
 def render_page(data: dict[str, Any]) -> str:
-    """Return the report as a page that needs no other file."""
+    """Return the report as a self-contained HTML page."""
     legend = " ".join(
         f'<span style="color:{colour}">&#9632; {name}</span>'
         for name, colour in _COLOURS.items()
@@ -93,7 +96,7 @@
     missing = ""
     if data["missing"]:
         names = escape(", ".join(data["missing"]))
-        missing = f"<p><b>Without {names}, which did not answer.</b></p>"
+        missing = f"<p><b>Missing: {names} did not respond.</b></p>"
     return (
         '<!doctype html><html lang="en"><meta charset="utf-8">'
         f"<title>Service-level burn</title><style>{_STYLE}</style>"
