--- a/src/firhook/_report.py
+++ b/src/firhook/_report.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, over the whole fleet."""
+"""Report on the burn rate of the error budgets across the whole fleet."""
 
 from collections.abc import Mapping, Sequence
 
@@ -10,15 +10,15 @@
 
 @attrs.frozen(slots=True)
 class Alert:
-    """Two windows that must both burn fast before anyone is called.
+    """An alert that fires when the burn rate is high in two windows at once.
 
-    The long window shows that enough budget is gone to matter, the short one
-    that it is still going; a burst that is over therefore calls nobody, and a
-    slow leak that each short window hides is seen all the same.
+    The long window shows that a significant part of the budget is used, the short
+    window that it is still being used.  A burst that has ended therefore does
+    not alert, while a slow leak that is invisible in short windows does.
 
-    :param name: ``page`` to wake somebody, ``ticket`` for the working day.
-    :param burn_rate: at which both windows must burn.  At 14.4 an hour takes
-        2% of a month's budget, at 6 six hours take 5%.
+    :param name: ``page`` for immediate action, ``ticket`` for working hours.
+    :param burn_rate: threshold for both windows.  At 14.4 an hour uses 2% of a
+        month's budget; at 6 six hours use 5%.
     """
 
     name: str
@@ -32,15 +32,16 @@
 
 @attrs.frozen(slots=True)
 class BurnRow:
-    """How one team's class of requests burns its error budget.
-
-    :param objective_ms: waiting time in ms that its plan promises.
-    :param target: share of requests that must keep the objective.
-    :param requests: answered or refused in the longest window.
-    :param slow: answered, but later than promised.
-    :param refused: refused for no fault of the caller; a miss as well.
-    :param p50_ms: median wait over the last half-hour to hour.
-    :param burn_rates: by window; 1 uses the budget up exactly at the target.
+    """Error-budget usage of one team and class of requests.
+
+    :param objective_ms: waiting-time objective of the plan, in milliseconds.
+    :param target: share of requests that must meet the objective.
+    :param requests: requests answered or refused in the longest window.
+    :param slow: requests answered later than the objective.
+    :param refused: requests refused without a caller error; they are misses too.
+    :param p50_ms: median waiting time over the last 30 to 60 minutes.
+    :param p99_ms: 99th percentile of the waiting time over the same period.
+    :param burn_rates: burn rate by window; 1 uses the budget up exactly.
     :param alert: ``page``, ``ticket`` or empty.
     """
 
@@ -59,11 +60,12 @@
 
 @attrs.frozen(slots=True)
 class BurnReport:
-    """The whole report.
+    """The complete burn report.
 
-    :param instances: names of the instances whose figures it holds.
-    :param missing: instances that did not answer; their figures are not in it.
+    :param rows: one row per team and class with requests.
     :param refusals: refusals by code since the instances started.
+    :param instances: names of the instances whose statistics are included.
+    :param missing: names of the instances that did not respond.
     """
 
     rows: tuple[BurnRow, ...]
@@ -73,12 +75,12 @@
 
 
 def burn_rate(counts: Sequence[int], target: float) -> float:
-    """Return how fast an error budget is burnt.
+    """Return the burn rate of an error budget.
 
-    :param counts: answered in time, answered late, refused.
+    :param counts: requests answered in time, answered late, refused.
     :param target: share of requests that must be answered in time, below 1.
-    :returns: the share of misses over the share that is allowed; 0 if there
-        were no requests.
+    :returns: the share of misses divided by the allowed share; 0 without
+        requests.
     """
     total = sum(counts)
     if not total:
@@ -88,7 +90,7 @@
 
 
 def worst_alert(burn_rates: Mapping[str, float]) -> str:
-    """Return the gravest alert whose two windows both burn fast enough."""
+    """Return the most severe alert whose threshold both windows reach, if any."""
     for alert in ALERTS:
         lower_rate = min(burn_rates[alert.short_window], burn_rates[alert.long_window])
         if lower_rate >= alert.burn_rate:
@@ -102,10 +104,12 @@
     instances: Sequence[str] = (),
     missing: Sequence[str] = (),
 ) -> BurnReport:
-    """Return how fast each team and class burns its error budget.
+    """Return the error-budget usage of each team and class.
 
-    :param stats: merged over the fleet.
+    :param stats: statistics merged across the fleet.
     :param plans: the plan of each team.
+    :param instances: names of the instances whose statistics are included.
+    :param missing: names of the instances that did not respond.
     """
     rows = [
         _row(team, klass, entry, plans[team])
--- a/src/firhook/_settings.py
+++ b/src/firhook/_settings.py
@@ -1,4 +1,4 @@
-"""Checked settings: every option has a type, a range and a default here."""
+"""Settings of the daemon: the type, range and default of every option."""
 
 import configparser
 from collections.abc import Callable
@@ -99,9 +99,10 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """All settings of one daemon; ``[section] option`` is the field's name.
+    """All settings of one daemon.
 
-    Times are in seconds.  docs/operators/settings.md explains each.
+    Each field is named after its ``[section] option``.  Times are in seconds.
+    docs/operators/settings.md explains every option.
     """
 
     name: str = _opt("instance", _name)
@@ -154,7 +155,7 @@
 
 
 def _cross_checks(cfg: Settings) -> list[str]:
-    """Return what is wrong between options that are each in range."""
+    """Return the conflicts between options that are each in range."""
     problems = []
     if cfg.zone not in cfg.zones:
         problems.append(
@@ -181,10 +182,11 @@
 
 @attrs.frozen(slots=True)
 class Option:
-    """What the operators' page must say of an option.
+    """Description of an option for the operators' documentation.
 
-    :param default: as one would write it; ``None`` if it must be given.
-    :param accepts: the values it takes, such as its range.
+    :param default: the default as written in INI; ``None`` if the option is
+        required.
+    :param accepts: the accepted values, such as the range.
     """
 
     section: str
@@ -194,7 +196,7 @@
 
 
 def describe_options() -> tuple[Option, ...]:
-    """Return all options in their order."""
+    """Return all options in the order of their declaration."""
     return tuple(
         Option(
             field.metadata["section"],
@@ -207,7 +209,7 @@
 
 
 def _format_default(default: Any) -> str | None:
-    """Return a default as one would write it."""
+    """Return a default as written in INI."""
     if default is attrs.NOTHING:
         return None
     if isinstance(default, (int, float)):
@@ -219,8 +221,8 @@
     """Parse and check settings.
 
     :param text: the INI text.
-    :raises SettingsInvalidError: with one line for each problem, naming section,
-        option, value and remedy.  ``exc.extra["problems"]`` lists them.
+    :raises SettingsInvalidError: with one line per problem that names section,
+        option, value and remedy.  ``exc.extra["problems"]`` lists the lines.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     try:
@@ -261,7 +263,8 @@
 def load_settings(path: Path) -> Settings:
     """Read, parse and check a settings file.
 
-    :raises SettingsInvalidError: also if the file cannot be read.
+    :raises SettingsInvalidError: if the file cannot be read or a setting is
+        invalid.
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/src/firhook/_stats.py
+++ b/src/firhook/_stats.py
@@ -1,4 +1,4 @@
-"""Waiting times, objectives kept and missed, and refusals of one instance."""
+"""Waiting times, met and missed objectives, and refusals of one instance."""
 
 import time
 from array import array
@@ -9,24 +9,24 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-#: 0.1 ms to ten minutes, to two significant digits: about 10 KB each, so that
-#: two for each of 120 teams of three classes take 7 MB.  Finer than 0.1 ms is
-#: below what a caller over the network can notice.
+#: Histograms cover 0.1 ms to ten minutes with two significant digits.  Each takes
+#: about 10 KB, so two for each of 120 teams with three classes take 7 MB.  Callers
+#: over a network cannot notice differences below 0.1 ms.
 _LOW_US, _HIGH_US, _DIGITS, _WORD_BYTES = 100, 600_000_000, 2, 4
-#: The library decodes into words of this size, and only adds histograms of one
-#: word size quickly: 35 us against 390 us, for each class of each instance.
+#: The library decodes into words of this size.  Adding histograms of the same word
+#: size takes 35 us, of different sizes 390 us, for each class of each instance.
 _DECODED_WORD_BYTES = 8
 
-#: Histograms are changed this often; a report merges the last two.
+#: Histograms are rotated after this time; a report merges the last two.
 _HISTOGRAM_PERIOD_S = 1800
 
-#: Counts are kept by the minute for the longest window.
+#: Counts are kept per minute, for the length of the longest window.
 _SLOT_S = 60
 WINDOWS_S = {"5m": 300, "30m": 1800, "1h": 3600, "6h": 21600}
 _SLOTS = max(WINDOWS_S.values()) // _SLOT_S
 
-#: Refusals with these codes are the caller's own doing, so that they burn no
-#: error budget; every other refusal is a request that the service missed.
+#: Refusals with these code prefixes are caller errors and burn no error budget.
+#: Every other refusal counts as a miss of the service.
 _CALLER_ERROR_PREFIXES = (
     "key.",
     "request.",
@@ -43,26 +43,26 @@
 
 
 def counts_as_miss(code: str) -> bool:
-    """Return whether a refusal with the code counts as a miss."""
+    """Return whether a refusal with this code counts as a miss."""
     return not code.startswith(_CALLER_ERROR_PREFIXES)
 
 
 def new_histogram(word_bytes: int = _WORD_BYTES) -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty histogram of times in microseconds."""
     return HdrHistogram(_LOW_US, _HIGH_US, _DIGITS, word_size=word_bytes)
 
 
 def fleet_histogram() -> HdrHistogram:
-    """Return an empty histogram to which decoded ones are added."""
+    """Return an empty histogram for adding decoded histograms."""
     return new_histogram(_DECODED_WORD_BYTES)
 
 
 class MinuteCounts:
-    """A ring of answered, slow and refused requests by the minute.
+    """Ring buffers with the answered, slow and refused requests of each minute.
 
-    Arrays of machine integers, since 120 teams of three classes in maps of
-    Python integers would take most of an instance's memory; and one array for
-    each kind, so that a window is the sum of one or two slices.
+    The buffers are arrays of machine integers: dictionaries of Python integers for
+    120 teams with three classes would take most of an instance's memory.  There
+    is one array per kind, so that a window is the sum of one or two slices.
     """
 
     def __init__(self) -> None:
@@ -70,19 +70,23 @@
         self._latest = 0
 
     def add(self, minute: int, kind: int) -> None:
-        """Count one request in a minute."""
+        """Count one request.
+
+        :param minute: number of the current minute.
+        :param kind: ``ANSWERED``, ``SLOW`` or ``REFUSED``.
+        """
         self._advance(minute)
         self._kinds[kind][minute % _SLOTS] += 1
 
     def _advance(self, minute: int) -> None:
-        """Empty the slots of the minutes that went by since the last one."""
+        """Clear the slots of the minutes that passed since the last call."""
         for passed in range(max(self._latest + 1, minute - _SLOTS + 1), minute + 1):
             for counts in self._kinds:
                 counts[passed % _SLOTS] = 0
         self._latest = max(self._latest, minute)
 
     def sum_window(self, minute: int, window_s: int) -> list[int]:
-        """Return answered, slow and refused over a window that ends now."""
+        """Return the answered, slow and refused requests of a window that ends now."""
         self._advance(minute)
         end = minute % _SLOTS + 1
         start = end - window_s // _SLOT_S
@@ -94,14 +98,14 @@
 
 @attrs.define(slots=True, eq=False)
 class _RollingHistogram:
-    """The histogram in use and the one before it."""
+    """The histogram of the current period and the one of the period before."""
 
     period: int
     current: HdrHistogram = attrs.field(factory=new_histogram)
     previous: HdrHistogram | None = None
 
     def rotate(self, period: int) -> None:
-        """Change histograms if their time is over."""
+        """Start a new histogram if the period has changed."""
         if period == self.period:
             return
         self.previous = self.current if period == self.period + 1 else None
@@ -110,10 +114,10 @@
 
 @attrs.define(slots=True)
 class ClassStats:
-    """What a report needs of one team and class.
+    """Statistics of one team and class for a report.
 
-    :ivar waits: waiting times in microseconds over the last half-hour to hour.
-    :ivar windows: answered, slow and refused by window.
+    :ivar waits: waiting times in microseconds over the last 30 to 60 minutes.
+    :ivar windows: answered, slow and refused requests by window.
     """
 
     waits: HdrHistogram = attrs.field(factory=fleet_histogram)
@@ -124,13 +128,13 @@
 
 @attrs.define(slots=True)
 class FleetStats:
-    """The sum of what several instances dumped."""
+    """Merged statistics of several instances."""
 
     classes: dict[ClassKey, ClassStats] = attrs.field(factory=dict)
     refusals: Counter[str] = attrs.field(factory=Counter)
 
     def merge(self, data: dict[str, Any]) -> None:
-        """Add what an instance dumped."""
+        """Add the dump of an instance, as returned by :meth:`Stats.dump`."""
         for team, klass, text, windows in data["classes"]:
             stats = self.classes.setdefault((team, klass), ClassStats())
             stats.waits.decode_and_add(text.encode())
@@ -142,12 +146,12 @@
 
 
 class Stats:
-    """What one instance has seen.
+    """Statistics of one instance.
 
-    A request is held against the objective that is in force when it is
-    answered, so that a later change of the plan does not rewrite the past.
-    Counts are exact at the objective; the histograms only show how waits are
-    spread.  They start small and appear when a team first sends something.
+    A request is compared with the objective in force when it is answered, so a
+    later change of the plan does not alter past results.  The counts are exact
+    with respect to the objective; the histograms only show the distribution of
+    waiting times.  Both are allocated when a team sends its first request.
 
     :param clock: monotonic clock in seconds.
     """
@@ -163,23 +167,23 @@
         self._counts: dict[ClassKey, MinuteCounts] = {}
 
     def count_answer(self, team: str, klass: str, wait_s: float, took_s: float) -> None:
-        """Count a request that got a runner's answer."""
+        """Count a request that a runner answered."""
         key = (team, klass)
         period = int(self._clock() // _HISTOGRAM_PERIOD_S)
-        recent = self._histograms.get(key)
-        if recent is None:
-            recent = self._histograms[key] = _RollingHistogram(period)
-        recent.rotate(period)
-        recent.current.record_value(min(max(_LOW_US, int(wait_s * 1e6)), _HIGH_US))
+        histogram = self._histograms.get(key)
+        if histogram is None:
+            histogram = self._histograms[key] = _RollingHistogram(period)
+        histogram.rotate(period)
+        histogram.current.record_value(min(max(_LOW_US, int(wait_s * 1e6)), _HIGH_US))
         self.answers[key] += 1
         self.wait_sums_s[key] += wait_s
         slow = wait_s * 1000 > self.objective_ms(team, klass)
         self._count(key, SLOW if slow else ANSWERED)
 
     def count_refusal(self, code: str, team: str = "", klass: str = "standard") -> None:
-        """Count a request that was refused.
+        """Count a refused request.
 
-        :param team: empty if the request came without a valid key.
+        :param team: empty if the request had no valid key.
         """
         self.refusals[code] += 1
         if team and counts_as_miss(code):
@@ -192,11 +196,11 @@
         counts.add(int(self._clock() // _SLOT_S), kind)
 
     def count(self, name: str, amount: float = 1) -> None:
-        """Add to a counter that the metrics show as ``firhook_NAME_total``."""
+        """Add to a counter that is exported as the metric ``firhook_NAME_total``."""
         self.counters[name] += amount
 
     def dump(self) -> dict[str, Any]:
-        """Return everything as plain data for :meth:`FleetStats.merge`."""
+        """Return all statistics as plain data for :meth:`FleetStats.merge`."""
         minute = int(self._clock() // _SLOT_S)
         return {
             "classes": [
@@ -212,10 +216,10 @@
 
     def _merged_waits(self, key: ClassKey) -> HdrHistogram:
         merged = new_histogram()
-        recent = self._histograms.get(key)
-        if recent is not None:
-            recent.rotate(int(self._clock() // _HISTOGRAM_PERIOD_S))
-            merged.add(recent.current)
-            if recent.previous is not None:
-                merged.add(recent.previous)
+        histogram = self._histograms.get(key)
+        if histogram is not None:
+            histogram.rotate(int(self._clock() // _HISTOGRAM_PERIOD_S))
+            merged.add(histogram.current)
+            if histogram.previous is not None:
+                merged.add(histogram.previous)
         return merged
--- a/src/firhook/_web.py
+++ b/src/firhook/_web.py
@@ -1,4 +1,4 @@
-"""What all HTTP routes share: problem documents, request ids, bodies, ports."""
+"""Shared parts of the HTTP servers: errors, request ids, bodies, shutdown."""
 
 import asyncio
 import math
@@ -22,16 +22,17 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 REQUEST_ID = "X-Request-Id"
-#: How often a stopping instance looks whether callers still hold connections.
+#: How often a stopping instance checks for open connections.
 _CONNECTION_POLL_S = 0.05
-#: Where a request keeps its id.
+#: Key under which a request stores its id.
 REQUEST_KEY = web.RequestKey("request_id", str)
 
 
 def request_id(req: web.Request) -> str:
-    """Return the caller's request id, or a new one if it gave none.
+    """Return the request id that the caller sent, or a new one.
 
-    :raises RequestMalformedError: if it gave one that is unsafe to log.
+    :raises RequestMalformedError: if the id is too long or not printable, and
+        so unsafe to log.
     """
     given = req.headers.get(REQUEST_ID)
     if given is None:
@@ -44,10 +45,10 @@
 def problem_response(exc: FirhookError, rid: str | None = None) -> web.Response:
     """Return an error as an RFC 9457 problem document.
 
-    :param rid: the request's id, where requests have one.
+    The Retry-After header holds whole seconds, rounded up.  The member
+    ``retry_after`` of the document holds the exact time.
 
-    The Retry-After header takes whole seconds only and is rounded up; the
-    member ``retry_after`` of the document says it exactly.
+    :param rid: the request id, for servers whose requests have one.
     """
     headers = {} if rid is None else {REQUEST_ID: rid}
     members = {} if rid is None else {"request_id": rid}
@@ -63,7 +64,7 @@
 
 @web.middleware
 async def problem_middleware(req: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turn errors into problem documents and put the request id on answers."""
+    """Turn exceptions into problem documents and add the request id to responses."""
     rid = "-"
     try:
         rid = request_id(req)
@@ -89,9 +90,9 @@
 
 
 async def read_json(req: web.Request) -> Any:
-    """Return the body decoded from JSON.
+    """Return the decoded JSON body.
 
-    :raises RequestMalformedError: if it is not JSON.
+    :raises RequestMalformedError: if the body is not JSON.
     """
     try:
         return msgspec.json.decode(await req.read())
@@ -100,7 +101,7 @@
 
 
 def json_response(data: Any, status: int = 200) -> web.Response:
-    """Return data as a JSON answer."""
+    """Return data as a JSON response."""
     return web.Response(
         status=status,
         body=msgspec.json.encode(data),
@@ -109,15 +110,16 @@
 
 
 class DrainingSite(web.SockSite):
-    """A listening socket that closes without cutting who has connected.
+    """A site that accepts all pending connections before it closes its socket.
 
-    The kernel completes connections before the process accepts them.  Those
-    that still wait when a listening socket is closed are reset, and their
-    callers see a request cut that was sent to a live connection.  So everything
-    that waits is accepted in the same step in which the socket is closed.
+    The operating system completes connections before the process accepts them.
+    Closing a listening socket resets the connections in its backlog, and their
+    callers lose requests that they sent over an established connection.  This
+    site therefore accepts the whole backlog in the same event-loop step in which
+    it closes the socket.
 
-    :param runner: serves what is accepted.
-    :param sock: the listening socket, not blocking.
+    :param runner: serves the accepted connections.
+    :param sock: the listening socket, non-blocking.
     """
 
     def __init__(self, runner: web.BaseRunner, sock: socket.socket) -> None:
@@ -127,7 +129,7 @@
         self._accepted: set[asyncio.Task[Any]] = set()
 
     async def stop(self) -> None:
-        """Accept what waits, and close."""
+        """Accept all pending connections, then close the socket."""
         self._accept_pending()
         await super().stop()
         if self._accepted:
@@ -140,7 +142,7 @@
             try:
                 conn, _ = self._listener.accept()
             except OSError:
-                # Nothing waits any more, or the socket is closed already.
+                # The backlog is empty, or the socket is already closed.
                 return
             conn.setblocking(False)
             task = loop.create_task(
@@ -152,16 +154,16 @@
 
 
 async def wait_connections_closed(runner: web.BaseRunner, timeout_s: float) -> None:
-    """Wait until no caller holds a connection any more.
+    """Wait until all connections are closed.
 
-    A caller that keeps its connection between two requests cannot know that
-    the instance stops.  If the instance closes the connection in the moment in
-    which the next request is on its way, the caller sees it cut and cannot tell
-    whether it was run.  So connections stay open until their callers have used
-    them once more, which tells them to close, or have let go of them.
+    A caller with a keep-alive connection does not know that the instance is
+    stopping.  If the instance closes the connection while the next request is
+    in transit, the caller cannot tell whether the request was executed.
+    Connections therefore stay open until the caller closes them or sends another
+    request, whose response closes the connection.
 
-    :param timeout_s: a caller that comes back later than this finds its connection
-        closed, which it sees before it sends.
+    :param timeout_s: maximum wait.  A caller that is idle for longer finds its
+        connection closed before it sends the next request.
     """
     server = runner.server
     waited_s = 0.0
@@ -171,28 +173,28 @@
 
 
 async def drain_and_close(runner: web.BaseRunner, timeout_s: float) -> None:
-    """Close a runner without cutting callers who connected just before.
+    """Close a runner without dropping connections that were opened just before.
 
-    A connection whose request has not come yet looks idle, and closing the
-    runner would close it while its caller sends.
+    A connection whose request has not arrived yet looks idle, and closing the
+    runner would close it while its caller is sending.
 
-    :param timeout_s: callers that have sent nothing after this are cut.
+    :param timeout_s: connections that are still idle after this time are closed.
     """
     for site in list(runner.sites):
         await site.stop()
-    # The loop may have accepted connections that the server does not know yet.
+    # The loop may have accepted connections that the server has not registered.
     await asyncio.sleep(_CONNECTION_POLL_S)
     await wait_connections_closed(runner, timeout_s)
     await runner.cleanup()
 
 
 async def serve(routes: list[web.RouteDef], host: str, port: int, max_body: int) -> Any:
-    """Start serving routes; return the runner and the port it got."""
+    """Start serving routes and return the runner and its site."""
     app = web.Application(middlewares=[problem_middleware], client_max_size=max_body)
     app.add_routes(routes)
-    # A body is passed on with the headers that describe it, so it must stay as
-    # it was sent: unpacked under "Content-Encoding: gzip" a runner would fail
-    # on it, and a small packed body could fill the memory.
+    # The gateway forwards a body with its original headers, so the body must stay
+    # encoded: a runner would fail on a decompressed body under "Content-Encoding:
+    # gzip", and a small compressed body could exhaust the memory.
     runner = web.AppRunner(
         app, access_log=None, shutdown_timeout=1.0, auto_decompress=False
     )
--- a/src/firhook/settings.py
+++ b/src/firhook/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon, read from INI and checked."""
+"""Settings of the daemon, read from INI and validated."""
 
 from firhook._settings import (
     Option,
--- a/src/firhook/stats.py
+++ b/src/firhook/stats.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one instance, mergeable over the fleet."""
+"""Counters and histograms of one instance that merge across the fleet."""
 
 from firhook._stats import WINDOWS_S, ClassStats, FleetStats, MinuteCounts, Stats
 
