--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -54,7 +54,7 @@
         """Take in a peer's gossip."""
         self._received[peer] = _ReceivedGossip(now, gossip)
 
-    def beyond_parts(self, now: float) -> dict[str, int]:
+    def excess_by_runner(self, now: float) -> dict[str, int]:
         """Return what the peers have at each runner beyond their parts."""
         counts: dict[str, int] = {}
         for gossip in self._live_gossip(now).values():
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -402,7 +402,7 @@
             return
         now = self.kernel.clock()
         self._fleet.add_gossip(event.peer, event.body, now)
-        counts = self._fleet.beyond_parts(now)
+        counts = self._fleet.excess_by_runner(now)
         leaving = [load.runner for load in event.body.runners if load.leaving]
         for service in self._services.values():
             service.router.set_peer_excess(counts)
