--- a/src/firhook/_calls.py
+++ b/src/firhook/_calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests: read from aiohttp, checked, and answered."""
+"""Parsing, validation and responses of the callers' requests."""
 
 import hashlib
 from typing import Any
@@ -17,19 +17,23 @@
 from firhook.queries import CheckFresh
 
 PREFIX = "/r/"
-#: Headers that are for firhook only.  The key above all must not reach a
-#: runner, which could act in the team's name with it.
+#: Headers that are not forwarded to runners.  With the key in particular, a runner
+#: could act on behalf of the team.
 _FIRHOOK_HEADERS = frozenset(("authorization", "x-class", "x-deadline-ms"))
 
 
 @attrs.define(slots=True, eq=False)
 class Call:
-    """A caller's request on its way through the gateway.
+    """A caller's request in the gateway.
 
-    :param path: path and query exactly as they are to be sent to the runner.
+    :param rid: the request id.
+    :param path: path and query, sent unchanged to the runner.
+    :param klass: class of service, such as ``interactive``.
+    :param arrived: arrival time on the monotonic clock, in seconds.
+    :param deadline: time by which it must be answered, on the same clock.
     :param once_key: the Idempotency-Key of a non-idempotent request, or empty.
     :param transport: the caller's connection.
-    :ivar claimed: whether the claim on its key was seen to be the first.
+    :ivar claimed: whether its claim on the key is confirmed to be the first.
     """
 
     rid: str
@@ -48,12 +52,12 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether executing it twice has the same effect as once."""
         return self.method in IDEMPOTENT_METHODS
 
     @property
     def repeatable(self) -> bool:
-        """Whether its caller can repeat it if its outcome is unknown."""
+        """Whether its caller can safely repeat it if the outcome is unknown."""
         return self.idempotent or bool(self.once_key)
 
     @property
@@ -63,12 +67,12 @@
 
     @property
     def kind(self) -> tuple[str, ...]:
-        """What requests that take about as long have in common."""
+        """Group of requests that are expected to take about the same time."""
         first_segment = self.path.split("?", 1)[0].split("/", 2)[1][:64]
         return (self.team, self.klass, self.method, first_segment)
 
     def once_digests(self) -> tuple[str, str]:
-        """Return the digests of its Idempotency-Key and of all it asks for."""
+        """Return the digests of its Idempotency-Key and of its content."""
         body = hashlib.sha256(self.body).hexdigest()
         return (
             _digest(self.team, self.once_key),
@@ -83,11 +87,14 @@
 async def read_call(
     bus: Bus, req: web.Request, now: float, max_deadline_s: float
 ) -> Call:
-    """Read and check a caller's request, with its body.
-
-    :param max_deadline_s: the longest deadline that a request may have, in seconds.
-    :raises RequestMalformedError: naming the part that is wrong.
-    :raises ZoneStaleError: if the key may have been withdrawn unnoticed.
+    """Read and validate a caller's request with its body.
+
+    :param now: the current time on the monotonic clock, in seconds.
+    :param max_deadline_s: maximum deadline of a request, in seconds.
+    :raises RequestMalformedError: naming the invalid part.
+    :raises NotPermittedError: if the key is an operator's.
+    :raises ZoneStaleError: if the known keys are too old to exclude that the key
+        was withdrawn.
     """
     caller = await principal(bus, req)
     if caller.is_operator:
@@ -123,10 +130,10 @@
 def split_target(target: str) -> tuple[str, str]:
     """Split a request target into the service and the runner's path and query.
 
-    The path is taken as it was sent.  Decoded and encoded again, ``%2F`` would
-    become a slash and name another record.
+    The path is not decoded: decoding and encoding it again would turn ``%2F``
+    into a slash, which names another resource.
 
-    :raises RequestMalformedError: if it names no service.
+    :raises RequestMalformedError: if the target names no service.
     """
     service, slash, path = target.removeprefix(PREFIX).partition("/")
     if not target.startswith(PREFIX) or not service or not slash or "#" in path:
@@ -142,9 +149,11 @@
 
 
 def check_deadline(header: str | None, max_deadline_s: float) -> float:
-    """Return the seconds that a caller will wait.
+    """Return the deadline that a caller asks for, in seconds.
 
-    :raises RequestMalformedError: if it is no whole number of ms above 0.
+    :param header: the value of X-Deadline-Ms, if given.
+    :param max_deadline_s: the default and the maximum.
+    :raises RequestMalformedError: unless it is a positive integer.
     """
     if header is None:
         return max_deadline_s
@@ -156,9 +165,9 @@
 
 
 def check_once_key(header: str | None) -> str:
-    """Return the Idempotency-Key, or an empty text if there is none.
+    """Return the Idempotency-Key, or an empty string without the header.
 
-    :raises RequestMalformedError: if it is empty, too long or not printable.
+    :raises RequestMalformedError: if the key is empty, too long or not printable.
     """
     if header is None:
         return ""
@@ -172,12 +181,12 @@
 def add_earlier_attempts(
     req: web.Request, call: Call | None, exc: FirhookError
 ) -> None:
-    """Say what a refusal does not know of a keyed request's earlier attempts.
+    """Mark a refusal if earlier attempts of a keyed request may have been executed.
 
-    Until its claim was seen to be first, ``ran: no`` speaks of the attempt that
-    it answers.  An earlier one may have charged the customer through another
-    instance, and a caller that took the refusal for the whole truth would
-    charge her by another way once more.
+    Until the claim on the key is confirmed to be the first, ``ran: no`` covers only
+    the current attempt.  An earlier attempt may have been executed through another
+    instance, for example a payment.  A caller that relied on the refusal alone
+    would pay a second time by other means.
     """
     keyed = req.method not in IDEMPOTENT_METHODS and "Idempotency-Key" in req.headers
     claim_confirmed = call is not None and call.claimed
@@ -186,9 +195,9 @@
 
 
 def build_response(answer: EndpointResponse, close_connection: bool) -> web.Response:
-    """Return a runner's answer to the caller.
+    """Build the response to the caller from a runner's response.
 
-    :param close_connection: whether to close the caller's connection after it.
+    :param close_connection: whether to close the caller's connection afterwards.
     """
     resp = web.Response(
         status=answer.status, body=answer.body, headers=CIMultiDict(answer.headers)
--- a/src/firhook/_daemon.py
+++ b/src/firhook/_daemon.py
@@ -1,4 +1,4 @@
-"""Start and graceful stop of the daemon."""
+"""Command line, startup and graceful shutdown of the daemon."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
         bool, Parameter(negative="", help="Check the settings and exit.")
     ] = False,
 ) -> int:
-    """Run the daemon until it is told to stop by SIGTERM or SIGINT."""
+    """Run the daemon until SIGTERM or SIGINT."""
     if config is None:
         return run_instance(check)
     try:
--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -1,4 +1,4 @@
-"""What an instance knows of its peers' requests, and tells them of its own."""
+"""View of the peers' requests, and the load that this instance publishes."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,29 +10,31 @@
 from firhook.decide.parts import FleetUse
 from firhook.model import Endpoint, Gossip
 
-#: Slot seconds served lose half their weight in so many seconds: long enough
-#: to even out single requests, short enough that a team which was idle over
-#: lunch is not paid back for it.
+#: Half-life of the slot time that counts as recently served.  It is long enough to
+#: smooth single requests, and short enough that a team gets no credit for a long
+#: idle period.
 _SERVED_HALF_LIFE_S = 5.0
-#: Words get rarer as the fleet grows; so many missed make a peer silent.
+#: A peer is ignored after this many missed gossip messages.  The gossip interval
+#: grows with the fleet, so a fixed timeout alone would be too short.
 _MAX_MISSED_GOSSIP = 3
 _MIN_SERVED_S = 1e-3
 
 
 @attrs.define(slots=True, eq=False)
 class _ReceivedGossip:
-    """A peer's latest gossip."""
+    """The latest gossip message of a peer and its arrival time in seconds."""
 
     received_at: float
     gossip: Gossip
 
 
 class FleetView:
-    """The peers' latest words, and this instance's own use.
+    """The load of the peers by their latest gossip, and of this instance.
 
-    :param name: this instance.
-    :param gossip_timeout_s: a peer not received for so long counts as silent.
-    :param now: the time, in seconds.
+    :param name: name of this instance.
+    :param gossip_timeout_s: minimum time after which a peer without gossip is
+        ignored, in seconds.
+    :param now: the current time, in seconds.
     """
 
     def __init__(self, name: str, gossip_timeout_s: float, now: float) -> None:
@@ -44,18 +46,18 @@
         self._updated_at = now
 
     def set_instances(self, instances: Iterable[Endpoint]) -> None:
-        """Take over the instances that the platform lists."""
+        """Set the instances that the platform lists."""
         self._entry_instances = {e.name for e in instances if e.kind == "entry"}
         self._received = {
             n: h for n, h in self._received.items() if n in self._entry_instances
         }
 
     def add_gossip(self, peer: str, gossip: Gossip, now: float) -> None:
-        """Take in a peer's gossip."""
+        """Record a gossip message of a peer."""
         self._received[peer] = _ReceivedGossip(now, gossip)
 
     def excess_by_runner(self, now: float) -> dict[str, int]:
-        """Return what the peers have at each runner beyond their parts."""
+        """Return the peers' requests at each runner beyond their shares."""
         counts: dict[str, int] = {}
         for gossip in self._live_gossip(now).values():
             for load in gossip.runners:
@@ -63,9 +65,9 @@
         return counts
 
     def fleet_use(self, account: Account, load: Load, now: float) -> FleetUse:
-        """Return the fleet's use as far as it is known here."""
-        # Listed instances that were not heard may be serving all the same, cut
-        # off from here; they keep the least part.
+        """Return the usage of the fleet as known to this instance."""
+        # A listed instance without recent gossip may still be serving requests
+        # behind a network partition, so it keeps the minimum share.
         demand: dict[str, Mapping[str, float]] = {
             name: {} for name in self._entry_instances
         }
@@ -83,7 +85,7 @@
     def update_load(
         self, account: Account, services: Iterable[Dispatcher], load: Load, now: float
     ) -> None:
-        """Fill in what the peers are told of this instance."""
+        """Update the load that this instance publishes to its peers."""
         self._update_served(account.running, now)
         load.served_s = dict(self._served_s)
         load.waiting = {}
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -1,4 +1,4 @@
-"""The service tree, and the registry by which roles join it."""
+"""The daemon's root service and the registry of its roles."""
 
 import asyncio
 import importlib
@@ -26,7 +26,7 @@
 
 
 def register_role(name: str) -> Callable[[type["Role"]], type["Role"]]:
-    """Register a role under a name; used as a class decorator."""
+    """Return a class decorator that registers a role under a name."""
 
     def decorate(cls: type["Role"]) -> type["Role"]:
         _ROLES[name] = cls
@@ -37,7 +37,7 @@
 
 
 def load_roles() -> dict[str, type["Role"]]:
-    """Import the roles that ship with firhook and return all registered ones."""
+    """Import the built-in roles and return all registered roles by name."""
     for name in ROLE_MODULES:
         importlib.import_module(f"firhook.roles._{name}")
     return dict(_ROLES)
@@ -45,14 +45,15 @@
 
 @attrs.define
 class Load:
-    """What this instance tells its peers of its load.
-
-    :ivar waiting: requests waiting, by team.
-    :ivar served_s: seconds of slot time that each team used lately, decayed.
-    :ivar excess_in_flight: requests in flight beyond this instance's part of a runner's
-        slots, by runner and address.
-    :ivar local_in_flight: requests in flight, likewise; for operators, not for peers.
-    :ivar leaving: runners that said they take no new work, likewise.
+    """Load of this instance, which it publishes to its peers.
+
+    :ivar waiting: waiting requests by team.
+    :ivar served_s: recent slot time of each team in seconds, exponentially decayed.
+    :ivar excess_in_flight: requests in flight beyond this instance's share of a
+        runner's slots, by runner and address.
+    :ivar local_in_flight: all requests in flight, by runner and address; shown to
+        operators and not sent to peers.
+    :ivar leaving: runners that accept no new work, by runner and address.
     """
 
     waiting: dict[str, int] = attrs.field(factory=dict)
@@ -63,11 +64,11 @@
 
 
 class Role(Service, ABC):
-    """A plug-in of the kernel: one concern of the daemon, with its I/O.
+    """A plug-in of the kernel that handles one concern of the daemon and its I/O.
 
-    Roles start in the order of :data:`ROLE_MODULES` and drain in the reverse
-    order, so that the gateway finishes its requests while the journal still
-    carries their outcomes.
+    Roles start in the order of :data:`ROLE_MODULES` and drain in reverse order,
+    so that the gateway finishes its requests while the journal can still record
+    their outcomes.
     """
 
     abstract: ClassVar[bool] = True
@@ -84,22 +85,24 @@
 
     @abstractmethod
     def register_handlers(self) -> None:
-        """Subscribe to events and offer answers; called before any start."""
+        """Subscribe to events and register query handlers; called before any start."""
 
     async def drain(self) -> None:
-        """Finish or hand back what this role holds, before it is stopped."""
+        """Finish or release the work of this role before it is stopped."""
 
 
 class Kernel(Service):
     """The daemon's root service.
 
     :param cfg: the checked settings.
-    :param platform: the platform's services.
+    :param platform: clients of the platform's services.
     :param incarnation: unique for each run of the process.
-    :param clock: monotonic clock in seconds; tests pass their own.
-    :ivar stop_requested: set by an operator's drain; the daemon then stops as it
-        would on SIGTERM.
-    :ivar mesh_traffic: bytes sent to and received from peers, for the metrics.
+    :param clock: monotonic clock in seconds; replaceable for tests.
+    :ivar lane: identity of this run as a writer to the log, ``name#incarnation``.
+    :ivar stop_requested: set by an operator's drain request; the daemon then stops
+        as on SIGTERM.
+    :ivar mesh_traffic: returns the bytes sent to and received from peers, for the
+        metrics.
     """
 
     def __init__(
@@ -132,11 +135,11 @@
         }
 
     def on_init_dependencies(self) -> list[Service]:
-        """Return the roles, which start after the kernel, in order."""
+        """Return the roles in the order in which they start, after the kernel."""
         return [self.roles[name] for name in ROLE_MODULES]
 
     async def drain(self) -> None:
-        """Bring every role to rest, so that stopping cuts nothing."""
+        """Drain every role, so that stopping interrupts no work."""
         self.stopping = True
         log("instance.draining")
         for name in reversed(ROLE_MODULES):
--- a/src/firhook/kernel.py
+++ b/src/firhook/kernel.py
@@ -1,4 +1,4 @@
-"""The kernel: roles register themselves with it and talk through it."""
+"""The kernel, with which roles register and whose bus connects them."""
 
 from firhook._bus import Bus, Query
 from firhook._kernel import Kernel, Role, load_roles, register_role
