--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -1,4 +1,7 @@
-"""This instance's room: what it asks its zone's lead for, and holds."""
+"""The capacity that this instance requests from its zone's lead and holds.
+
+The messages call capacity *room*.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -13,17 +16,17 @@
 from firhook.logs import log
 from firhook.model import GrantAnswer, GrantAsk, Holdings, HoldingsAsk, TeamRoom
 
-#: A team that was refused room asks again after so long at the earliest.
+#: Minimum time before capacity is requested again after a refusal.
 _RETRY_S = 0.1
-#: Wants that come within this time go into one message.
+#: Demand that arrives within this time is sent in one message.
 _BATCH_DELAY_S = 0.01
-#: Demand that is not renewed falls by half in this time.
+#: Demand that is not renewed halves in this time.
 _DEMAND_HALF_LIFE_S = 2.0
 
 
 @attrs.frozen(slots=True)
 class _Stamp:
-    """The stamp of a lead's last answer, and when it was read here."""
+    """The stamp of a lead's last answer, and when this instance read it."""
 
     epoch: int
     stamp: float
@@ -31,17 +34,17 @@
 
 
 def instance_name(lane: str) -> str:
-    """Return the instance's name of a lane."""
+    """Return the name of the instance that a lane belongs to."""
     return lane.partition("#")[0]
 
 
 class CapacityBorrower:
-    """Borrows room from the zone's lead for what waits here.
+    """Borrows capacity from the zone's lead for the work of this instance.
 
-    All teams of an instance go into one message: at the two-year size 120
-    teams would otherwise cost each instance 120 messages a second.
+    All teams of an instance share one message: otherwise 120 teams would cost each
+    instance 120 messages a second.
 
-    :param lend: answers an ask where this instance is the lead itself.
+    :param lend: handles the request if this instance is the lead itself.
     """
 
     def __init__(
@@ -63,7 +66,7 @@
         self._stopped = False
 
     def add_demand(self, event: CapacityWanted) -> None:
-        """Note that work waits for room."""
+        """Record that work of a team waits for capacity."""
         now = self._kernel.clock()
         self._demand.raise_to(event.team, event.wanted, now)
         if now >= self._retry_at.get(event.team, 0.0):
@@ -71,24 +74,24 @@
             self._wake.set()
 
     def teams(self) -> list[str]:
-        """Return the teams that want or hold room."""
+        """Return the teams that want or hold capacity."""
         account, waiting = self._kernel.account, self._kernel.load.waiting
         demand = self._demand.teams(self._kernel.clock())
         return sorted({*demand, *account.capacity, *account.running, *waiting})
 
     def _wanted(self, team: str, now: float) -> int:
-        # Whatever waits wants room for one at least: its want may have been
-        # noted long ago, while the lead was away, and nothing would note it
+        # Waiting work needs capacity for at least one request.  Its demand may have
+        # decayed while the lead was unreachable, and nothing would record it
         # again before its deadline.
         minimum = self._kernel.account.running.get(team, 0)
         minimum += bool(self._kernel.load.waiting.get(team))
         return self._demand.wanted(team, minimum, now)
 
     def holdings(self, teams: Iterable[str]) -> tuple[TeamRoom, ...]:
-        """Return what is wanted and held for teams.
+        """Return the wanted and held capacity of teams, and release the excess.
 
-        Room that is no longer wanted is given up here, before the lead hears
-        of it, so that nobody else can use it while this instance still does.
+        Capacity that is no longer wanted is released here before the lead is
+        informed, so that no other instance can use it at the same time.
         """
         account = self._kernel.account
         now = self._kernel.clock()
@@ -101,17 +104,22 @@
         return tuple(result)
 
     async def on_holdings_ask(self, ask: HoldingsAsk) -> Holdings:
-        """Tell a new lead what is held, and follow no older one any more."""
+        """Report the holdings to a new lead, and reject older leads from now on.
+
+        :raises NotLeadError: if the request is for another incarnation.
+        """
         if ask.instance != self._kernel.lane:
-            # Another run of this instance held that; it may be paused only.
-            raise NotLeadError(f"this is {self._kernel.lane}, not {ask.instance}")
+            # Another incarnation holds that capacity; it may only be paused.
+            raise NotLeadError(
+                f"this incarnation is {self._kernel.lane}, not {ask.instance}"
+            )
         self._leadership.fence(ask.epoch)
         if ask.epoch > self._announced_lead[0]:
             self._announced_lead = (ask.epoch, ask.lead)
         return self.all_holdings()
 
     def all_holdings(self) -> Holdings:
-        """Return what is held here, and what was lent as the lead to guests."""
+        """Return all holdings, and the loans to guests from leading the zone."""
         teams = self.holdings(self.teams())
         return Holdings(self._kernel.lane, teams, self._guests())
 
@@ -130,7 +138,7 @@
         return max(self._announced_lead, (lead.epoch, lead.instance))
 
     async def run(self) -> None:
-        """Ask again and again, for everything or for what is pressed."""
+        """Request capacity periodically for all teams, and at once for new demand."""
         ttl_s = self._kernel.cfg.grant_ttl_s
         next_full = 0.0
         while not self._stopped:
@@ -138,8 +146,8 @@
             if now >= next_full:
                 self._pending_teams.clear()
                 done = await self._try_request(self.teams())
-                # One ask that gets no answer in its second still leaves time
-                # for another before the grants lapse.
+                # A request that times out after a second leaves time for another
+                # before the grants expire.
                 next_full = now + (ttl_s / 2 if done else _RETRY_S)
             elif self._pending_teams:
                 teams = sorted(self._pending_teams)
@@ -161,8 +169,8 @@
         try:
             return await self._request(teams)
         except FirhookError as exc:
-            # The lead is away or changing.  What is held stays held until it
-            # lapses, and the next round finds the lead that is there then.
+            # The lead is unreachable or changing.  The held capacity stays valid
+            # until it expires, and the next round uses the lead of that time.
             log("room.ask_failed", level="debug", code=exc.code, detail=exc.detail)
             return False
 
@@ -185,7 +193,10 @@
         return answer.lent
 
     def _make_promise(self, epoch: int) -> float:
-        """Return the stamp to send back, by which this ask is a promise."""
+        """Return the stamp to send back, which makes the request a promise.
+
+        -1 stands for no promise.
+        """
         if self._stamp.epoch != epoch or not self._leadership.may_promise:
             return -1.0
         self._leadership.promised_at = self._stamp.read_at
@@ -193,8 +204,7 @@
 
     def _apply_answer(self, ask: GrantAsk, answer: GrantAnswer, sent_at: float) -> None:
         if answer.epoch != ask.epoch or answer.epoch < self._known_lead()[0]:
-            # A newer lead has been told what is held here; it does not know
-            # of this grant.
+            # A newer lead has received the holdings without this grant.
             return
         now = self._kernel.clock()
         self._stamp = _Stamp(answer.epoch, answer.stamp, now)
@@ -204,8 +214,8 @@
         granted = {grant.team: grant.granted for grant in answer.teams}
         for room in ask.teams:
             amount = min(granted.get(room.team, room.wanted), room.wanted)
-            # The lead counts from when it answered, this instance from before
-            # it asked, so the grant ends here before it ends in the book.
+            # The lead counts the lifetime from its answer, this instance from before
+            # its request, so the grant expires here before it does at the lead.
             grown = amount > account.current_capacity(room.team)
             account.set_capacity(room.team, amount, sent_at + answer.ttl_s)
             if amount < room.wanted:
@@ -216,15 +226,17 @@
                 self._kernel.bus.publish(CapacityChanged(room.team))
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop requesting capacity."""
         self._stopped = True
         self._wake.set()
 
     async def leave(self) -> bool:
-        """Give everything back at a graceful stop; return whether it was free.
+        """Return all capacity at a graceful stop.
 
-        Work that is still running keeps its room in the lead's book until it
+        Work that is still running keeps its capacity in the lead's table until it
         has certainly ended.
+
+        :returns: whether all capacity was free.
         """
         self.stop()
         account = self._kernel.account
@@ -235,6 +247,6 @@
         try:
             await self._request((), leaving=True)
         except FirhookError:
-            # The lead counts this instance as silent and waits it out.
+            # The lead treats this instance as unreachable until its grants expire.
             return True
         return True
--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -1,4 +1,7 @@
-"""The zone lead's side of room: lends within the zone, moves between zones."""
+"""The zone lead's side of capacity: loans within the zone, transfers between zones.
+
+The messages call capacity *room*.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -28,33 +31,35 @@
     ZoneShort,
 )
 
-#: How long a new lead waits for what an instance holds, in seconds.
 _HOLDINGS_TIMEOUT_S = 0.5
-#: What another zone said that it is short of is acted on for so long.
+#: Announced shortages of another zone are ignored after this time.
 _SHORTAGE_TTL_S = 2.5
-#: How long to wait until another lead has heard it, in seconds.
+#: How long to wait for the acknowledgement of another zone's lead.
 _ANNOUNCE_TIMEOUT_S = 0.5
-#: How long the outcome of a transfer is waited for, in seconds.
+#: How long to wait for the record of a transfer.
 _TRANSFER_TIMEOUT_S = 2.0
 
 
 @attrs.define(slots=True, eq=False)
 class _UnresolvedTransfer:
-    """A transfer whose outcome the log has not told."""
+    """A transfer with an unknown append outcome.
+
+    :ivar failed_at: when the append failed, in seconds.
+    """
 
     record: LimitMoved
     failed_at: float
 
 
 def _held_by_team(rooms: Iterable[TeamRoom]) -> dict[str, int]:
-    """Return how much is held, by team."""
+    """Return the held capacity by team."""
     return {room.team: room.held for room in rooms}
 
 
 class CapacityLender:
-    """Keeps the book while this instance leads its zone.
+    """Maintains the table of grants while this instance leads its zone.
 
-    :param borrower: this instance's own room.
+    :ivar borrower: the borrower of this instance, set after construction.
     """
 
     def __init__(self, kernel: Kernel, leadership: Leadership) -> None:
@@ -69,7 +74,7 @@
         self.borrower: CapacityBorrower | None = None
 
     def zone_limit(self, team: str) -> int:
-        """Return the zone's part of a team's limit."""
+        """Return the zone's share of a team's limit."""
         return self._zone_limits(team).get(self._kernel.cfg.zone, 0)
 
     def _zone_limits(self, team: str) -> dict[str, int]:
@@ -82,7 +87,10 @@
     # -- taking over -----------------------------------------------------
 
     def roster(self) -> frozenset[str]:
-        """Return the instances to lend to from the next renewal on."""
+        """Return the instances that may borrow from the next renewal on.
+
+        Joining instances are included once all loans fit their smaller caps.
+        """
         remaining, with_joiners = (
             self._remaining_holders(),
             self._holders_with_joiners(),
@@ -116,7 +124,7 @@
         return not_asking and self._grants.has_expired(holder, now)
 
     async def sync_with_lead(self) -> None:
-        """Open the book after a won claim; close it after a loss."""
+        """Open the table of grants after winning the lead; close it after a loss."""
         lead = self._leadership
         if not lead.is_lead:
             if self._grants.is_open:
@@ -188,7 +196,11 @@
     # -- lending ---------------------------------------------------------
 
     async def on_grant_ask(self, ask: GrantAsk) -> GrantAnswer:
-        """Answer an instance of the zone that wants room."""
+        """Handle a request for capacity from an instance of the zone.
+
+        :raises NotLeadError: if this instance is not the lead of that epoch, if
+            the request is outdated, or if the roster does not name the sender.
+        """
         now = self._kernel.clock()
         lead = self._leadership
         if (
@@ -196,15 +208,15 @@
             or ask.epoch != lead.state.epoch
             or not self._grants.is_open
         ):
-            raise NotLeadError(f"epoch {ask.epoch} is not led from here")
+            raise NotLeadError(f"this instance does not lead epoch {ask.epoch}")
         if ask.echo >= 0:
             lead.record_promise(ask.instance, ask.echo)
         if not lead.may_lend(now):
-            # The stamp alone goes back, so that the asker can promise anew;
-            # an error would leave every promise lapsed until the log returns.
+            # Return only the stamp, so that the sender can promise again.  With an
+            # error all promises would stay expired until the log is back.
             return GrantAnswer(ask.epoch, now, self._grants.ttl_s, False)
         if self._grants.is_outdated(ask.instance, ask.seq, now):
-            raise NotLeadError(f"ask {ask.seq} came after a later one")
+            raise NotLeadError(f"request {ask.seq} arrived after a later one")
         if ask.instance != self._kernel.lane:
             self._record_guests(ask.instance, ask.guests, now)
         if ask.leaving:
@@ -216,15 +228,15 @@
             lead.joining.add(ask.instance)
             lead.wake.set()
             if lead.is_held(now):
-                raise NotLeadError("the roster does not name the asker yet")
-            # The log is out, so no record can name an instance that started
-            # since; without room it would refuse all that it is sent.
+                raise NotLeadError("the roster does not name this instance yet")
+            # During an outage of the log no record can add a newly started instance
+            # to the roster.  Without capacity it would refuse all requests.
             self._grants.add_guest(ask.instance)
         else:
             self._grants.remove_guest(ask.instance)
-        # Loans are held to the smaller cap of all who want to join from now on,
-        # so that they come to fit it; the larger cap of fewer holders is used
-        # only once the log has the smaller roster.
+        # From now on loans are limited to the smaller cap that includes the joining
+        # instances, so that all loans come to fit it.  The larger cap of fewer
+        # holders applies only when the log has the smaller roster.
         self._grants.holders = max(
             len(lead.state.roster), len(self._holders_with_joiners())
         )
@@ -233,7 +245,7 @@
         return GrantAnswer(ask.epoch, now, self._grants.ttl_s, True, changed)
 
     def _grant(self, holder: str, room: TeamRoom, now: float) -> TeamGrant | None:
-        """Lend what a holder wants; return the grant if it is something else."""
+        """Lend a team's capacity; return the grant if it differs from the request."""
         wanted, held = max(room.wanted, 0), max(room.held, 0)
         limit = self.zone_limit(room.team)
         granted = self._grants.grant(room.team, holder, wanted, held, limit, now)
@@ -242,7 +254,7 @@
     # -- transfers between zones -----------------------------------------
 
     def on_record(self, event: RecordApplied) -> None:
-        """Note transfers to this zone, and the fate of own ones."""
+        """Record transfers to this zone, and resolve own transfers read back."""
         body = event.envelope.body
         if not isinstance(body, LimitMoved):
             return
@@ -253,10 +265,12 @@
                 self._resolve_transfer(item)
 
     def settle_transfers_before(self, sent_at: float) -> None:
-        """Settle transfers given up before a record that was read back.
+        """Resolve transfers that failed before a record that was read back.
+
+        Readers ignore a record that lands after a later one of its lane, so such a
+        transfer can no longer take effect.
 
-        Readers pass over a record that lands after a later one of its lane,
-        so such a transfer can no longer take effect.
+        :param sent_at: when the record was sent, in seconds.
         """
         for item in [u for u in self._unresolved if u.failed_at < sent_at]:
             self._resolve_transfer(item)
@@ -267,13 +281,13 @@
 
     def _release_transfer(self, transfer: LimitMoved) -> None:
         if transfer.epoch != self._epoch:
-            # The book was closed since, and counts only this epoch's.
+            # The table was closed since; it counts only transfers of its epoch.
             return
         remaining = self._grants.in_transfer.get(transfer.team, 0) - transfer.amount
         self._grants.in_transfer[transfer.team] = max(remaining, 0)
 
     async def transfer_spare(self) -> None:
-        """Give spare room to zones where teams are short of it."""
+        """Transfer spare capacity to zones whose teams have a shortage."""
         now = self._kernel.clock()
         if not self._leadership.is_held(now) or not self._grants.is_open:
             return
@@ -310,19 +324,19 @@
         zone, amount = chosen
         epoch = self._leadership.state.epoch
         transfer = LimitMoved(team, cfg.zone, zone, amount, epoch, plan.limit)
-        # Counted as gone from now on, whatever becomes of the append.
+        # Deducted from now on, whatever the outcome of the append.
         in_transfer = self._grants.in_transfer
         in_transfer[team] = in_transfer.get(team, 0) + amount
         return transfer
 
     async def on_zone_short(self, message: ZoneShort) -> Ack:
-        """Note what another zone is short of."""
+        """Record the shortages that another zone announces."""
         if message.zone in self._kernel.cfg.zones:
             self._zone_shortages[message.zone] = (self._kernel.clock(), message)
         return Ack()
 
     def _shortages(self, own: dict[str, int], now: float) -> dict[str, dict[str, int]]:
-        """Return the teams that other zones are short of, with how much by zone."""
+        """Return the shortages by team and zone, for teams short in another zone."""
         result: dict[str, dict[str, int]] = {}
         for zone, (at, message) in self._zone_shortages.items():
             if now - at > _SHORTAGE_TTL_S:
@@ -344,7 +358,7 @@
             for zone, lead in self._kernel.states.cell.leads.items()
             if zone != self._kernel.cfg.zone and lead.instance and not lead.released
         ]
-        # A lead that does not hear of it gives nothing; it is told again.
+        # A lead that misses the announcement transfers nothing; it is sent again.
         await asyncio.gather(*asks, return_exceptions=True)
 
     async def _append_transfer(self, transfer: LimitMoved) -> None:
@@ -353,7 +367,7 @@
                 Append("cell", transfer, deadline_s=_TRANSFER_TIMEOUT_S)
             )
         except LogUnavailableError:
-            # Certainly never sent.
+            # The record certainly was not and never will be recorded.
             self._release_transfer(transfer)
         except FirhookError:
             self._unresolved.append(_UnresolvedTransfer(transfer, self._kernel.clock()))
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -1,4 +1,4 @@
-"""This instance's view of its zone's lead, and its own hold on it."""
+"""This instance's view of its zone's lead, and its own leadership."""
 
 import asyncio
 import random
@@ -20,21 +20,29 @@
 from firhook.model import LeadClaimed, LeadReleased, LeadRenewed, Verdict
 from firhook.state import LeadState
 
-#: Instances of a zone that see the lead lapse together spread their claims
-#: over this time, so that most read the winner's claim and send none.
+#: Instances of a zone notice an expired lead at the same time.  They delay their
+#: claims randomly up to this time, so that most read the winner's claim first and
+#: send none.
 _CLAIM_SPREAD_S = 0.2
-#: A poll of the log may be answered this much later than asked.
+#: A poll of the log may return this much later than requested.
 _POLL_SLACK_S = 1.0
 
 
 class Leadership:
-    """Claims, renews and hands back the lead of this instance's zone.
+    """Claims, renews and releases the lead of this instance's zone.
 
-    Nothing here is believed by having been told so: every use of the lead
-    compares the clock at that moment with the lease.  A process that was
-    paused finds the lease expired whichever coroutine runs first.
+    No result of an earlier check is cached: every use of the lead compares the
+    current time with the lease.  After a pause of the process the lease is
+    therefore expired for whichever coroutine runs first.
 
-    :param kernel: for settings, states, clock and bus.
+    :param kernel: provides settings, states, clock and bus.
+    :ivar previous_holders: number of holders that the previous lead published.
+    :ivar promised_at: when the stamp of this instance's last promise was read.
+    :ivar may_promise: whether requests for capacity may include a promise not to
+        claim the lead.
+    :ivar joining: instances that asked for capacity and are not on the roster.
+    :ivar leaving: instances on the roster that stopped gracefully.
+    :ivar wake: set when the roster should be renewed at once.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -66,17 +74,17 @@
 
     @property
     def promised_until(self) -> float:
-        """When the last promise not to claim has ended for certain."""
+        """When the last promise not to claim the lead has certainly expired."""
         return self.promised_at + self.times.ttl_s * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def state(self) -> LeadState:
-        """The zone's lead as the log has it."""
+        """The zone's lead according to the log."""
         return self._kernel.states.cell.leads[self._cfg.zone]
 
     @property
     def is_lead(self) -> bool:
-        """Whether the log names this run of this instance as lead."""
+        """Whether the log names this incarnation of this instance as lead."""
         lead = self.state
         return (
             lead.instance == self._kernel.lane
@@ -85,11 +93,11 @@
         )
 
     def is_held(self, now: float) -> bool:
-        """Return whether the lease by the log is held for certain."""
+        """Return whether the lease by the log is certainly held."""
         return self.is_lead and self._log_lease.is_held(now)
 
     def may_lend(self, now: float) -> bool:
-        """Return whether room may be lent at this moment."""
+        """Return whether capacity may be lent at this moment."""
         if not self.is_lead:
             return False
         others = (self._possible_roster | set(self.state.roster)) - {self._kernel.lane}
@@ -99,7 +107,7 @@
         )
 
     def view(self, now: float) -> Lead:
-        """Return the lead for other roles."""
+        """Return the zone's lead as an event for other roles."""
         lead = self.state
         if not self.is_lead:
             return Lead(lead.epoch, lead.instance, False, float("-inf"), float("-inf"))
@@ -112,38 +120,46 @@
         )
 
     def record_promise(self, holder: str, stamp: float) -> None:
-        """Note a promise that a holder gave after this lead made a stamp."""
+        """Record a holder's promise not to claim the lead.
+
+        :param holder: lane of the holder.
+        :param stamp: the stamp of this lead that the holder sent back.  The
+            promise was made after it, so its lifetime is counted from there.
+        """
         until = stamp + self.times.ttl_s
         self._promises[holder] = max(self._promises.get(holder, until), until)
 
     def fence(self, epoch: int) -> None:
-        """Follow no lead of an older epoch from now on, this one included."""
+        """Reject leads of older epochs from now on, including this instance."""
         self._fencing_epoch = max(self._fencing_epoch, epoch)
         if self.state.epoch < epoch:
             self.invalidate()
 
     def invalidate(self) -> None:
-        """Forget everything believed held until the log confirms it again."""
+        """Drop all leases until the log confirms the lead again."""
         self._log_lease.invalidate()
         self._hold_lease.invalidate()
         self._outage_lease.invalidate()
 
     def on_loop_stall(self) -> None:
-        """Void the lease by the log after a stall of the event loop."""
+        """Invalidate the lease by the log after a stall of the event loop."""
         self._log_lease.invalidate()
 
     def observe_record(self, now: float) -> None:
-        """Note when the lead's latest record was read.
+        """Record when the latest record of the lead was read.
 
-        A lead that was renewed before this instance had read anything counts
-        as renewed when it was first seen here, also after a snapshot.
+        A renewal from before this instance read the log counts from when this
+        instance first sees it, also after loading a snapshot.
         """
         if self.state.offset != self._seen_offset:
             self._seen_offset = self.state.offset
             self._seen_lease.read_at = now
 
     def holdings_end_at(self, answered: frozenset[str], now: float) -> float:
-        """Return when what silent holders have has certainly ended."""
+        """Return when the holdings of unreachable holders have certainly ended.
+
+        :param answered: holders of the previous lead that have answered.
+        """
         if self._previous_lead is None:
             return now + self.times.outage_s
         previous_lead = self._previous_lead
@@ -154,10 +170,10 @@
         )
 
     async def renew_or_claim(self, roster: frozenset[str], holders: int) -> None:
-        """Renew or claim the lead if it is time to.
+        """Renew the lead if this instance holds it, or claim it if it is free.
 
-        :param roster: instances that may be lent to from now on, by this lead.
-        :param holders: the number of holders by which each loan is capped.
+        :param roster: instances to which this lead may lend from now on.
+        :param holders: number of holders that determines the cap of each loan.
         """
         now = self._kernel.clock()
         self.observe_record(now)
@@ -174,11 +190,11 @@
         expired = self._seen_lease.has_expired(
             now, self.times.lease_s, self.times.margin_s
         )
-        # In an outage of the log for everybody the last sight of it is older
-        # than a lease once the lead's has expired, and nobody claims in vain.
+        # In a complete outage of the log its end was last seen more than a lease
+        # ago once the lead has expired, so that nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
-        # A lead that the log has lost, but this instance has not, must be
-        # replaced although it still answers, or nobody places the zone's tasks.
+        # A lead that this instance can reach but that cannot reach the log must be
+        # replaced, or nobody places the zone's tasks.
         self.may_promise = not (expired and log_age_s <= max_age_s)
         observation = LeadObservation(
             lead.released, expired, log_age_s, self.promised_at
@@ -186,8 +202,8 @@
         if not may_claim(observation, self.times, now, max_age_s):
             return
         await asyncio.sleep(random.uniform(0, _CLAIM_SPREAD_S))
-        # The claim is for the lead as judged before the wait.  Had anyone
-        # claimed or renewed meanwhile, it must lose rather than depose them.
+        # The claim refers to the lead as seen before the wait.  If another instance
+        # claimed or renewed it meanwhile, the claim must fail.
         await self._claim(lead)
 
     async def _claim(self, lead: LeadState) -> None:
@@ -213,8 +229,8 @@
         names = tuple(sorted(roster))
         body = LeadRenewed(self._cfg.zone, lead.epoch, lead.instance, names, holders)
         if await self._append_and_extend(body):
-            # Records of a lane that are read back settle all earlier ones, so
-            # no older roster can come into force any more.
+            # A record that is read back settles all earlier records of its lane, so
+            # no older roster can take effect any more.
             self._possible_roster = roster
             self.joining -= roster
             self.leaving &= roster
@@ -230,9 +246,9 @@
         return True
 
     async def release(self, roster: frozenset[str]) -> None:
-        """Hand the lead back by record, so that a peer takes it at once.
+        """Release the lead by a record, so that a peer can claim it at once.
 
-        :param roster: the instances that may still hold room.
+        :param roster: the instances that may still hold capacity.
         """
         lead = self.state
         self.invalidate()
--- a/src/firhook/_stream_client.py
+++ b/src/firhook/_stream_client.py
@@ -1,4 +1,4 @@
-"""One stream of the log: followed, appended to and rebuilt."""
+"""Client of one stream of the log: follows it, appends to it and rebuilds it."""
 
 import asyncio
 import time
@@ -33,7 +33,7 @@
 from firhook.state import Snapshot, SnapshotFinder, StreamState
 
 _BACKOFF_S = 0.3
-#: An answer is on its way back for no longer than this, or counts as old.
+#: Assumed maximum transit time of a response; a later one counts as stale.
 _MAX_RESPONSE_DELAY_S = 1.0
 _RETRY_AFTER_S = 2.0
 
@@ -42,14 +42,21 @@
     """Follows one stream and appends to it, one append in flight at a time.
 
     :param stream: the stream's name.
-    :param lane: this run of this instance.
-    :param state: what the stream's records are applied to.
-    :param poll_s: how long the log may wait for a new record to answer with.
-    :param carry_s: seconds after which a stream is carried forward.
-    :ivar ready: whether the state is whole.  Until it is, nothing is appended:
-        a decision made from part of a state would be recorded as sound.
-    :ivar end_seen_at: when the end of the stream was last seen.
-    :ivar snapshot_read_at: when a whole snapshot was last read.
+    :param lane: identity of this run as a writer, ``name#incarnation``.
+    :param state: the state to which the records are applied.
+    :param service: client of the platform's log.
+    :param bus: receives an event for each record and for each rebuild.
+    :param budget: limits the rate of appends.
+    :param poll_s: long-poll timeout of a read, in seconds.
+    :param carry_s: age of the latest snapshot at which a new one is due, in
+        seconds.
+    :ivar ready: whether the state is complete.  Until then nothing is appended: a
+        decision based on a partial state would be recorded as valid.
+    :ivar end_seen_at: when the end of the stream was last seen, in seconds of the
+        monotonic clock.
+    :ivar snapshot_read_at: when a complete snapshot was last read, likewise.
+    :ivar appends: number of append requests.
+    :ivar sent_bytes: payload bytes of all append requests.
     """
 
     def __init__(
@@ -83,23 +90,25 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the end of the stream was seen; inf if not ready."""
+        """Seconds since the end of the stream was last seen; inf if not ready."""
         return time.monotonic() - self.end_seen_at if self.ready else float("inf")
 
     # -- appending -------------------------------------------------------
 
     async def append(self, query: Append) -> Applied:
-        """Append a record and wait until it was read back.
+        """Append a record and wait until it is read back.
 
-        :raises NotReadyError: if the state is not whole; nothing was sent.
+        :raises NotReadyError: if the state is incomplete; nothing was sent.
         :raises RecordMalformedError: if it cannot be encoded; nothing was sent.
-        :raises LogUnavailableError: if the record certainly was not recorded
-            and never will be.
-        :raises LogOutcomeUnknownError: if it may be recorded, now or later.
+        :raises LogUnavailableError: if the record certainly is not and never will
+            be in the log.
+        :raises LogOutcomeUnknownError: if the record may be in the log now or
+            later.
         """
         if not self.ready:
             raise NotReadyError(
-                f"{self.stream} has not been read whole", retry_after_s=_RETRY_AFTER_S
+                f"stream {self.stream} has not been read completely",
+                retry_after_s=_RETRY_AFTER_S,
             )
         size = self._size(query.body)
         fut: asyncio.Future[Applied] = asyncio.get_running_loop().create_future()
@@ -114,9 +123,11 @@
             raise
 
     def _size(self, body: Any) -> int:
-        """Return a record's length, and so check it before others depend on it.
+        """Return the encoded length of a record, which also validates it.
 
-        One that cannot be encoded would hold up every record behind it.
+        A record that cannot be encoded would block all records behind it.
+
+        :raises RecordMalformedError: if it cannot be encoded.
         """
         try:
             return len(encode_envelope(Envelope(self._lane, 0, body)))
@@ -127,10 +138,11 @@
     def _abandon(self, item: OutgoingRecord) -> FirhookError:
         if self._outbox.give_up(item):
             return LogOutcomeUnknownError(
-                "the log has not confirmed in time", retry_after_s=_RETRY_AFTER_S
+                "the log did not confirm the record in time",
+                retry_after_s=_RETRY_AFTER_S,
             )
         return LogUnavailableError(
-            "the log did not take it in time", retry_after_s=_RETRY_AFTER_S
+            "the log did not accept the record in time", retry_after_s=_RETRY_AFTER_S
         )
 
     @Service.task
@@ -154,7 +166,7 @@
             self._outbox.note_rejected()
             await self.sleep(_BACKOFF_S)
         except Exception as exc:
-            # Whatever else went wrong, the records may have left.
+            # After any other error the records may have reached the log.
             self._outbox.note_unknown()
             log("log.outcome_unknown", level="warning", error=repr(exc))
             await self.sleep(_BACKOFF_S)
@@ -180,10 +192,10 @@
                 await self.sleep(_BACKOFF_S)
 
     def _log_reachability(self, exc: LogUnavailableError | None) -> None:
-        """Log that the log went away or came back, and not each try between.
+        """Log when the log becomes unreachable or reachable, not every retry.
 
-        Outages last for long stretches; a line for each of three tries a
-        second would bury what else happens meanwhile.
+        Outages are long; a line for each of the three retries per second would
+        bury all other log lines.
         """
         if (exc is None) == self._log_reachable:
             return
@@ -198,13 +210,14 @@
         asked_at = time.monotonic()
         page = await self._service.read(self.stream, source.next_offset, self._poll_s)
         if source is not (self._rebuild or self.stream_state):
-            # A peer's snapshot came meanwhile; the page is of no use any more.
+            # A peer's snapshot was installed meanwhile, so this page is outdated.
             return
         if page.end < source.next_offset:
-            # The log has lost records that it had shown, or a copy of it that
-            # lags behind answered.  Neither may pass for a fresh view.
+            # The log lost records that were already read, or a lagging replica
+            # answered.  Neither counts as a fresh view.
             raise LogUnavailableError(
-                f"{self.stream} ends at {page.end}, before {source.next_offset}"
+                f"stream {self.stream} ends at offset {page.end}, "
+                f"before the next expected offset {source.next_offset}"
             )
         if self._rebuild is not None:
             self._scan_for_snapshot(self._rebuild, page)
@@ -212,9 +225,9 @@
         for entry in page.entries:
             self._apply(entry)
         if self.stream_state.next_offset >= page.end:
-            # The answer may have lain unread while this process was paused.
-            # It was made at the latest when the wait that was asked for ended,
-            # so it counts as no fresher than that.
+            # The response may have been buffered while this process was paused.
+            # It was made before the requested wait ended, so it counts as no
+            # fresher than that time.
             latest = asked_at + self._poll_s + _MAX_RESPONSE_DELAY_S
             self.end_seen_at = min(time.monotonic(), latest)
             self.ready = True
@@ -225,7 +238,8 @@
             return
         if entry.offset > state.next_offset:
             raise LogUnavailableError(
-                f"{self.stream}: offset {entry.offset} came for {state.next_offset}"
+                f"stream {self.stream}: received offset {entry.offset}, "
+                f"expected {state.next_offset}"
             )
         envelope = self._decode(entry)
         if envelope is None:
@@ -278,11 +292,11 @@
     # -- rebuilding ------------------------------------------------------
 
     def _on_trimmed(self, exc: LogTrimmedError) -> None:
-        """Start over from a snapshot, acting on nothing until it is whole."""
+        """Start a rebuild from a snapshot; the state is not ready until its end."""
         first = int(exc.extra["first"])
         if first <= self.stream_state.next_offset and self._rebuild is None:
-            # What is wanted is kept by the log's own word; there is nothing
-            # to rebuild from that would not be a step back.
+            # By its own response the log still has the requested record, and any
+            # snapshot to rebuild from would be older than the present state.
             log("log.contradicts", level="error", stream=self.stream, first=first)
             return
         self.ready = False
@@ -318,9 +332,9 @@
         return True
 
     def load_peer_snapshot(self, offset: int, text: str) -> bool:
-        """Take over a peer's state if it is ahead; return whether it was.
+        """Install a peer's state if it is ahead; return whether it was installed.
 
-        :raises RecordMalformedError: if it is no state of this stream.
+        :raises RecordMalformedError: if it is not a state of this stream.
         """
         ahead = offset > self.stream_state.next_offset or not self.ready
         if not ahead or offset < self.stream_state.next_offset:
@@ -340,7 +354,7 @@
         self._outbox.note_last_read(last)
 
     def _resolve_unread(self, offset: int, item: OutgoingRecord) -> None:
-        """Answer for a record that landed but expired before it was read."""
+        """Resolve an append whose record was written but expired before it was read."""
         if item.token.done():
             return
         if self.stream_state.has_applied(self._lane, item.body):
