--- a/src/firhook/_stream_client.py
+++ b/src/firhook/_stream_client.py
@@ -46,7 +46,7 @@
     :param state: the state to which the records are applied.
     :param service: client of the platform's log.
     :param bus: receives an event for each record and for each rebuild.
-    :param budget: limits the rate of appends.
+    :param rate_limiter: limits the rate of appends.
     :param poll_s: long-poll timeout of a read, in seconds.
     :param carry_s: age of the latest snapshot at which a new one is due, in
         seconds.
@@ -66,7 +66,7 @@
         state: StreamState,
         service: LogService,
         bus: Bus,
-        budget: AppendRateLimiter,
+        rate_limiter: AppendRateLimiter,
         poll_s: float,
         carry_s: float = 3600.0,
     ) -> None:
@@ -79,7 +79,7 @@
         self._lane = lane
         self._service = service
         self._bus = bus
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._poll_s = poll_s
         self._outbox = Outbox(lane)
         self._rebuild: SnapshotFinder | None = None
@@ -151,7 +151,7 @@
             await self._wake.wait()
             self._wake.clear()
             while self._outbox.busy and not self.should_stop:
-                await self._budget.acquire(lambda: self._outbox.urgent)
+                await self._rate_limiter.acquire(lambda: self._outbox.urgent)
                 batch = self._outbox.next_append()
                 if batch:
                     await self._send(batch)
@@ -180,18 +180,18 @@
         while not self.should_stop:
             try:
                 await self._follow_once()
-                self._log_reachability(None)
+                self._report_reachability(None)
             except LogTrimmedError as exc:
                 self._on_trimmed(exc)
                 await self.sleep(_BACKOFF_S)
             except LogUnavailableError as exc:
-                self._log_reachability(exc)
+                self._report_reachability(exc)
                 await self.sleep(_BACKOFF_S)
             except Exception as exc:
                 log("log.failed", level="error", stream=self.stream, error=repr(exc))
                 await self.sleep(_BACKOFF_S)
 
-    def _log_reachability(self, exc: LogUnavailableError | None) -> None:
+    def _report_reachability(self, exc: LogUnavailableError | None) -> None:
         """Log when the log becomes unreachable or reachable, not every retry.
 
         Outages are long; a line for each of the three retries per second would
