--- a/src/firhook/_jobs.py
+++ b/src/firhook/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and their tasks, and the check of what callers submit."""
+"""Job specifications and the validation of submitted jobs."""
 
 import math
 from typing import Any
@@ -10,8 +10,8 @@
 
 PRIORITIES = ("service", "batch", "urgent")
 
-#: More tasks than this in one job would make its record larger than the
-#: platform's log takes, and would let one submission flood a zone's stream.
+#: With more tasks, the record of a job would exceed the size limit of the platform's
+#: log, and one submission could flood a zone's stream.
 MAX_TASKS = 2000
 MAX_CPUS = 4096.0
 MAX_MEMORY_MB = 64 * 1024 * 1024
@@ -21,20 +21,20 @@
 
 @attrs.frozen(slots=True)
 class JobSpec:
-    """A job as its caller declared it.
+    """Specification of a job by its caller.
 
     :param job_id: the caller's id, unique within the team.
-    :param team: the team whose key came with it.
-    :param tasks: how many tasks; for a service, its replica count.
-    :param cpus: processors for each task.
-    :param memory_mb: memory for each task, in MB.
-    :param accelerators: accelerators for each task.
+    :param team: the team that submitted it.
+    :param tasks: number of tasks; for a service, its replica count.
+    :param cpus: CPUs per task.
+    :param memory_mb: memory per task, in MB.
+    :param accelerators: accelerators per task.
     :param priority: ``service``, ``batch`` or ``urgent``.
-    :param gang: whether all tasks must run at once.
+    :param gang: whether all tasks must run at the same time.
     :param exclusive: whether a task must never run in two places at once.
     :param run_s: declared run time in seconds; 0 for a service.
-    :param deadline_s: seconds after submission by which it must have ended.
-    :param command: what the worker runs; opaque to firhook.
+    :param deadline_s: time after submission by which the job must end, in seconds.
+    :param command: command that the worker runs; opaque to firhook.
     """
 
     job_id: str
@@ -52,7 +52,7 @@
 
     @property
     def key(self) -> str:
-        """The id within the whole cell."""
+        """The id of the job, unique within the cell."""
         return f"{self.team}/{self.job_id}"
 
 
@@ -64,11 +64,11 @@
 
 
 def check_job(raw: Any, team: str) -> JobSpec:
-    """Check a submitted job and return it.
+    """Validate a submitted job and return its specification.
 
     :param raw: the decoded JSON body.
-    :param team: the team whose key came with it.
-    :raises JobInvalidError: naming every field that is wrong and what to do.
+    :param team: the team that submits it.
+    :raises JobInvalidError: naming every invalid field and its accepted values.
     """
     if not isinstance(raw, dict):
         raise JobInvalidError(f"got {type(raw).__name__}, not a JSON object")
@@ -102,7 +102,10 @@
 
 
 def check_name(field: str, value: str, problems: list[str]) -> None:
-    """Check that a name is short and safe in paths, lists and logs."""
+    """Check that a name is short and safe in paths, lists and logs.
+
+    :param problems: receives a message if the name is invalid.
+    """
     if not 1 <= len(value) <= 64 or not all(c.isalnum() or c in "-_." for c in value):
         problems.append(
             f"{field} = {value!r}: give 1 to 64 letters, digits, '-', '_' or '.'"
--- a/src/firhook/_lists.py
+++ b/src/firhook/_lists.py
@@ -1,4 +1,4 @@
-"""The operators' two lists, ``teams`` and ``plans``, edited by row."""
+"""The operators' two configuration lists, ``teams`` and ``plans``."""
 
 import configparser
 import io
@@ -14,11 +14,11 @@
 
 @attrs.frozen(slots=True)
 class Row:
-    """One row of a list as operators write it.
+    """One row of a list, unvalidated.
 
     :param list_name: ``teams`` or ``plans``.
-    :param name: the team's or the plan's name.
-    :param values: its options; ``None`` removes the row.
+    :param name: name of the team or plan.
+    :param values: the options; ``None`` removes the row.
     """
 
     list_name: str
@@ -28,15 +28,15 @@
 
 @attrs.frozen(slots=True)
 class Plan:
-    """What a plan may use across the fleet.
+    """Limits and service level of the teams of a plan.
 
     :param share: weight of each of its teams when the fleet is full.
-    :param limit: most requests and tasks that a team may have running.
+    :param limit: maximum number of running requests and tasks per team.
     :param urgent: whether its teams may submit urgent jobs.
-    :param slo_ms: waiting time in ms that the service level promises.
-    :param slo_standard_ms: the same for standard requests, if it differs.
-    :param slo_bulk_ms: the same for bulk requests, if it differs.
-    :param slo_target: share of requests that must meet it, 0 to 1.
+    :param slo_ms: waiting-time objective in milliseconds.
+    :param slo_target: share of requests that must meet the objective, 0 to 1.
+    :param slo_standard_ms: objective for standard requests, if it differs.
+    :param slo_bulk_ms: objective for bulk requests, if it differs.
     """
 
     name: str
@@ -49,7 +49,7 @@
     slo_bulk_ms: float | None = None
 
     def objective_ms(self, klass: str) -> float:
-        """Return the waiting time in ms promised to a class of requests."""
+        """Return the waiting-time objective of a request class, in milliseconds."""
         own = {"standard": self.slo_standard_ms, "bulk": self.slo_bulk_ms}.get(klass)
         return self.slo_ms if own is None else own
 
@@ -82,9 +82,9 @@
 
 
 def check_plan(row: Row) -> Plan:
-    """Check one row of ``plans`` and return it.
+    """Validate a row of ``plans`` and convert it to a plan.
 
-    :raises ListInvalidError: naming each option that is wrong and what to give.
+    :raises ListInvalidError: naming each invalid option and its accepted values.
     """
     problems: list[str] = []
     check_name("plan", row.name, problems)
@@ -115,9 +115,9 @@
 
 
 def check_team(row: Row, plans: Mapping[str, Plan]) -> Team:
-    """Check one row of ``teams`` against the plans and return it.
+    """Validate a row of ``teams`` against the plans and convert it to a team.
 
-    :raises ListInvalidError: naming each option that is wrong and what to give.
+    :raises ListInvalidError: naming each invalid option and its accepted values.
     """
     problems: list[str] = []
     check_name("team", row.name, problems)
@@ -134,7 +134,7 @@
 def parse_list(list_name: str, text: str) -> tuple[Row, ...]:
     """Parse one of the lists from INI text.
 
-    :raises ListInvalidError: if the text is no INI or the list is unknown.
+    :raises ListInvalidError: if the text is not valid INI or the list is unknown.
     """
     if list_name not in LISTS:
         raise ListInvalidError(f"list {list_name!r}: give one of {LISTS}")
@@ -150,7 +150,7 @@
 
 
 def render_list(rows: Mapping[str, Mapping[str, str]]) -> str:
-    """Render rows as INI text, by name, as :func:`parse_list` reads it."""
+    """Render rows, sorted by name, as INI text for :func:`parse_list`."""
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     for name in sorted(rows):
         parser[name] = dict(rows[name])
--- a/src/firhook/_messages.py
+++ b/src/firhook/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances, carried by zmq."""
+"""Messages between instances, sent over ZeroMQ."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(slots=True)
 class TeamUse:
-    """What a team uses at one instance.
+    """Usage of one team at one instance.
 
-    :param running: requests and tasks running.
-    :param waiting: requests waiting.
-    :param served_s: seconds of slot time served lately, decayed.
+    :param running: number of running requests and tasks.
+    :param waiting: number of waiting requests.
+    :param served_s: recent slot time in seconds, exponentially decayed.
     """
 
     team: str
@@ -22,9 +22,11 @@
 
 @attrs.frozen(slots=True)
 class RunnerLoad:
-    """What one instance has in flight at a runner, and how it finds it.
+    """Load of one instance at a runner.
 
-    :param leaving: whether the runner said that it is leaving.
+    :param runner: the runner and its address.
+    :param in_flight: requests in flight beyond the instance's share of its slots.
+    :param leaving: whether the runner has announced that it shuts down.
     """
 
     runner: str
@@ -35,13 +37,13 @@
 @message
 @attrs.frozen(slots=True)
 class Gossip:
-    """An instance's regular word to its peers.
+    """Periodic state message of an instance to its peers.
 
     :param incarnation: the sender's lane; changes with each restart.
-    :param log_age_s: seconds since the sender last saw the log's end.
-    :param withdrawn: key ids withdrawn lately, passed on so that an instance
-        that cannot reach the log learns of them all the same.
-    :param every_s: when the next word comes, in seconds.
+    :param log_age_s: seconds since the sender last saw the end of the log.
+    :param withdrawn: recently withdrawn key ids, relayed so that an instance
+        without access to the log receives them as well.
+    :param every_s: interval until the next message, in seconds.
     """
 
     instance: str
@@ -61,15 +63,15 @@
 @message
 @attrs.frozen(slots=True)
 class Ack:
-    """An empty answer."""
+    """Empty reply that acknowledges a message."""
 
 
 @attrs.frozen(slots=True)
 class TeamRoom:
-    """Room of one team at one instance.
+    """Capacity of one team at one instance.
 
-    :param wanted: how much the instance wants to hold in all.
-    :param held: the most that it may have running before its next answer.
+    :param wanted: total capacity that the instance wants to hold.
+    :param held: maximum that it may have running before the next answer.
     """
 
     team: str
@@ -80,17 +82,18 @@
 @message
 @attrs.frozen(slots=True)
 class GrantAsk:
-    """Asks the zone lead for room under the limits of several teams at once.
-
-    It is also a promise not to claim the zone's lead until ``ttl_s`` after
-    the lead made the stamp that is sent back here.
-
-    :param instance: the asker's lane.
-    :param seq: rises with each ask of the lane.
-    :param epoch: of the lead that is asked.
-    :param echo: the stamp of the last answer, or -1 if there was none.
-    :param leaving: whether the asker holds nothing and takes no more.
-    :param guests: what the asker, as a lead before, lent without the log.
+    """Request to the zone's lead for capacity under the limits of several teams.
+
+    With an echoed stamp it is also a promise not to claim the zone's lead until
+    ``ttl_s`` after the lead made that stamp.
+
+    :param instance: lane of the sender.
+    :param seq: increases with each request of the lane.
+    :param epoch: epoch of the addressed lead.
+    :param echo: stamp of the last answer, or -1 for no promise.
+    :param teams: wanted and held capacity of each team.
+    :param leaving: whether the sender holds nothing and stops borrowing.
+    :param guests: capacity that the sender lent without the log when it was lead.
     """
 
     instance: str
@@ -104,7 +107,7 @@
 
 @attrs.frozen(slots=True)
 class TeamGrant:
-    """Room lent for one team."""
+    """Capacity lent for one team."""
 
     team: str
     granted: int
@@ -113,12 +116,13 @@
 @message
 @attrs.frozen(slots=True)
 class GrantAnswer:
-    """The room lent, for so long from when the asker sent its question.
+    """Answer to a :class:`GrantAsk`: the capacity lent.
 
-    :param stamp: the lead's clock when it answered.
-    :param lent: whether the lead may lend at all now; if not, what the asker
-        holds is left as it is.
-    :param teams: those that did not get just what they wanted.
+    :param stamp: the lead's clock when it answered, in seconds.
+    :param ttl_s: lifetime of the grants, from when the request was sent.
+    :param lent: whether the lead may lend now; otherwise the holdings of the
+        requester stay unchanged.
+    :param teams: grants that differ from the wanted capacity.
     """
 
     epoch: int
@@ -130,7 +134,7 @@
 
 @attrs.frozen(slots=True)
 class TeamShort:
-    """Room that a team wants in a zone and that the zone cannot lend."""
+    """Capacity that a team wants in a zone and that the zone cannot lend."""
 
     team: str
     amount: int
@@ -139,10 +143,11 @@
 @message
 @attrs.frozen(slots=True)
 class ZoneShort:
-    """A zone lead tells the other zones' leads what its teams are short of.
+    """Announcement of a zone's capacity shortages to the leads of the other zones.
 
-    It goes from lead to lead and not with the gossip, which becomes rare in a
-    large cell; a team should get its room within a couple of seconds there too.
+    It is sent from lead to lead and not as part of the gossip, whose interval grows
+    with the cell: a team should get its capacity within a few seconds in a large
+    cell too.
     """
 
     zone: str
@@ -152,13 +157,13 @@
 @message
 @attrs.frozen(slots=True)
 class HoldingsAsk:
-    """A new lead asks what an instance holds.
+    """Request of a new lead for the holdings of an instance.
 
-    Whoever answers takes no more room from a lead of an older epoch.
+    An instance that answers accepts no more capacity from leads of older epochs.
 
-    :param epoch: of the new lead.
+    :param epoch: epoch of the new lead.
     :param lead: lane of the new lead.
-    :param instance: the lane that is asked.
+    :param instance: lane of the addressed instance.
     """
 
     epoch: int
@@ -169,9 +174,10 @@
 @message
 @attrs.frozen(slots=True)
 class Holdings:
-    """The most that an instance may have running, by team.
+    """The maximum that an instance may have running, by team.
 
-    :param guests: what instances that it lent to without the log may have.
+    :param instance: lane of the instance.
+    :param guests: maximum of the instances to which it lent without the log.
     """
 
     instance: str
@@ -182,7 +188,7 @@
 @message
 @attrs.frozen(slots=True)
 class ClaimInquiry:
-    """Asks a claim's holder whether it sent the request."""
+    """Request to a claim's holder to report whether it sent the claimed request."""
 
     key: str
     holder: str
@@ -192,11 +198,11 @@
 @message
 @attrs.frozen(slots=True)
 class ClaimInquiryAnswer:
-    """Whether the request was sent.
+    """Answer to a :class:`ClaimInquiry`.
 
-    :param sent: ``never`` for certain and for good, ``running``, ``done`` if
-        its outcome is on its way to the log, or ``unknown`` if its outcome was
-        lost or the holder has gone.
+    :param sent: ``never`` if the request certainly was not and will not be sent,
+        ``running``, ``done`` if its outcome is being recorded, or ``unknown`` if
+        its outcome was lost or the holder has stopped.
     """
 
     key: str
@@ -206,7 +212,7 @@
 @message
 @attrs.frozen(slots=True)
 class JobInquiry:
-    """Asks a zone's lead for its view of a job."""
+    """Request to a zone's lead for its view of a job."""
 
     job_id: str
 
@@ -214,7 +220,7 @@
 @message
 @attrs.frozen(slots=True)
 class JobInquiryAnswer:
-    """A zone lead's view of a job, as JSON text for the caller."""
+    """View of a job by its zone's lead, as JSON text for the caller."""
 
     job_id: str
     view: str
@@ -223,7 +229,7 @@
 @message
 @attrs.frozen(slots=True)
 class SnapshotAsk:
-    """Asks a peer for its state of a stream, at boot without the log."""
+    """Request to a peer for its state of a stream, at startup without the log."""
 
     stream: str
 
@@ -231,7 +237,7 @@
 @message
 @attrs.frozen(slots=True)
 class SnapshotAnswer:
-    """A peer's state of a stream, as of an offset."""
+    """State of a stream at an offset, from a peer."""
 
     stream: str
     offset: int
@@ -241,12 +247,12 @@
 @message
 @attrs.frozen(slots=True)
 class StatsAsk:
-    """Asks a peer for its counters and histograms."""
+    """Request to a peer for its counters and histograms."""
 
 
 @message
 @attrs.frozen(slots=True)
 class StatsAnswer:
-    """A peer's counters and histograms, as JSON text."""
+    """Counters and histograms of a peer, as JSON text."""
 
     data: str
--- a/src/firhook/_orders.py
+++ b/src/firhook/_orders.py
@@ -1,4 +1,4 @@
-"""What a zone's lead orders of workers, and what they report."""
+"""Orders of a zone's lead to its workers, and the workers' reports."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,10 +7,10 @@
 
 
 def running_digest(refs: Iterable[tuple[str, int, int]]) -> str:
-    """Return a digest of attempts, by which a lead and a worker compare notes.
+    """Return a digest of running attempts, for comparison by lead and worker.
 
-    It is BLAKE2b with 8 bytes, in hexadecimal, of the lines
-    ``job index attempt``, sorted and each ended by a newline.
+    The digest is BLAKE2b with 8 bytes, in hexadecimal, over the sorted lines
+    ``job index attempt``, each terminated by a newline.
     """
     lines = sorted(f"{job} {index} {attempt}\n" for job, index, attempt in refs)
     return hashlib.blake2b("".join(lines).encode(), digest_size=8).hexdigest()
@@ -18,7 +18,7 @@
 
 @attrs.frozen(slots=True)
 class StartOrder:
-    """Starts an attempt of a task."""
+    """Start an attempt of a task."""
 
     job_id: str
     index: int
@@ -34,7 +34,7 @@
 
 @attrs.frozen(slots=True)
 class StopOrder:
-    """Checkpoints and stops an attempt."""
+    """Checkpoint and stop an attempt."""
 
     job_id: str
     index: int
@@ -44,22 +44,23 @@
 
 @attrs.frozen(slots=True)
 class Order:
-    """Everything a zone lead wants of a worker, in one idempotent message.
-
-    :param epoch: the lead's epoch; a worker refuses older ones.
-    :param not_after: a time on the *worker's* clock, worked out from the
-        stamp of its last report, after which it must refuse this order.  It
-        keeps an order that left a paused process late from doing harm.
-    :param lease_s: how long tasks go on without another order.
-    :param renew: attempts to go on, as (job, index, attempt).
-    :param forget: ended attempts whose end is on the log.
-    :param boot: the run of the worker that the order is for.  A restarted
-        worker has forgotten the highest epoch and its clock may start anew,
-        so that it could not tell an old order by either; it refuses one that
-        names another run.
-    :param renew_all: instead of ``renew``, the digest of all attempts that are
-        to be running.  A worker that runs just these renews them and answers
-        with ``same``; any other renews nothing and reports in full.
+    """All instructions of a zone's lead to a worker, in one idempotent message.
+
+    :param epoch: the lead's epoch; workers refuse older epochs.
+    :param not_after: time on the *worker's* clock, computed from the stamp of its
+        last report, after which it must refuse this order.  It makes an order
+        harmless that a paused process sends late.
+    :param lease_s: how long tasks keep running without another order, in seconds.
+    :param start: attempts to start.
+    :param stop: attempts to stop.
+    :param renew: attempts to keep running, as (job, index, attempt).
+    :param forget: ended attempts whose end is recorded on the log.
+    :param boot: incarnation of the worker that the order is for.  A restarted
+        worker has lost the highest epoch and its clock may restart, so it cannot
+        recognize an old order by either; it refuses orders for other incarnations.
+    :param renew_all: replaces ``renew`` by the digest of all attempts that should
+        be running.  A worker that runs exactly these renews them and answers with
+        ``same``; any other worker renews nothing and sends a full report.
     """
 
     epoch: int
@@ -75,7 +76,7 @@
 
 @attrs.frozen(slots=True)
 class TaskReport:
-    """An attempt at a worker.
+    """State of an attempt at a worker.
 
     :param state: ``running``, ``done``, ``failed``, ``stopped`` or ``refused``.
     :param progress: checkpointed share of the work, 0 to 1.
@@ -91,14 +92,15 @@
 
 @attrs.frozen(slots=True)
 class Report:
-    """A worker's answer: all attempts it knows and its own clock.
+    """Answer of a worker to an order: its known attempts and its clock.
 
     :param stamp: the worker's monotonic clock when it answered, in seconds.
-    :param epoch: the highest epoch it has seen.
-    :param same: whether it runs just what ``renew_all`` named, and ``tasks``
-        is left out.
-    :param brief: whether it understands ``renew_all``.
-    :param boot: changes when the worker restarts and so has lost its tasks.
+    :param epoch: the highest epoch that it has seen.
+    :param boot: incarnation of the worker; a restarted worker has lost its tasks.
+    :param tasks: all attempts that the worker knows.
+    :param same: whether it runs exactly the attempts of ``renew_all``, so that
+        ``tasks`` is omitted.
+    :param brief: whether it supports ``renew_all``.
     """
 
     worker: str
--- a/src/firhook/_principal.py
+++ b/src/firhook/_principal.py
@@ -1,4 +1,4 @@
-"""Whose key came with a request."""
+"""Authentication of requests by their key."""
 
 from aiohttp import web
 
@@ -8,14 +8,14 @@
 
 
 async def principal(bus: Bus, req: web.Request) -> Principal:
-    """Return whose key came with the request."""
+    """Return the principal of the key in the Authorization header."""
     return await bus.ask(Authenticate(req.headers.get("Authorization", "")))
 
 
 async def require_operator(bus: Bus, req: web.Request) -> Principal:
-    """Return the operator whose key came with the request.
+    """Return the principal of the request, which must be an operator.
 
-    :raises NotPermittedError: if it is a team's key.
+    :raises NotPermittedError: if the key belongs to a team.
     """
     caller = await principal(bus, req)
     if not caller.is_operator:
--- a/src/firhook/_records.py
+++ b/src/firhook/_records.py
@@ -1,8 +1,8 @@
-"""Records on the platform's log, and the verdicts that readers reach on them.
+"""Records on the platform's log, and the verdicts of their readers.
 
-Streams and what they carry: ``config`` (lists and keys), ``cell`` (zone
-leads, limit transfers, jobs), ``zone.<zone>`` (assignments and endings),
-``once`` (claims of non-idempotent requests).
+The streams are ``config`` (lists and keys), ``cell`` (zone leads, limit transfers,
+jobs), ``zone.<zone>`` (assignments and endings) and ``once`` (claims of
+non-idempotent requests).
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class Verdict(enum.Enum):
-    """What every reader concludes from a record, by its offset alone."""
+    """Effect of a record, the same for every reader of the stream."""
 
     APPLIED = "applied"
     REPEATED = "repeated"
@@ -26,17 +26,17 @@
 @record
 @attrs.frozen(slots=True)
 class Marker:
-    """Says that its sender has given up every earlier record of its lane."""
+    """States that its sender has abandoned all earlier records of its lane."""
 
 
 @record
 @attrs.frozen(slots=True)
 class SnapshotChunk:
-    """One part of a stream's state, carried forward before its records expire.
+    """One part of a snapshot of a stream, written before its records expire.
 
-    :param upto: the offset before which the snapshot holds all records.
-    :param part: number of this part, from 0.
-    :param parts: how many parts there are.
+    :param upto: the snapshot covers all records before this offset.
+    :param part: index of this part, from 0.
+    :param parts: number of parts.
     :param data: part of the JSON text of the state.
     """
 
@@ -49,7 +49,7 @@
 @record
 @attrs.frozen(slots=True)
 class RowsChanged:
-    """A change of the two lists, made from version ``base``."""
+    """A change of rows of the two lists, based on version ``base``."""
 
     base: int
     rows: tuple[Row, ...]
@@ -59,10 +59,10 @@
 @record
 @attrs.frozen(slots=True)
 class KeyGiven:
-    """A key of a team, or of an operator if ``team`` is empty.
+    """A new key of a team, or of an operator if ``team`` is empty.
 
-    :param digest: SHA-256 of the key, in hexadecimal; the key itself is
-        shown once by the tool and stored nowhere.
+    :param digest: SHA-256 of the key, in hexadecimal.  The key itself is shown
+        once by the tool and never stored.
     """
 
     key_id: str
@@ -73,7 +73,7 @@
 @record
 @attrs.frozen(slots=True)
 class KeyWithdrawn:
-    """Withdraws a key for good; its id is never given again."""
+    """Withdraws a key permanently; its id is never reused."""
 
     key_id: str
 
@@ -81,11 +81,12 @@
 @record
 @attrs.frozen(slots=True)
 class LeadClaimed:
-    """Claims the lead of a zone; valid only as the successor of the epoch.
+    """Claims the lead of a zone; valid only for the epoch after the current one.
 
-    :param seen: offset of the last claim, renewal or release of the lead that
-        the claimant has read.  A later one makes the claim void: it was judged
-        on a lease that has been renewed since, whose holder relies on it.
+    :param instance: lane of the candidate.
+    :param seen: offset of the latest claim, renewal or release of the lead that
+        the candidate has read.  A later one invalidates the claim: the lease was
+        renewed meanwhile, and its holder relies on it.
     """
 
     zone: str
@@ -99,8 +100,8 @@
 class LeadRenewed:
     """Renews the lead of a zone.
 
-    :param roster: the instances that the lead may lend room to from now on.
-    :param holders: the number of holders by which each loan is capped.
+    :param roster: the instances to which the lead may lend capacity from now on.
+    :param holders: the number of holders that determines the cap of each loan.
     """
 
     zone: str
@@ -113,9 +114,9 @@
 @record
 @attrs.frozen(slots=True)
 class LeadReleased:
-    """Hands the lead of a zone back at a graceful stop.
+    """Releases the lead of a zone at a graceful stop.
 
-    :param roster: the instances that may still hold room.
+    :param roster: the instances that may still hold capacity.
     """
 
     zone: str
@@ -127,13 +128,13 @@
 @record
 @attrs.frozen(slots=True)
 class LimitMoved:
-    """Moves part of a team's limit from one zone to another.
+    """Transfers part of a team's limit from one zone to another.
 
-    The giver's lead appends it after it has lowered its own part, so that the
-    sum over the zones never exceeds the limit at any moment.
+    The giver's lead appends it after it has reduced its own share, so that the sum
+    over the zones never exceeds the limit.
 
-    :param epoch: of the giver's lead; a later lead makes the transfer void.
-    :param limit: the team's limit as the giver knew it.
+    :param epoch: epoch of the giver's lead; a later lead invalidates the transfer.
+    :param limit: the team's limit as known to the giver.
     """
 
     team: str
@@ -147,11 +148,11 @@
 @record
 @attrs.frozen(slots=True)
 class JobAccepted:
-    """A job, and the zone whose lead places it.
+    """An accepted job and the zone whose lead places it.
 
-    :param accepted_at: wall-clock time of acceptance, in seconds since the
-        epoch; deadlines count from it.  It decides about order only, never
-        about safety, so that a wrong clock does little harm.
+    :param accepted_at: wall-clock time of acceptance, in Unix seconds, from which
+        deadlines count.  It affects only the order of placement, never safety, so
+        that a wrong clock does little harm.
     """
 
     job: JobSpec
@@ -162,7 +163,7 @@
 @record
 @attrs.frozen(slots=True)
 class JobCancelled:
-    """Cancels jobs, folded into one record when they come in waves."""
+    """Cancels jobs; several cancellations are batched into one record."""
 
     job_ids: tuple[str, ...]
 
@@ -170,10 +171,10 @@
 @record
 @attrs.frozen(slots=True)
 class JobsAdopted:
-    """Moves the jobs of a zone that was lost to another one.
+    """Moves the jobs of a lost zone to another zone.
 
-    :param seen: offset of the last claim or renewal of the lost zone that the
-        adopter has read; a later one makes the adoption void.
+    :param seen: offset of the latest claim or renewal of the lost zone that the
+        adopter has read; a later one invalidates the adoption.
     """
 
     giver: str
@@ -184,7 +185,7 @@
 
 @attrs.frozen(slots=True)
 class JobEnd:
-    """How a whole job ended: ``done`` or ``cancelled``."""
+    """The outcome of a job: ``done`` or ``cancelled``."""
 
     job_id: str
     outcome: str
@@ -193,7 +194,7 @@
 @record
 @attrs.frozen(slots=True)
 class JobsEnded:
-    """Jobs that have ended, on stream ``cell``, by the lead that placed them."""
+    """Ended jobs, recorded on stream ``cell`` by the lead that placed them."""
 
     zone: str
     epoch: int
@@ -202,7 +203,7 @@
 
 @attrs.frozen(slots=True)
 class JobNote:
-    """A step of a job in words, for explain."""
+    """Description of a step of a job, shown by ``explain``."""
 
     job_id: str
     text: str
@@ -213,10 +214,10 @@
 class ZoneFenced:
     """The first record of a lead in its zone's stream.
 
-    A record of an older epoch that lands after it is void; one that landed
-    before it has been read by the time this one is.  The lead appends it
-    again after an append whose outcome it does not know: reading it back
-    then says that the append before it landed earlier or never will.
+    Records of older epochs are invalid after it, and those before it have been read
+    when this one is read.  The lead appends it again after an append with an
+    unknown outcome: when it is read back, that append has landed before it or
+    never will.
     """
 
     epoch: int
@@ -226,7 +227,7 @@
 @record
 @attrs.frozen(slots=True)
 class JobsClosed:
-    """Jobs of a zone whose attempts need no longer be remembered."""
+    """Jobs of a zone whose attempts can be deleted from the state."""
 
     epoch: int
     job_ids: tuple[str, ...]
@@ -234,7 +235,7 @@
 
 @attrs.frozen(slots=True)
 class CarriedTask:
-    """What a lost zone's stream says of a task that another zone adopted."""
+    """State of an adopted task according to the stream of its lost zone."""
 
     job_id: str
     index: int
@@ -247,7 +248,7 @@
 @record
 @attrs.frozen(slots=True)
 class TasksCarried:
-    """Ended attempts of adopted tasks, brought over from a lost zone's stream."""
+    """Ended attempts of adopted tasks, copied from the stream of a lost zone."""
 
     epoch: int
     giver: str
@@ -256,7 +257,7 @@
 
 @attrs.frozen(slots=True)
 class Assignment:
-    """One attempt of a task, given to a worker."""
+    """Assignment of one attempt of a task to a worker."""
 
     job_id: str
     index: int
@@ -267,7 +268,7 @@
 @record
 @attrs.frozen(slots=True)
 class Assigned:
-    """A batch of assignments by the zone lead of an epoch, and why."""
+    """A batch of assignments by the zone's lead, with notes on their reasons."""
 
     epoch: int
     items: tuple[Assignment, ...]
@@ -303,7 +304,7 @@
 @record
 @attrs.frozen(slots=True)
 class JobNoted:
-    """A step that was decided for a job, and why; shown by explain."""
+    """A scheduling decision for a job with its reason, shown by ``explain``."""
 
     job_id: str
     note: str
@@ -312,7 +313,7 @@
 @record
 @attrs.frozen(slots=True)
 class JobsNoted:
-    """Steps of several jobs, folded into one record."""
+    """Scheduling decisions for several jobs, batched into one record."""
 
     notes: tuple[JobNote, ...]
 
@@ -320,7 +321,7 @@
 @record
 @attrs.frozen(slots=True)
 class WorkerMarked:
-    """A worker quarantined, drained or taken back, and why."""
+    """Quarantines, drains or restores a worker, with the reason."""
 
     worker: str
     mark: str
@@ -330,12 +331,12 @@
 @record
 @attrs.frozen(slots=True)
 class OnceClaimed:
-    """Claims the single run of a keyed non-idempotent request.
+    """Claims the single execution of a non-idempotent request with a key.
 
     :param key: digest of team and Idempotency-Key.
-    :param body: digest of method, path and body.
-    :param holder: incarnation of the instance that will dispatch it.
-    :param nonce: tells this claim from others of the same holder.
+    :param body: digest of method, service, path and body.
+    :param holder: lane of the instance that will dispatch the request.
+    :param nonce: distinguishes the claims of one holder.
     """
 
     key: str
@@ -350,9 +351,9 @@
 class OnceDone:
     """The outcome of a claimed request.
 
-    :param data: the answer's body in base64.
-    :param whole: whether the body is there; one that is too long is left out.
-    :param holder: whose claim it is; empty matches any.
+    :param data: the response body in base64.
+    :param whole: whether the body is included; one that is too long is omitted.
+    :param holder: lane of the holder of the claim; empty matches any.
     """
 
     key: str
@@ -367,11 +368,11 @@
 @record
 @attrs.frozen(slots=True)
 class OnceReleased:
-    """Gives a claim back whose request was certainly never sent.
+    """Releases the claim of a request that certainly was never sent.
 
-    Appended by the holder, or by a peer that had its word.  It names the
-    claim by its nonce: a copy that lands late must not free a later claim of
-    the same holder, whose request may be running.
+    The holder appends it, or a peer to which the holder has confirmed this.  The
+    nonce identifies the claim: a copy that lands late must not release a later claim
+    of the same holder, whose request may be running.
     """
 
     key: str
--- a/src/firhook/events.py
+++ b/src/firhook/events.py
@@ -1,4 +1,4 @@
-"""Events and queries that the roles exchange through the kernel's bus."""
+"""Events and queries that the roles exchange over the kernel's bus."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(slots=True)
 class RecordApplied:
-    """A record was read from the log and applied to the state."""
+    """A record was read from the log and applied to the state of its stream."""
 
     stream: str
     offset: int
@@ -20,7 +20,7 @@
 
 @attrs.frozen(slots=True)
 class StreamRebuilt:
-    """A stream's state was replaced by a snapshot."""
+    """The state of a stream was replaced by a snapshot."""
 
     stream: str
     offset: int
@@ -36,7 +36,7 @@
 
 @attrs.frozen(slots=True)
 class LoopStalled:
-    """The event loop stood still, so every lease believed held is in doubt."""
+    """The event loop stalled, so leases may have expired unnoticed."""
 
     stall_s: float
 
@@ -51,14 +51,14 @@
 
 @attrs.frozen(slots=True)
 class InstancesListed:
-    """A fresh instance list came from the platform."""
+    """The platform returned a new list of instances."""
 
     instances: tuple[Any, ...]
 
 
 @attrs.frozen(slots=True)
 class Applied:
-    """Where a record landed and what readers made of it."""
+    """The offset of an appended record and the verdict of its readers."""
 
     offset: int
     verdict: Verdict
@@ -66,13 +66,14 @@
 
 @attrs.frozen(slots=True)
 class Append(Query[Applied]):
-    """Append a record and wait until it has been read back and applied.
-
-    :param deadline_s: after so many seconds the asker gets an error:
-        ``LogUnavailableError`` if the record certainly is not and never will
-        be recorded, else ``LogOutcomeUnknownError``.
-    :param urgent: goes before others under the append budget.
-    :raises NotReadyError: if the stream's state is not whole; nothing was sent.
+    """Append a record and wait until it is read back and applied.
+
+    :param deadline_s: timeout in seconds.
+    :param urgent: whether it takes precedence over other appends at the rate limit.
+    :raises NotReadyError: if the stream's state is incomplete; nothing was sent.
+    :raises LogUnavailableError: after the timeout, if the record certainly is not
+        and never will be in the log.
+    :raises LogOutcomeUnknownError: after the timeout otherwise.
     """
 
     stream: str
@@ -90,10 +91,11 @@
 
 @attrs.frozen(slots=True)
 class StreamReady(Query[bool]):
-    """Whether a stream's state is whole, so that it may be acted upon.
+    """Whether a stream's state is complete, so that decisions may rely on it.
 
-    It is from when the end of the stream was seen, or a peer's state was
-    taken over while the log was out, and until records expired unread.
+    It becomes complete when the end of the stream is read, or when a peer's state
+    is installed during an outage of the log.  It becomes incomplete when records
+    expire unread.
     """
 
     stream: str
@@ -101,9 +103,9 @@
 
 @attrs.frozen(slots=True)
 class AskPeer(Query[Any]):
-    """Send a message to a peer and wait for its answer.
+    """Send a message to a peer and wait for its reply.
 
-    :raises PeerUnreachableError: if no answer came in time.
+    :raises PeerUnreachableError: if no reply arrives in time.
     """
 
     peer: str
@@ -113,7 +115,7 @@
 
 @attrs.frozen(slots=True)
 class RegisterPeerHandler:
-    """Registers the handler of a kind of peer message, by the members role."""
+    """Registers the handler of a peer message type with the members role."""
 
     kind: type
     handler: Any
@@ -121,7 +123,10 @@
 
 @attrs.frozen(slots=True)
 class Member:
-    """A peer as the members role sees it."""
+    """A peer as seen by the members role.
+
+    :param age_s: seconds since its last gossip message.
+    """
 
     name: str
     zone: str
@@ -132,16 +137,17 @@
 
 @attrs.frozen(slots=True)
 class Members(Query[tuple[Member, ...]]):
-    """The peers heard lately, without this instance."""
+    """The peers with recent gossip, without this instance."""
 
 
 @attrs.frozen(slots=True)
 class Lead:
     """The lead of this instance's zone.
 
-    :param held: whether this instance holds it for certain at this moment.
-    :param hold_left_s: how long the holder may go on renewing tasks.
-    :param lease_left_s: how long this instance holds it at least.
+    :param held: whether this instance certainly holds the lead now.
+    :param hold_left_s: remaining time in which this instance may renew tasks, in
+        seconds.
+    :param lease_left_s: remaining time of the lease by the log, in seconds.
     """
 
     epoch: int
@@ -153,12 +159,15 @@
 
 @attrs.frozen(slots=True)
 class LeadView(Query[Lead]):
-    """Who leads this zone, as far as this instance knows."""
+    """The lead of this zone as known to this instance."""
 
 
 @attrs.frozen(slots=True)
 class CapacityWanted:
-    """Work of a team waits for room; ``wanted`` is what it could use in all."""
+    """Work of a team waits for capacity.
+
+    :param wanted: total capacity that the team could use at this instance.
+    """
 
     team: str
     wanted: int
@@ -166,6 +175,6 @@
 
 @attrs.frozen(slots=True)
 class CapacityChanged:
-    """The room of a team at this instance changed."""
+    """The capacity of a team at this instance changed."""
 
     team: str
--- a/src/firhook/model.py
+++ b/src/firhook/model.py
@@ -1,4 +1,4 @@
-"""The records and values that firhook's parts exchange."""
+"""The records, messages and values that the parts of firhook exchange."""
 
 from firhook._codec import (
     Envelope,
--- a/src/firhook/queries.py
+++ b/src/firhook/queries.py
@@ -1,4 +1,4 @@
-"""Queries of the operators' and callers' side, answered by the roles."""
+"""Queries on behalf of operators and callers, answered by the roles."""
 
 import attrs
 
@@ -9,26 +9,26 @@
 
 @attrs.frozen(slots=True)
 class Principal:
-    """Whose key it is; ``team`` is empty for an operator."""
+    """The owner of a key; ``team`` is empty for an operator."""
 
     key_id: str
     team: str
 
     @property
     def is_operator(self) -> bool:
-        """Whether it is an operator's key."""
+        """Whether the key belongs to an operator."""
         return not self.team
 
 
 @attrs.frozen(slots=True)
 class Authenticate(Query[Principal]):
-    """Checks the Authorization header.
+    """Authenticate a request by its Authorization header.
 
-    :raises KeyMissingError: if it holds no key.
-    :raises KeyRefusedError: if the key is unknown or withdrawn, or its team
-        is not in the list any more.
-    :raises NotReadyError: if the keys have not been read whole.
-    :raises ZoneStaleError: if the keys known are too old for any work.
+    :raises KeyMissingError: if the header holds no key.
+    :raises KeyRefusedError: if the key is unknown or withdrawn, or its team is
+        no longer in the list.
+    :raises NotReadyError: if the keys have not been read completely.
+    :raises ZoneStaleError: if the known keys are too old for any request.
     """
 
     authorization: str
@@ -36,10 +36,10 @@
 
 @attrs.frozen(slots=True)
 class CheckFresh(Query[None]):
-    """Checks that the keys known are fresh enough for the work asked for.
+    """Check that the known keys are recent enough for a request.
 
-    :param idempotent: whether running the work twice does no harm.
-    :raises ZoneStaleError: if they are not; nothing was run.
+    :param idempotent: whether the request is idempotent.
+    :raises ZoneStaleError: if they are too old; the request must not be executed.
     """
 
     idempotent: bool
@@ -47,10 +47,11 @@
 
 @attrs.frozen(slots=True)
 class ChangeRows(Query[int]):
-    """Changes rows of the lists; the answer is the new version.
+    """Change rows of the lists and return the new version.
 
-    :raises ListInvalidError: if the lists would not be valid.
-    :raises ConfigConflictError: if another change came first.
+    :param base: the version that the change is based on.
+    :raises ListInvalidError: if the resulting lists would be invalid.
+    :raises ConfigConflictError: if a concurrent change was recorded first.
     """
 
     base: int
@@ -60,7 +61,7 @@
 
 @attrs.frozen(slots=True)
 class GivenKey:
-    """A new key; shown once and kept nowhere."""
+    """A new key, which is shown once and never stored."""
 
     key_id: str
     team: str
@@ -69,31 +70,32 @@
 
 @attrs.frozen(slots=True)
 class GiveKey(Query[GivenKey]):
-    """Gives a key to a team, or to an operator if ``team`` is empty."""
+    """Create a key for a team, or for an operator if ``team`` is empty."""
 
     team: str
 
 
 @attrs.frozen(slots=True)
 class WithdrawKey(Query[int]):
-    """Withdraws a key; the answer is the record's offset."""
+    """Withdraw a key and return the offset of the record."""
 
     key_id: str
 
 
 @attrs.frozen(slots=True)
 class OnceBegin(Query["EndpointResponse | None"]):
-    """Claims the single run of a keyed non-idempotent request.
+    """Claim the single execution of a non-idempotent request with a key.
 
-    The answer is ``None`` if the claim was seen to be first, so that the
-    request may be sent now, or else the stored outcome of its first run.
+    The answer is ``None`` if the claim is confirmed to be the first, so that the
+    request may be sent now, and otherwise the stored outcome of the first
+    execution.
 
     :param key: digest of team and Idempotency-Key.
     :param body: digest of method, service, path and body.
-    :raises OnceInProgressError: if its first run has not ended.
-    :raises OnceUnknownError: if its outcome was lost.
-    :raises OnceMismatchError: if the key was used for another request.
-    :raises LogUnavailableError: if the claim was certainly not recorded.
+    :raises OnceInProgressError: if the first execution has not ended.
+    :raises OnceUnknownError: if the outcome of the first execution was lost.
+    :raises OnceMismatchError: if the key was used for a different request.
+    :raises LogUnavailableError: if the claim certainly was not recorded.
     """
 
     key: str
@@ -103,17 +105,17 @@
 
 @attrs.frozen(slots=True)
 class OnceSending:
-    """Event: from now on, bytes of the claimed request may have left."""
+    """Event: from now on the claimed request may have reached a runner."""
 
     key: str
 
 
 @attrs.frozen(slots=True)
 class OnceLost:
-    """Event: a claimed request ended with neither an outcome nor a give-back.
+    """Event: a claimed request ended without an outcome and without a release.
 
-    Its answer was lost, or its caller went away.  Repeats are then told that
-    the outcome is unknown, or may run if it was certainly never sent.
+    Its response was lost, or its caller disconnected.  Repeated requests then get
+    an unknown outcome, or are executed if it certainly was never sent.
     """
 
     key: str
@@ -121,7 +123,7 @@
 
 @attrs.frozen(slots=True)
 class OnceFinish(Query[None]):
-    """Stores the outcome of a claimed request, without waiting for the log."""
+    """Store the outcome of a claimed request without waiting for the log."""
 
     key: str
     answer: EndpointResponse
@@ -129,6 +131,6 @@
 
 @attrs.frozen(slots=True)
 class OnceRelease(Query[None]):
-    """Gives a claim back whose request was certainly never sent."""
+    """Release the claim of a request that certainly was never sent."""
 
     key: str
