--- a/tests/cli/test_tool.py
+++ b/tests/cli/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool against a whole daemon over small fakes, as an operator uses it."""
+"""End-to-end tests of the tool against a daemon on a fake platform."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 
 @attrs.define
 class Tool:
-    """The tool, pointed at a running daemon."""
+    """The command-line tool, configured for a running daemon."""
 
     kernel: Kernel
     capsys: pytest.CaptureFixture[str]
@@ -24,7 +24,7 @@
     key: str = OPERATOR_KEY
 
     def run(self, *args: object) -> tuple[int, str, str]:
-        """Run the tool; return its exit code, output and errors."""
+        """Run the tool and return its exit code, standard output and errors."""
         argv = ["firhook", *map(str, args)]
         self.monkeypatch.setattr("sys.argv", argv)
         self.monkeypatch.setenv("FIRHOOK_KEY", self.key)
@@ -44,14 +44,14 @@
 
 @contextlib.contextmanager
 def running_cell(capsys, monkeypatch) -> Iterator[Tool]:
-    """Run one daemon for the length of a test."""
+    """Run a daemon during a test."""
     with running_kernel() as kernel:
         capsys.readouterr()
         yield Tool(kernel, capsys, monkeypatch)
 
 
 def apply_lists(cell: Tool, folder: Path) -> None:
-    """Put a plan and a team in force."""
+    """Apply lists with one plan and one team."""
     (folder / "plans.ini").write_text("[small]\nshare = 1\nlimit = 10\nslo_ms = 50\n")
     (folder / "teams.ini").write_text("[lisboa]\nplan = small\n")
     files = ("--plans", folder / "plans.ini", "--teams", folder / "teams.ini")
@@ -59,13 +59,13 @@
     assert "version 1 is accepted" in cell.done("config", "apply", *files)
 
 
-def test_operator_who_edits_an_old_copy_is_told_what_changed(
+def test_conflicting_lists_are_refused_with_the_changed_rows(
     tmp_path, capsys, monkeypatch
 ):
-    """Two operators save the lists and edit their copies at the same time.
+    """Two operators edit copies of the lists at the same time.
 
-    The second one's file would silently undo the first one's change.  The tool
-    must refuse it and name the row that the first one changed.
+    Applying the second copy would silently revert the change of the first.  The tool
+    must refuse it and name the changed row.
     """
     with running_cell(capsys, monkeypatch) as cell:
         apply_lists(cell, tmp_path)
@@ -84,7 +84,7 @@
         assert "slo_ms = 50" in shown["plans"]
 
 
-def test_rows_are_added_and_removed_one_by_one(tmp_path, capsys, monkeypatch):
+def test_single_rows_are_added_and_removed(tmp_path, capsys, monkeypatch):
     with running_cell(capsys, monkeypatch) as cell:
         apply_lists(cell, tmp_path)
         cell.done("config", "set-team", "porto", "--plan", "small")
@@ -117,7 +117,9 @@
         assert (code, "[key.refused]" in err) == (5, True)
 
 
-def test_operator_sees_traffic_steps_and_burn_and_drains(tmp_path, capsys, monkeypatch):
+def test_operator_reads_report_metrics_and_events_and_drains(
+    tmp_path, capsys, monkeypatch
+):
     with running_cell(capsys, monkeypatch) as cell:
         apply_lists(cell, tmp_path)
         stats = cell.kernel.stats
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -1,4 +1,4 @@
-"""A log in memory with failures on command, and a kernel's bus around a lane."""
+"""An in-memory log whose failures tests can switch on."""
 
 import asyncio
 import contextlib
@@ -17,12 +17,14 @@
 
 @attrs.define(eq=False)
 class FakeLog(LogService):
-    """One log of any streams.
+    """An in-memory log with any number of streams.
 
-    :ivar append_fate: ``ok``, ``refuse``, ``lose`` (taken, but the answer is
-        lost) or ``drop`` (the answer is lost and it was not taken).
-    :ivar out: whether reading is refused.
-    :ivar sent: the payloads of each append, in order.
+    :ivar first: first offset that is still kept, by stream.
+    :ivar append_fate: ``ok``, ``refuse``, ``lose`` (accepted, but the response is
+        lost) or ``drop`` (not accepted, and the response is lost).
+    :ivar out: whether reads are refused.
+    :ivar sent: the payloads of each append request, in order.
+    :ivar grown: set when records are added.
     """
 
     streams: dict[str, list[bytes]] = attrs.field(factory=dict)
@@ -33,7 +35,7 @@
     grown: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def land(self, stream: str, *payloads: bytes) -> int:
-        """Take records."""
+        """Add records to a stream and return the offset of the first."""
         records = self.streams.setdefault(stream, [])
         first = len(records)
         records += payloads
@@ -42,7 +44,7 @@
         return first
 
     def write(self, stream: str, lane: str, seq: int, body: object) -> None:
-        """Take a record of another instance."""
+        """Add a record of another instance."""
         self.land(stream, encode_envelope(Envelope(lane, seq, body)))
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
@@ -75,7 +77,7 @@
 
 
 async def until(check, timeout_s: float = 10.0) -> None:
-    """Wait until a check holds; the time only bounds a run that has failed."""
+    """Wait until a check returns true; the timeout only bounds failing runs."""
     async with asyncio.timeout(timeout_s):
         while not check():
             await asyncio.sleep(0.005)
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""A whole daemon over small fakes, in a thread of its own."""
+"""A complete daemon on a fake platform, run in its own thread."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 @contextlib.contextmanager
 def running_kernel() -> Iterator[Kernel]:
-    """Run one daemon and yield its kernel once it is ready."""
+    """Run a daemon and yield its kernel when it is ready."""
     box: list[Kernel] = []
     stop = threading.Event()
     thread = threading.Thread(target=lambda: asyncio.run(_serve(box, stop)))
@@ -50,7 +50,7 @@
     key: str = OPERATOR_KEY,
     port: str = "gateway",
 ) -> tuple[int, bytes]:
-    """Get a path, or post a body to it; return the status and the answer."""
+    """GET a path, or POST a body to it, and return the status and the response."""
     req = urllib.request.Request(
         f"http://{kernel.ports[port]}{path}",
         data=body,
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""What callers submit: taken whole or refused with every remedy."""
+"""Validation of submitted jobs."""
 
 import math
 
@@ -42,10 +42,10 @@
 
 @given(st.dictionaries(st.sampled_from(FIELDS), JSON, max_size=6) | JSON)
 def test_any_body_is_a_job_within_bounds_or_a_typed_refusal(raw):
-    """A script sends what it was never meant to send.
+    """Any JSON body is either a valid job or refused with a typed error.
 
-    Were a part of it taken, the lead of a zone would meet a size it cannot
-    place, or a number it cannot compare, on every round of the night.
+    A job that was accepted with an invalid field would give the zone's lead a size
+    that it cannot place, or a number that it cannot compare, in every round.
     """
     try:
         job = check_job(raw, "a")
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the burn report: windows, fleets and alerts."""
+"""Calculations of the burn report: windows, merging, rates and alerts."""
 
 import pytest
 from hypothesis import given
@@ -41,7 +41,7 @@
 
 
 def test_alert_needs_both_of_its_windows():
-    """A burst that is over still fills the hour, and must wake nobody."""
+    """A burst that has ended still fills the one-hour window and must not alert."""
     quiet = dict.fromkeys(WINDOWS_S, 0.0)
     assert worst_alert({**quiet, "1h": 50.0}) == ""
     assert worst_alert({**quiet, "5m": 50.0}) == ""
@@ -55,7 +55,7 @@
     )
 )
 def test_fleet_report_is_the_same_however_requests_were_spread(requests):
-    """The balancer sends a team's requests anywhere; the report must not care."""
+    """The report must not depend on which instances received the requests."""
     spread = [Stats(lambda: 1000.0) for _ in range(4)]
     alone = Stats(lambda: 1000.0)
     for stats in (*spread, alone):
@@ -79,7 +79,7 @@
         assert row.burn_rates["5m"] == pytest.approx(expected, abs=1e-3)
 
 
-def test_callers_own_mistakes_burn_no_budget():
+def test_caller_errors_burn_no_budget():
     stats = Stats(lambda: 0.0)
     stats.count_refusal("request.malformed", "lisboa", "bulk")
     stats.count_refusal("key.refused")
@@ -89,7 +89,7 @@
     assert fleet.refusals == {"request.malformed": 1, "key.refused": 1}
 
 
-def test_plan_may_promise_each_class_its_own_wait():
+def test_plan_may_have_an_objective_for_each_class():
     values = {"share": "1", "limit": "5", "slo_ms": "200", "slo_bulk_ms": "60000"}
     plan = check_plan(Row("plans", "small", values))
     promised = [plan.objective_ms(k) for k in ("interactive", "standard", "bulk")]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked: each mistake is named with what to do."""
+"""Validation of settings: every problem is reported with its remedy."""
 
 import pytest
 
@@ -25,6 +25,7 @@
 
 
 def problems_of(text: str) -> list[str]:
+    """Return the problems reported for invalid settings."""
     with pytest.raises(SettingsInvalidError) as caught:
         parse_settings(text)
     return caught.value.extra["problems"]
--- a/tests/test_stream_client.py
+++ b/tests/test_stream_client.py
@@ -1,4 +1,4 @@
-"""A stream followed and appended to while the log fails in its ways."""
+"""The client of one stream, against a log that fails in various ways."""
 
 import asyncio
 import contextlib
@@ -32,105 +32,105 @@
 
 
 @contextlib.asynccontextmanager
-async def lane_on(log: FakeLog, ready: bool = True):
-    """Run a lane on a log."""
+async def running_client(log: FakeLog, ready: bool = True):
+    """Run a stream client on a log."""
     bus = Bus()
-    lane = StreamClient(
+    client = StreamClient(
         "config", "i#1", ConfigState(), log, bus, AppendRateLimiter(1000), 0.05
     )
-    lane.rebuilt = []
-    bus.subscribe(StreamRebuilt, lane.rebuilt.append)
-    await lane.start()
+    client.rebuilt = []
+    bus.subscribe(StreamRebuilt, client.rebuilt.append)
+    await client.start()
     try:
         if ready:
-            await until(lambda: lane.ready)
-        yield lane
+            await until(lambda: client.ready)
+        yield client
     finally:
-        await lane.stop()
+        await client.stop()
 
 
 def bodies(log: FakeLog) -> list[object]:
-    """Return what the log took, in order."""
+    """Return the bodies of all records on the log, in order."""
     return [decode_envelope(p).body for p in log.streams.get("config", [])]
 
 
-def test_record_whose_answer_was_lost_is_settled_by_reading():
-    """The log takes a key, and its answer is lost on the way.
+def test_append_with_a_lost_response_is_resolved_by_reading_it_back():
+    """The log accepts a record, but its response is lost.
 
-    The operator must be told that the key is given, once it is read back,
-    and must not be given an error for a key that works.
+    Once the record is read back, the append must succeed: otherwise the operator
+    would get an error for a key that works.
     """
 
     async def scenario():
         log = FakeLog(append_fate="lose")
-        async with lane_on(log) as lane:
-            applied = await lane.append(Append("config", KEY))
+        async with running_client(log) as client:
+            applied = await client.append(Append("config", KEY))
             assert applied.verdict is Verdict.APPLIED
 
     asyncio.run(scenario())
 
 
-def test_record_given_up_while_the_log_refuses_never_lands():
-    """The log is out, and an operator gives up on a key.
+def test_append_abandoned_during_an_outage_never_lands():
+    """An append times out during an outage of the log.
 
-    It is told that nothing was recorded, so the key must not work after the
-    log has come back either.
+    The caller is informed that nothing was recorded, so the key must not work after
+    the log is back either.
     """
 
     async def scenario():
         log = FakeLog()
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             log.append_fate = "refuse"
             with pytest.raises(LogUnavailableError) as caught:
-                await lane.append(Append("config", KEY, deadline_s=0.8))
+                await client.append(Append("config", KEY, deadline_s=0.8))
             assert caught.value.ran == "no"
             log.append_fate = "ok"
-            await lane.append(Append("config", KeyGiven("k2", "", "d2")))
+            await client.append(Append("config", KeyGiven("k2", "", "d2")))
             assert KEY not in bodies(log)
 
     asyncio.run(scenario())
 
 
-def test_record_given_up_in_doubt_is_void_behind_its_marker():
-    """An append times out, its caller gives up, and then it lands after all.
+def test_abandoned_record_is_ignored_after_its_marker():
+    """An append times out with an unknown outcome and lands later.
 
-    The caller was told "unknown".  Something that takes effect an hour later
-    would surprise everybody, so a marker goes before it.
+    It must not take effect long after its caller gave up, so the client appends a
+    marker that invalidates the late record.
     """
 
     async def scenario():
         log = FakeLog()
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             log.append_fate = "drop"
             with pytest.raises(LogOutcomeUnknownError):
-                await lane.append(Append("config", KEY, deadline_s=0.2))
+                await client.append(Append("config", KEY, deadline_s=0.2))
             late = log.sent[0][1]
             log.append_fate = "ok"
             await until(lambda: Marker() in bodies(log))
             log.land("config", *late)
-            await until(lambda: lane.stream_state.next_offset == 2)
-            assert lane.stream_state.keys == {}
+            await until(lambda: client.stream_state.next_offset == 2)
+            assert client.stream_state.keys == {}
 
     asyncio.run(scenario())
 
 
-def test_urgent_record_goes_into_the_next_append_before_others():
-    """A key is withdrawn while the instance has hundreds of records to append.
+def test_urgent_record_is_sent_in_the_next_append():
+    """A key is withdrawn while hundreds of records wait to be appended.
 
-    Behind them the withdrawal would wait for several appends under the
-    budget, and the key would go on working.
+    Behind them the withdrawal would wait for several appends under the rate limit,
+    and the key would keep working.
     """
 
     async def scenario():
         log = FakeLog()
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             appends = [
                 Append("config", KeyGiven(f"k{i}", "", f"d{i}")) for i in range(600)
             ]
-            tasks = [asyncio.create_task(lane.append(a)) for a in appends]
+            tasks = [asyncio.create_task(client.append(a)) for a in appends]
             await asyncio.sleep(0)
             urgent = Append("config", KeyWithdrawn("k0"), urgent=True)
-            await lane.append(urgent)
+            await client.append(urgent)
             assert KeyWithdrawn("k0") in bodies(log)[:300]
             await asyncio.gather(*tasks)
             assert len(log.sent) < 10
@@ -138,22 +138,22 @@
     asyncio.run(scenario())
 
 
-def test_record_that_cannot_be_encoded_holds_up_no_other():
-    """Somebody managed to send a name that is no valid text."""
+def test_unencodable_record_blocks_no_other():
+    """A record with an unpaired surrogate cannot be encoded as UTF-8."""
 
     async def scenario():
         log = FakeLog()
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             with pytest.raises(RecordMalformedError):
-                await lane.append(Append("config", KeyWithdrawn("\ud800")))
-            applied = await lane.append(Append("config", KEY))
+                await client.append(Append("config", KeyWithdrawn("\ud800")))
+            applied = await client.append(Append("config", KEY))
             assert applied.verdict is Verdict.APPLIED
 
     asyncio.run(scenario())
 
 
 def grown_log(upto: int) -> tuple[FakeLog, ConfigState]:
-    """Return a log of another instance, and the state that it gives."""
+    """Return a log written by another instance, and the resulting state."""
     log, state = FakeLog(), ConfigState()
     plan = Row("plans", "small", {"share": "1", "limit": "4"})
     for i in range(upto):
@@ -164,37 +164,37 @@
     return log, state
 
 
-def test_follower_of_a_trimmed_log_rebuilds_before_it_acts():
-    """An instance starts, and the log has dropped the older records.
+def test_client_of_a_trimmed_log_is_not_ready_before_its_rebuild():
+    """An instance starts after the log has dropped its older records.
 
-    What is left does not give the lists in force.  Acting on it, the instance
-    would refuse good keys, and put a change on a version long past.
+    The remaining records do not yield the lists in force.  An instance that relied
+    on them would refuse valid keys and base changes on an old version.
     """
 
     async def scenario():
         log, state = grown_log(20)
         log.first["config"] = 15
-        async with lane_on(log, ready=False) as lane:
+        async with running_client(log, ready=False) as client:
             await asyncio.sleep(0.1)
-            assert not lane.ready
-            assert lane.age_s == float("inf")
+            assert not client.ready
+            assert client.age_s == float("inf")
             with pytest.raises(NotReadyError):
-                await lane.append(Append("config", KEY))
+                await client.append(Append("config", KEY))
             half = split_snapshot(20, "x" * 100_000)[1]
             log.write("config", "o#1", 21, half)
             for seq, chunk in enumerate(split_snapshot(20, state.to_text()), 22):
                 log.write("config", "o#1", seq, chunk)
-            await until(lambda: lane.ready)
-            assert lane.stream_state.version == 20
-            assert lane.rebuilt == [StreamRebuilt("config", 20)]
-            applied = await lane.append(Append("config", KEY))
+            await until(lambda: client.ready)
+            assert client.stream_state.version == 20
+            assert client.rebuilt == [StreamRebuilt("config", 20)]
+            applied = await client.append(Append("config", KEY))
             assert applied.verdict is Verdict.APPLIED
 
     asyncio.run(scenario())
 
 
-def test_snapshot_that_is_no_state_is_passed_over():
-    """A faulty writer put a whole set of chunks on the log that hold nonsense."""
+def test_malformed_snapshot_is_ignored():
+    """A faulty writer appended a complete set of chunks without a valid state."""
 
     async def scenario():
         log, state = grown_log(5)
@@ -202,25 +202,25 @@
         log.write("config", "bad#1", 1, SnapshotChunk(5, 0, 1, '{"lanes": 7}'))
         for seq, chunk in enumerate(split_snapshot(5, state.to_text()), 6):
             log.write("config", "o#1", seq, chunk)
-        async with lane_on(log) as lane:
-            assert lane.stream_state.version == 5
+        async with running_client(log) as client:
+            assert client.stream_state.version == 5
 
     asyncio.run(scenario())
 
 
-def test_waiter_is_answered_when_its_record_expired_unread():
-    """An instance appends a key, is cut off, and the record expires meanwhile.
+def test_append_is_resolved_when_its_record_expired_unread():
+    """An instance appends a key, loses the log, and the record expires meanwhile.
 
-    It never reads its own record; the snapshot it rebuilds from says that the
-    key is given, and whoever waits must be told so.
+    It never reads its own record.  The snapshot of the rebuild contains the key, so
+    the append must succeed.
     """
 
     async def scenario():
         log, state = grown_log(1)
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             log.out, log.append_fate = True, "lose"
             await asyncio.sleep(0.1)
-            task = asyncio.create_task(lane.append(Append("config", KEY)))
+            task = asyncio.create_task(client.append(Append("config", KEY)))
             await until(lambda: len(bodies(log)) > 1)
             log.append_fate = "drop"
             state.apply(1, decode_envelope(log.streams["config"][1]))
@@ -234,22 +234,22 @@
     asyncio.run(scenario())
 
 
-def test_log_that_lost_records_does_not_pass_for_a_fresh_view():
-    """The log fails over to a copy that lacks the last records.
+def test_log_that_lost_records_is_not_a_fresh_view():
+    """The log fails over to a replica that lacks the latest records.
 
-    An instance that took its end for the present would serve withdrawn keys
-    as if it had just checked them.
+    An instance that treated its end as current would accept withdrawn keys as if
+    they had just been checked.
     """
 
     async def scenario():
         log, _ = grown_log(5)
-        async with lane_on(log) as lane:
+        async with running_client(log) as client:
             del log.streams["config"][3:]
-            seen = lane.end_seen_at
+            seen = client.end_seen_at
             await asyncio.sleep(0.3)
-            assert lane.stream_state.next_offset == 5
-            await until(lambda: lane.age_s > 0.2)
-            assert lane.end_seen_at <= seen + 0.1
+            assert client.stream_state.next_offset == 5
+            await until(lambda: client.age_s > 0.2)
+            assert client.end_seen_at <= seen + 0.1
 
     asyncio.run(scenario())
 
@@ -266,24 +266,24 @@
         b"[" * 100_000,
     ],
 )
-def test_bad_record_is_passed_over_and_the_next_one_counts(payload):
-    """Something else wrote to the stream, or a writer has a fault.
+def test_malformed_record_is_skipped(payload):
+    """A foreign or faulty writer appended a malformed record.
 
-    One such record must not stop every instance at the same offset.
+    It must not stop every instance at the same offset.
     """
 
     async def scenario():
         log = FakeLog()
         log.land("config", payload)
         log.write("config", "o#1", 10, KEY)
-        async with lane_on(log) as lane:
-            assert list(lane.stream_state.keys) == ["d1"]
+        async with running_client(log) as client:
+            assert list(client.stream_state.keys) == ["d1"]
 
     asyncio.run(scenario())
 
 
-def test_record_that_no_check_foresaw_ends_no_follower(monkeypatch):
-    """Applying a record fails in a way that nobody thought of."""
+def test_unexpected_error_in_a_record_does_not_stop_the_client(monkeypatch):
+    """Applying a record raises an unexpected exception."""
 
     def fail(self, body):
         raise ZeroDivisionError
@@ -291,10 +291,10 @@
     async def scenario():
         log, _ = grown_log(1)
         log.write("config", "o#1", 10, KEY)
-        async with lane_on(log) as lane:
-            assert lane.stream_state.version == 0
-            assert "ZeroDivisionError" in lane.stream_state.fault
-            assert list(lane.stream_state.keys) == ["d1"]
+        async with running_client(log) as client:
+            assert client.stream_state.version == 0
+            assert "ZeroDivisionError" in client.stream_state.fault
+            assert list(client.stream_state.keys) == ["d1"]
 
     monkeypatch.setattr(ConfigState, "_apply_rows", fail)
     asyncio.run(scenario())
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""The listening side of HTTP."""
+"""Listening and shutdown of the HTTP servers."""
 
 import asyncio
 import socket
@@ -8,12 +8,12 @@
 from firhook._web import serve
 
 
-def test_connection_that_waits_to_be_accepted_is_served_at_a_stop():
-    """A caller connects in the very moment in which an instance stops.
+def test_pending_connection_is_served_when_the_site_stops():
+    """A caller connects at the moment in which an instance stops.
 
-    Its connection is made and its request sent, but not accepted yet.  Closing
-    the socket then would reset it, and the caller could not tell whether its
-    declaration was run.
+    Its connection is established and its request sent, but not yet accepted.
+    Closing the socket would reset the connection, and the caller could not tell
+    whether its request was executed.
     """
 
     async def hello(req: web.Request) -> web.Response:
