--- a/tests/cli/test_tool.py
+++ b/tests/cli/test_tool.py
@@ -35,7 +35,7 @@
         out, err = self.capsys.readouterr()
         return ended.value.code or 0, out, err
 
-    def done(self, *args: object) -> str:
+    def run_ok(self, *args: object) -> str:
         """Run the tool, expect success and return its output."""
         code, out, err = self.run(*args)
         assert code == 0, err
@@ -55,8 +55,8 @@
     (folder / "plans.ini").write_text("[small]\nshare = 1\nlimit = 10\nslo_ms = 50\n")
     (folder / "teams.ini").write_text("[lisboa]\nplan = small\n")
     files = ("--plans", folder / "plans.ini", "--teams", folder / "teams.ini")
-    assert "version 1 is accepted" in cell.done("config", "apply", *files)
-    assert "version 1 is accepted" in cell.done("config", "apply", *files)
+    assert "version 1 is accepted" in cell.run_ok("config", "apply", *files)
+    assert "version 1 is accepted" in cell.run_ok("config", "apply", *files)
 
 
 def test_conflicting_lists_are_refused_with_the_changed_rows(
@@ -69,15 +69,15 @@
     """
     with running_cell(capsys, monkeypatch) as cell:
         apply_lists(cell, tmp_path)
-        cell.done("config", "show", "--save", tmp_path)
-        cell.done("config", "set-plan", "small", "--limit", "12", "--urgent")
+        cell.run_ok("config", "show", "--save", tmp_path)
+        cell.run_ok("config", "set-plan", "small", "--limit", "12", "--urgent")
         plans = (tmp_path / "plans.ini").read_text().replace("share = 1", "share = 3")
         (tmp_path / "plans.ini").write_text(plans)
         code, _, err = cell.run("config", "apply", "--plans", tmp_path / "plans.ini")
         assert code == 3
         assert "[config.conflict]" in err
         assert "changed by others: plans/small" in err
-        shown = json.loads(cell.done("config", "show", "--json"))
+        shown = json.loads(cell.run_ok("config", "show", "--json"))
         assert shown["version"] == 2
         assert "limit = 12" in shown["plans"]
         assert "share = 1" in shown["plans"]
@@ -87,14 +87,14 @@
 def test_single_rows_are_added_and_removed(tmp_path, capsys, monkeypatch):
     with running_cell(capsys, monkeypatch) as cell:
         apply_lists(cell, tmp_path)
-        cell.done("config", "set-team", "porto", "--plan", "small")
-        assert "porto" in cell.done("team", "list")
-        cell.done("config", "remove-team", "porto")
+        cell.run_ok("config", "set-team", "porto", "--plan", "small")
+        assert "porto" in cell.run_ok("team", "list")
+        cell.run_ok("config", "remove-team", "porto")
         code, _, err = cell.run("team", "show", "porto")
         assert (code, "firhook team list" in err) == (1, True)
         code, _, err = cell.run("config", "remove-plan", "small")
         assert (code, "[list.invalid]" in err) == (1, True)
-        assert "3 is in force at 1" in cell.done("config", "wait", "3")
+        assert "3 is in force at 1" in cell.run_ok("config", "wait", "3")
         code, _, err = cell.run("config", "wait", "4", "--timeout", "0")
         assert (code, "entry-1 at 3" in err) == (6, True)
 
@@ -127,19 +127,19 @@
             stats.count_answer("lisboa", "interactive", wait_s, 0.1)
         stats.count_refusal("queue.overloaded", "lisboa", "interactive")
         stats.count_refusal("key.refused", "lisboa", "interactive")
-        [row] = json.loads(cell.done("report", "--json"))["rows"]
+        [row] = json.loads(cell.run_ok("report", "--json"))["rows"]
         assert (row["requests"], row["refused"]) == (4, 1)
         assert row["burn_rates"]["5m"] == pytest.approx(25.0)
         assert row["alert"] == "page"
         page = tmp_path / "burn.html"
-        cell.done("report", "--html", page)
+        cell.run_ok("report", "--html", page)
         assert page.read_text().count("<rect") == 4
         metrics = ask(cell.kernel, "/metrics", port="ops")[1].decode()
         assert 'firhook_refusals_total{code="queue.overloaded"} 1.0' in metrics
         assert "firhook_log_appends_total" in metrics
         assert "firhook_config_version 1.0" in metrics
-        assert "runner-1" in cell.done("endpoints", "--kind", "runner")
-        while "leads epoch 1" not in cell.done("events", "--wait", "0.2"):
+        assert "runner-1" in cell.run_ok("endpoints", "--kind", "runner")
+        while "leads epoch 1" not in cell.run_ok("events", "--wait", "0.2"):
             continue
-        cell.done("drain", cell.kernel.ports["ops"])
+        cell.run_ok("drain", cell.kernel.ports["ops"])
         assert cell.kernel.stop_requested.is_set()
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -20,21 +20,21 @@
     """An in-memory log with any number of streams.
 
     :ivar first: first offset that is still kept, by stream.
-    :ivar append_fate: ``ok``, ``refuse``, ``lose`` (accepted, but the response is
+    :ivar append_outcome: ``ok``, ``refuse``, ``lose`` (accepted, but the response is
         lost) or ``drop`` (not accepted, and the response is lost).
-    :ivar out: whether reads are refused.
+    :ivar reads_fail: whether reads are refused.
     :ivar sent: the payloads of each append request, in order.
     :ivar grown: set when records are added.
     """
 
     streams: dict[str, list[bytes]] = attrs.field(factory=dict)
     first: dict[str, int] = attrs.field(factory=dict)
-    append_fate: str = "ok"
-    out: bool = False
+    append_outcome: str = "ok"
+    reads_fail: bool = False
     sent: list[tuple[str, tuple[bytes, ...]]] = attrs.field(factory=list)
     grown: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def land(self, stream: str, *payloads: bytes) -> int:
+    def add_records(self, stream: str, *payloads: bytes) -> int:
         """Add records to a stream and return the offset of the first."""
         records = self.streams.setdefault(stream, [])
         first = len(records)
@@ -45,23 +45,23 @@
 
     def write(self, stream: str, lane: str, seq: int, body: object) -> None:
         """Add a record of another instance."""
-        self.land(stream, encode_envelope(Envelope(lane, seq, body)))
+        self.add_records(stream, encode_envelope(Envelope(lane, seq, body)))
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
         await asyncio.sleep(0)
         self.sent.append((stream, tuple(payloads)))
-        if self.append_fate == "refuse":
+        if self.append_outcome == "refuse":
             raise LogUnavailableError("out")
-        if self.append_fate == "drop":
+        if self.append_outcome == "drop":
             raise LogOutcomeUnknownError("lost")
-        first = self.land(stream, *payloads)
-        if self.append_fate == "lose":
+        first = self.add_records(stream, *payloads)
+        if self.append_outcome == "lose":
             raise LogOutcomeUnknownError("lost")
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         await asyncio.sleep(0)
-        if self.out:
+        if self.reads_fail:
             raise LogUnavailableError("out")
         records = self.streams.setdefault(stream, [])
         first = self.first.get(stream, 0)
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -43,7 +43,7 @@
 
 def cut_off(mini: Mini) -> None:
     """Cut an instance off from the log, but not from its peers."""
-    log = FakeLog(out=True, append_fate="refuse")
+    log = FakeLog(reads_fail=True, append_outcome="refuse")
     for lane in mini.journal.lanes.values():
         lane._service = log
 
@@ -163,7 +163,7 @@
     """
 
     async def scenario():
-        a = Mini("a", FakeLog(out=True), {})
+        a = Mini("a", FakeLog(reads_fail=True), {})
         async with running(a, ready=False):
             with pytest.raises(NotReadyError) as caught:
                 await a.bus.ask(Authenticate("Bearer fk_any"))
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -93,7 +93,7 @@
         a = Mini("a", log, cell)
         async with running(a):
             await give_lists(a)
-            log.out, log.append_fate = True, "refuse"
+            log.reads_fail, log.append_outcome = True, "refuse"
             b = Mini("b", log, cell)
             async with running(b, ready=False):
                 await b.hear("a")
@@ -103,7 +103,7 @@
                 await b.hear("a")
                 who = await b.bus.ask(Authenticate("Bearer fk_one"))
                 assert who.team == "lisboa"
-                log.out, log.append_fate = False, "ok"
+                log.reads_fail, log.append_outcome = False, "ok"
                 await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
                 await until(lambda: b.states.config.version == 2)
 
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -75,13 +75,13 @@
     """
 
     async def scenario(log, a, b):
-        log.append_fate = "drop"
+        log.append_outcome = "drop"
         with pytest.raises(LogUnavailableError) as caught:
             await a.bus.ask(CHARGE)
         assert caught.value.ran == "no"
         late = next(p for stream, p in log.sent if stream == "once")
-        log.land("once", *late)
-        log.append_fate = "ok"
+        log.add_records("once", *late)
+        log.append_outcome = "ok"
         await until(lambda: OnceReleased(CHARGE.key, "a#1", 1) in bodies(log))
         await until(lambda: not b.states.once.entries)
         assert await b.bus.ask(CHARGE) is None
@@ -187,13 +187,13 @@
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         await asyncio.wait_for(a.bus.ask(OnceFinish(CHARGE.key, PAID)), 1)
         assert (await a.bus.ask(CHARGE)).body == b"paid"
         with pytest.raises(OnceInProgressError):
             await b.bus.ask(CHARGE)
         await asyncio.sleep(2 * _once._STORE_DEADLINE_S)
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
         await until(lambda: b.states.once.entries[CHARGE.key].done)
         assert (await b.bus.ask(CHARGE)).body == b"paid"
 
@@ -209,12 +209,12 @@
         for begin in (CHARGE, other):
             assert await a.bus.ask(begin) is None
             a.bus.publish(OnceSending(begin.key))
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         await a.bus.ask(OnceFinish(CHARGE.key, PAID))
         await a.bus.ask(OnceFinish(other.key, PAID))
         with pytest.raises(OnceUnknownError):
             await a.bus.ask(other)
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
 
     run_two(scenario)
 
@@ -273,11 +273,11 @@
     """
 
     async def scenario(log, a, b):
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         with pytest.raises(LogUnavailableError) as caught:
             await a.bus.ask(CHARGE)
         assert caught.value.ran == "no"
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
         await a.bus.ask(Append("once", OnceReleased("x", "a#1")))
         assert bodies(log) == [OnceReleased("x", "a#1")]
 
--- a/tests/running.py
+++ b/tests/running.py
@@ -13,14 +13,14 @@
 from standins.fakes import OPERATOR_KEY, fake_platform, small_settings
 
 
-async def _serve(box: list[Kernel], stop: threading.Event) -> None:
+async def _serve(started: list[Kernel], stop: threading.Event) -> None:
     runner = Endpoint("runner-1", "runner", "porto", "127.0.0.1:9", service="logbook")
     cfg = small_settings(log_poll_s=0.2, lead_lease_s=0.5, margin_s=0.1)
     kernel = Kernel(cfg, fake_platform([runner]), "test")
     await kernel.start()
     while not kernel.ready:
         await asyncio.sleep(0.01)
-    box.append(kernel)
+    started.append(kernel)
     while not stop.is_set():
         await asyncio.sleep(0.01)
     await kernel.stop()
@@ -29,15 +29,15 @@
 @contextlib.contextmanager
 def running_kernel() -> Iterator[Kernel]:
     """Run a daemon and yield its kernel when it is ready."""
-    box: list[Kernel] = []
+    started: list[Kernel] = []
     stop = threading.Event()
-    thread = threading.Thread(target=lambda: asyncio.run(_serve(box, stop)))
+    thread = threading.Thread(target=lambda: asyncio.run(_serve(started, stop)))
     thread.start()
     try:
-        give_up = time.monotonic() + 30
-        while not box and thread.is_alive() and time.monotonic() < give_up:
+        deadline = time.monotonic() + 30
+        while not started and thread.is_alive() and time.monotonic() < deadline:
             time.sleep(0.01)
-        yield box[0]
+        yield started[0]
     finally:
         stop.set()
         thread.join()
--- a/tests/test_stream_client.py
+++ b/tests/test_stream_client.py
@@ -62,7 +62,7 @@
     """
 
     async def scenario():
-        log = FakeLog(append_fate="lose")
+        log = FakeLog(append_outcome="lose")
         async with running_client(log) as client:
             applied = await client.append(Append("config", KEY))
             assert applied.verdict is Verdict.APPLIED
@@ -80,11 +80,11 @@
     async def scenario():
         log = FakeLog()
         async with running_client(log) as client:
-            log.append_fate = "refuse"
+            log.append_outcome = "refuse"
             with pytest.raises(LogUnavailableError) as caught:
                 await client.append(Append("config", KEY, deadline_s=0.8))
             assert caught.value.ran == "no"
-            log.append_fate = "ok"
+            log.append_outcome = "ok"
             await client.append(Append("config", KeyGiven("k2", "", "d2")))
             assert KEY not in bodies(log)
 
@@ -101,13 +101,13 @@
     async def scenario():
         log = FakeLog()
         async with running_client(log) as client:
-            log.append_fate = "drop"
+            log.append_outcome = "drop"
             with pytest.raises(LogOutcomeUnknownError):
                 await client.append(Append("config", KEY, deadline_s=0.2))
             late = log.sent[0][1]
-            log.append_fate = "ok"
+            log.append_outcome = "ok"
             await until(lambda: Marker() in bodies(log))
-            log.land("config", *late)
+            log.add_records("config", *late)
             await until(lambda: client.stream_state.next_offset == 2)
             assert client.stream_state.keys == {}
 
@@ -218,17 +218,17 @@
     async def scenario():
         log, state = grown_log(1)
         async with running_client(log) as client:
-            log.out, log.append_fate = True, "lose"
+            log.reads_fail, log.append_outcome = True, "lose"
             await asyncio.sleep(0.1)
             task = asyncio.create_task(client.append(Append("config", KEY)))
             await until(lambda: len(bodies(log)) > 1)
-            log.append_fate = "drop"
+            log.append_outcome = "drop"
             state.apply(1, decode_envelope(log.streams["config"][1]))
             upto = len(log.streams["config"])
             for seq, chunk in enumerate(split_snapshot(upto, state.to_text()), 3):
                 log.write("config", "o#1", seq, chunk)
             log.first["config"] = upto
-            log.out = False
+            log.reads_fail = False
             assert (await task).verdict is Verdict.APPLIED
 
     asyncio.run(scenario())
@@ -274,7 +274,7 @@
 
     async def scenario():
         log = FakeLog()
-        log.land("config", payload)
+        log.add_records("config", payload)
         log.write("config", "o#1", 10, KEY)
         async with running_client(log) as client:
             assert list(client.stream_state.keys) == ["d1"]
