--- a/src/firhook/platform/__init__.py
+++ b/src/firhook/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: its names, its formats, and the calls to it."""
+"""Adapter to the platform: its names, its formats and the clients of its services."""
--- a/src/firhook/platform/_base.py
+++ b/src/firhook/platform/_base.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform; a test puts small fakes behind them."""
+"""Interfaces to the platform's services; tests implement them with small fakes."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 @attrs.frozen(slots=True)
 class LogEntry:
-    """A record as the log keeps it."""
+    """A record of a log stream and its offset."""
 
     offset: int
     payload: bytes
@@ -19,10 +19,10 @@
 
 @attrs.frozen(slots=True)
 class LogPage:
-    """Part of a stream.
+    """A range of records of a stream.
 
-    :param entries: records in order of offset; may be empty.
-    :param end: the offset that the next record of the stream will get.
+    :param entries: records ordered by offset; may be empty.
+    :param end: offset of the next record to be appended to the stream.
     """
 
     entries: tuple[LogEntry, ...]
@@ -30,64 +30,65 @@
 
 
 class LogService(ABC):
-    """The platform's append-only log, with a total order per stream."""
+    """The platform's append-only log, which is totally ordered per stream."""
 
     @abstractmethod
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
-        """Append records together and return the offset of the first.
+        """Append records as one batch and return the offset of the first.
 
-        :raises LogUnavailableError: if the log certainly did not take them.
-        :raises LogOutcomeUnknownError: if the answer was lost; they may have been
-            taken, or may yet be.
+        :raises LogUnavailableError: if the log certainly did not append them.
+        :raises LogOutcomeUnknownError: if the answer was lost; the records may
+            have been appended, or may still be.
         """
 
     @abstractmethod
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Return the records from an offset on, waiting a while if none.
+        """Return the records from an offset on.
 
+        :param wait_s: how long the log waits for a record if there is none.
         :raises LogTrimmedError: if records from the offset on have expired;
-            ``exc.extra["first"]`` is the earliest offset that is kept.
+            ``exc.extra["first"]`` is the earliest offset that is retained.
         :raises LogUnavailableError: if the log cannot be reached.
         """
 
 
 class InstanceList(ABC):
-    """The platform's lagging list of live and leaving instances."""
+    """The platform's list of live and leaving instances, which lags behind."""
 
     @abstractmethod
     async def list(self) -> tuple[Endpoint, ...]:
-        """Return the list.
+        """Return the listed endpoints.
 
-        :raises PlatformUnavailableError: if it cannot be reached.
+        :raises PlatformUnavailableError: if the platform cannot be reached.
         """
 
 
 class WorkerClient(ABC):
-    """Reaches workers."""
+    """Client of the workers."""
 
     @abstractmethod
     async def poll(self, worker: Endpoint) -> Report:
-        """Return the worker's inventory and clock, and change nothing.
+        """Return the worker's inventory and clock without changing anything.
 
-        :raises WorkerUnreachableError: if it did not answer.
+        :raises WorkerUnreachableError: if the worker did not answer.
         """
 
     @abstractmethod
     async def send_order(self, worker: Endpoint, order: Order) -> Report:
-        """Give an order and return the inventory after it.
+        """Send an order and return the worker's inventory after it.
 
-        :raises WorkerUnreachableError: if it did not answer; the order may have
-            taken effect, or may yet.
-        :raises WorkerFencedError: if it has seen a newer epoch, or the order came
-            after its ``not_after``.
+        :raises WorkerUnreachableError: if the worker did not answer; the order may
+            have taken effect, or may still do so.
+        :raises WorkerFencedError: if the worker has seen a newer epoch, or the
+            order arrived after its ``not_after``.
         """
 
 
 @attrs.frozen(slots=True)
 class EndpointResponse:
-    """An answer of a runner, whole.
+    """A complete response of a runner.
 
-    :param leaving: whether the runner said that it takes no new work.
+    :param leaving: whether the runner announced that it accepts no new work.
     """
 
     status: int
@@ -97,7 +98,7 @@
 
 
 class EndpointClient(ABC):
-    """Sends requests to runners."""
+    """Client of the runners."""
 
     @abstractmethod
     async def send(
@@ -109,12 +110,12 @@
         body: bytes,
         timeout_s: float,
     ) -> EndpointResponse:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete response.
 
         :raises NoEndpointError: if certainly no byte of the request was sent.
-        :raises EndpointTimeoutError: if no whole answer came in time.
-        :raises EndpointFailedError: if the exchange was cut after some byte may
-            have been sent.
+        :raises EndpointTimeoutError: if the response was not complete in time.
+        :raises EndpointFailedError: if the connection failed after some bytes of
+            the request may have been sent.
         """
 
     @abstractmethod
@@ -124,7 +125,7 @@
 
 @attrs.frozen
 class Platform:
-    """The platform's services, handed to the kernel together."""
+    """Clients of the platform's services, as the kernel receives them."""
 
     log: LogService
     instances: InstanceList
--- a/src/firhook/platform/_client.py
+++ b/src/firhook/platform/_client.py
@@ -8,35 +8,35 @@
 import attrs
 from yarl import URL
 
-#: A connection on which sent bytes stay without acknowledgement for so long is
-#: dropped.  A peer behind a partition answers nothing, not even a reset, and
-#: the kernel by itself would wait for many minutes.
+#: Drops a connection whose sent bytes stay unacknowledged.  A peer behind a network
+#: partition sends nothing, not even a reset, and by default the kernel waits for
+#: many minutes.
 TCP_USER_TIMEOUT_MS = 1500
-#: Probes on an idle connection: after a second, each second, three missed.
+#: Probes an idle connection after one second and then every second; three lost
+#: probes close it.
 _KEEPALIVE = (
     (socket.TCP_KEEPIDLE, 1),
     (socket.TCP_KEEPINTVL, 1),
     (socket.TCP_KEEPCNT, 3),
 )
-#: An idle connection is kept so long.  New connections to workers are priced,
-#: and each costs a round trip.
+#: New connections to workers are charged for, and each costs a round trip.
 _IDLE_CONNECTION_S = 30.0
-#: Connections to one worker or to the store.
+#: Applies to each worker and to the store.
 _MAX_CONNECTIONS_PER_HOST = 32
 _SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class NotSentError(Exception):
-    """Nothing was sent, since no connection could be made."""
+    """No connection could be made, so nothing was sent."""
 
 
 class NoResponseError(Exception):
-    """No whole answer came; the call may have been carried out, or may yet be."""
+    """No complete response came; the call may have taken effect, or may still do so."""
 
 
 @attrs.frozen(slots=True)
 class Response:
-    """An answer, whole."""
+    """A complete response."""
 
     status: int
     body: bytes
@@ -54,7 +54,7 @@
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return the session that an instance makes its calls with."""
+    """Return the client session for all calls of an instance."""
     connector = aiohttp.TCPConnector(
         limit=0,
         limit_per_host=_MAX_CONNECTIONS_PER_HOST,
@@ -78,13 +78,14 @@
     headers: dict[str, str] | None = None,
     total_timeout_s: float | None = None,
 ) -> Response:
-    """Make a call and return the whole answer.
+    """Make a call and return the complete response.
 
-    :param timeout_s: how long to wait for the answer.
-    :param total_timeout_s: how long the whole of a long answer may take, as long as
-        some of it comes within each ``timeout_s``; no longer than that if ``None``.
+    :param timeout_s: how long to wait for the response; with a
+        ``total_timeout_s``, for the connection and for each part of the response.
+    :param total_timeout_s: how long the complete response may take, if longer than
+        ``timeout_s``.
     :raises NotSentError: if certainly nothing was sent.
-    :raises NoResponseError: if the call may have reached its receiver.
+    :raises NoResponseError: if the call may have reached the server.
     """
     timeout = aiohttp.ClientTimeout(
         total=total_timeout_s or timeout_s,
--- a/src/firhook/platform/_config.py
+++ b/src/firhook/platform/_config.py
@@ -1,4 +1,4 @@
-"""The configuration as operators write it to the platform's store."""
+"""Decoding of the configuration that operators write to the platform's store."""
 
 from typing import Any
 
@@ -23,20 +23,21 @@
     parse_json,
 )
 
-#: The key under which operators keep it.
+#: Store key of the configuration.
 CONFIG_KEY = "config"
 
 
 def decode_config(raw: bytes) -> CellConfig:
     """Decode a configuration.
 
-    :raises FieldError: if it cannot be read.
+    :raises FieldError: if the configuration is malformed.
     """
     data = parse_json(raw)
     limits = get_object(data, "limits")
     return CellConfig(
         version=get_int(data, "version"),
-        # A route is a queue, a service a pool of workers, a tenant a team.
+        # The platform's routes are queues, its services are pools of workers and
+        # its tenants are teams.
         queues=tuple(_decode_queue(row) for row in _get_object_list(data, "routes")),
         teams=tuple(_decode_team(row) for row in _get_object_list(data, "tenants")),
         pools=tuple(_decode_pool(row) for row in _get_object_list(data, "services")),
@@ -47,7 +48,7 @@
 def _get_object_list(data: dict[str, Any], name: str) -> list[dict[str, Any]]:
     values = get_list(data, name)
     if not all(isinstance(value, dict) for value in values):
-        raise FieldError(f"{name}: not a list of objects")
+        raise FieldError(f"{name}: expected a list of objects")
     return values
 
 
@@ -61,8 +62,8 @@
         priority=get_int(row, "priority", 0),
         max_attempts=get_int(row, "max_attempts", 1),
         slack_factor=get_number(row, "slack_factor", 1.0),
-        # Not how long a job should take, but what its objective allows beside
-        # a multiple of its work.
+        # The constant part of a job's objective, which is added to a multiple of
+        # its work; not the time that a job should take.
         target_s=get_number(row, "target_duration_ms", 1000) / 1000,
         anonymous=get_bool(row, "allow_anonymous"),
         advice=_decode_advice(advice) if advice else None,
@@ -95,7 +96,7 @@
 
 
 def decode_resources(row: dict[str, Any]) -> Resources:
-    """Decode amounts of processor, memory and accelerators."""
+    """Decode amounts of CPU, memory and accelerators."""
     return Resources(
         cpu_m=int(get_number(row, "millicpus", 0)),
         memory_mb=int(get_number(row, "task_memory_mb", 0)),
--- a/src/firhook/platform/_connections.py
+++ b/src/firhook/platform/_connections.py
@@ -1,4 +1,4 @@
-"""All that an instance reaches of the platform, in one place."""
+"""An instance's clients of the platform's services."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -11,10 +11,11 @@
 
 
 class Connections(ABC):
-    """What an instance reaches of the platform.
+    """Clients of the platform's services for one instance.
 
-    :ivar store: the platform's store.
-    :ivar adviser: says which workers may run a step, if there is one.
+    :ivar store: client of the platform's store.
+    :ivar adviser: client of the service that permits workers for a step; ``None``
+        if the platform has no such service.
     """
 
     store: Store
@@ -24,13 +25,13 @@
     def workers(self, may_send: Callable[[], bool]) -> Workers:
         """Return a client of the workers.
 
-        :param may_send: asked before each order is sent, whether the sender may
-            still give orders.
+        :param may_send: returns whether the sender may still give orders; called
+            before each order is sent.
         """
 
 
 class HttpConnections(Connections):
-    """The platform over HTTP."""
+    """HTTP clients of the platform's services."""
 
     def __init__(
         self, settings: InstanceSettings, session: aiohttp.ClientSession
--- a/src/firhook/platform/_counting_log.py
+++ b/src/firhook/platform/_counting_log.py
@@ -1,4 +1,4 @@
-"""Counts what goes to and comes from the platform's log."""
+"""Counts the traffic with the platform's log."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -8,13 +8,14 @@
 
 
 class CountingLog(LogService):
-    """A log service that counts its traffic, for the metrics.
+    """Log service that counts its traffic for the metrics.
 
-    Whatever role appends, and however it batches, the log sees what is counted
-    here; its several hundred appends a second are for all instances together.
+    It wraps the client that all roles share, so the counters show the appends
+    that reach the log, however roles batch them.  The log's limit of several
+    hundred appends per second is shared by all instances.
 
-    :param inner: the log service that does the work.
-    :param counters: where to count.
+    :param inner: log service that does the work.
+    :param counters: counters to increase.
     """
 
     def __init__(self, inner: LogService, counters: Counter[str]) -> None:
@@ -22,7 +23,7 @@
         self._counters = counters
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
-        """Append records; see :class:`LogService`."""
+        """See :meth:`LogService.append`."""
         self._counters["log_appends"] += 1
         self._counters["log_appended_records"] += len(payloads)
         self._counters["log_appended_bytes"] += sum(map(len, payloads))
@@ -33,7 +34,7 @@
             raise
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Read records; see :class:`LogService`."""
+        """See :meth:`LogService.read`."""
         page = await self._inner.read(stream, offset, wait_s)
         self._counters["log_read_records"] += len(page.entries)
         self._counters["log_read_bytes"] += sum(len(e.payload) for e in page.entries)
--- a/src/firhook/platform/_early.py
+++ b/src/firhook/platform/_early.py
@@ -1,13 +1,14 @@
-"""What is read of the settings file before anything else is imported."""
+"""Reads the part of the settings file that is needed before all other imports."""
 
 import tomllib
 from pathlib import Path
 
 
 def callers_address(path: Path) -> tuple[str, int] | None:
-    """Return where callers connect; ``None`` if the file does not say.
+    """Return the host and port that callers connect to.
 
-    What is wrong with the file is said when all of it is checked.
+    Returns ``None`` if the file does not have them.  Errors in the file are
+    reported later, when the whole file is checked.
     """
     try:
         listen = tomllib.loads(path.read_text())["listen_addresses"]
--- a/src/firhook/platform/_http.py
+++ b/src/firhook/platform/_http.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP, by aiohttp."""
+"""HTTP clients of the platform's services, based on aiohttp."""
 
 from collections.abc import Mapping, Sequence
 
@@ -32,10 +32,10 @@
     WorkerClient,
 )
 
-#: These belong to one connection and must not pass from one to the other.  A
-#: Content-Length or Transfer-Encoding passed on beside the one that the library
-#: writes would let the two ends disagree on where a message stops, and one
-#: caller's bytes be taken for the start of another's request.
+#: Headers of a single connection, which must not be forwarded.  A forwarded
+#: Content-Length or Transfer-Encoding beside the one that the library writes lets
+#: the two ends disagree on where a message ends, so that one caller's bytes are
+#: read as the start of another's request.
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -54,7 +54,7 @@
 )
 
 _LOG_RETRY_S = 2.0
-#: What an answer of the log raises that is cut short, late or no such answer.
+#: Raised when a response is truncated, late or malformed.
 _RESPONSE_ERRORS = (
     aiohttp.ClientError,
     msgspec.MsgspecError,
@@ -67,11 +67,11 @@
 
 
 class HttpLog(LogService):
-    """The platform's log over HTTP.
+    """HTTP client of the platform's log.
 
     :param session: shared client session.
-    :param url: base address of the log.
-    :param timeout_s: how long to wait for the answer to an append.
+    :param url: base URL of the log.
+    :param timeout_s: how long to wait for the response to an append.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._timeout_s = timeout_s
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
-        """Append records; see :class:`LogService`."""
+        """See :meth:`LogService.append`."""
         body = msgspec.json.encode([p.decode() for p in payloads])
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         url = f"{self._url}/log/{stream}"
@@ -91,13 +91,14 @@
                 text = await resp.read()
                 answer = msgspec.json.decode(text)
                 if resp.status == 503 and answer["taken"] is False:
-                    # Only the log's own word counts.  A balancer before it
-                    # also answers 503, perhaps after the log took them.
+                    # Only a body of the log itself proves this.  A load
+                    # balancer also returns 503, possibly after the log appended
+                    # the records.
                     raise LogUnavailableError(
-                        "the log refused", retry_after_s=_LOG_RETRY_S
+                        "the log refused the append", retry_after_s=_LOG_RETRY_S
                     )
                 if resp.status != 200:
-                    raise LogOutcomeUnknownError(f"the log answered {resp.status}")
+                    raise LogOutcomeUnknownError(f"the log returned {resp.status}")
                 return int(answer["first"])
         except aiohttp.ClientConnectorError as exc:
             raise LogUnavailableError(str(exc), retry_after_s=_LOG_RETRY_S) from exc
@@ -105,7 +106,7 @@
             raise LogOutcomeUnknownError(repr(exc), retry_after_s=_LOG_RETRY_S) from exc
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Read records; see :class:`LogService`."""
+        """See :meth:`LogService.read`."""
         timeout = aiohttp.ClientTimeout(total=wait_s + self._timeout_s)
         params = {"from": str(offset), "wait": f"{wait_s:.3f}"}
         url = f"{self._url}/log/{stream}"
@@ -116,7 +117,7 @@
                     first = int(msgspec.json.decode(text)["first"])
                     raise LogTrimmedError(f"{stream} starts at {first}", first=first)
                 if resp.status != 200:
-                    raise LogUnavailableError(f"the log answered {resp.status}")
+                    raise LogUnavailableError(f"the log returned {resp.status}")
                 page = msgspec.json.decode(text)
                 entries = tuple(
                     LogEntry(int(at), str(data).encode("utf-8", "replace"))
@@ -128,12 +129,12 @@
 
 
 class HttpInstanceList(InstanceList):
-    """The platform's instance list over HTTP.
+    """HTTP client of the platform's instance list.
 
-    The list is long and seldom changes, and every instance polls it.  A
-    platform that tags its answers sends it only when it has changed: at the
-    two-year size the whole list each second would be 373 KB/s a node, of the
-    14 KB/s that all of control may take.
+    The list is long and seldom changes, and every instance polls it.  With an
+    ETag the platform sends the list only after a change.  At the size expected in
+    two years the full list every second would take 373 KB/s per node, while all
+    control traffic may take 14 KB/s.
     """
 
     def __init__(
@@ -146,7 +147,7 @@
         self._listed: tuple[Endpoint, ...] = ()
 
     async def list(self) -> tuple[Endpoint, ...]:
-        """Return the list; see :class:`InstanceList`."""
+        """See :meth:`InstanceList.list`."""
         headers = {"If-None-Match": self._tag} if self._tag else {}
         try:
             async with self._session.get(
@@ -156,32 +157,32 @@
                     return self._listed
                 if resp.status != 200:
                     raise PlatformUnavailableError(
-                        f"the platform answered {resp.status}"
+                        f"the platform returned {resp.status}"
                     )
                 listed = msgspec.json.decode(
                     await resp.read(), type=tuple[Endpoint, ...], strict=False
                 )
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as exc:
             raise PlatformUnavailableError(repr(exc)) from exc
-        # Both change together, and only after the whole list was understood.
+        # Update both together, and only after the full list was decoded.
         self._listed, self._tag = listed, resp.headers.get("ETag", "")
         return listed
 
 
 class HttpWorkers(WorkerClient):
-    """Workers over HTTP."""
+    """HTTP client of the workers."""
 
     def __init__(self, session: aiohttp.ClientSession, timeout_s: float) -> None:
         self._session = session
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
 
     async def poll(self, worker: Endpoint) -> Report:
-        """Return the inventory; see :class:`WorkerClient`."""
+        """See :meth:`WorkerClient.poll`."""
         return await self._call(worker, "GET", None)
 
     async def send_order(self, worker: Endpoint, order: Order) -> Report:
-        """Give an order; see :class:`WorkerClient`."""
-        # What is empty is left out: most orders only renew by digest.
+        """See :meth:`WorkerClient.send_order`."""
+        # Omit empty fields: most orders only renew leases by a digest.
         fields = {k: v for k, v in msgspec.to_builtins(order).items() if v}
         return await self._call(worker, "POST", msgspec.json.encode(fields))
 
@@ -196,29 +197,29 @@
                     raise WorkerFencedError(f"{worker.name}: {text[:200].decode()}")
                 if resp.status != 200:
                     raise WorkerUnreachableError(
-                        f"{worker.name} answered {resp.status}"
+                        f"{worker.name} returned {resp.status}"
                     )
                 return msgspec.json.decode(text, type=Report)
         except _RESPONSE_ERRORS as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc!r}") from exc
 
 
-#: Runners commonly close a connection that was idle for five seconds or more.
-#: A request sent into that moment is cut, and nobody can tell whether it was
-#: run; connections are therefore given up well before.
+#: Runners commonly close a connection that was idle for five seconds or more.  A
+#: request sent at that moment fails with an unknown outcome, so idle connections
+#: are closed well before.
 _IDLE_CONNECTION_S = 3.0
 _CONNECT_TIMEOUT_S = 1.0
 _BODILESS = frozenset((204, 304))
 
 
 class HttpEndpoints(EndpointClient):
-    """Runners over HTTP.
+    """HTTP client of the runners.
 
-    aiohttp drops a connection whose exchange did not end cleanly, so an
-    answer that comes late can never be taken for the answer to the next
-    request on the same connection.
+    aiohttp closes a connection whose exchange did not end cleanly, so a late
+    response is never mistaken for the response to the next request on the same
+    connection.
 
-    :param max_answer_bytes: longest answer that is taken in whole.
+    :param max_answer_bytes: size limit of a response body.
     """
 
     def __init__(self, max_answer_bytes: int = 8 << 20) -> None:
@@ -227,8 +228,8 @@
             connector=aiohttp.TCPConnector(
                 limit=0, keepalive_timeout=_IDLE_CONNECTION_S
             ),
-            # A cookie that a runner sets is for one caller; a jar would send
-            # it with the requests of all.
+            # A runner's cookie belongs to one caller; a cookie jar would send it
+            # with the requests of all callers.
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             skip_auto_headers=(
@@ -238,9 +239,9 @@
                 "Content-Type",
             ),
         )
-        # aiohttp would send an idempotent request again by itself when a reused
-        # connection breaks, past the retry budget and unseen by the router.
-        # The session has no public way to turn this off.
+        # By default aiohttp resends an idempotent request when a reused connection
+        # breaks, which bypasses the retry budget and the router.  The session has
+        # no public option to turn this off.
         self._session._retry_connection = False
 
     async def send(
@@ -252,17 +253,17 @@
         body: bytes,
         timeout_s: float,
     ) -> EndpointResponse:
-        """Send a request; see :class:`EndpointClient`.
+        """See :meth:`EndpointClient.send`.
 
-        No byte can have left when the connection was never made: refused,
-        unreachable or not made in time.  Any other error leaves open whether
-        the runner has the request, also on a reused connection that it closed.
+        If the connection was never established (refused, unreachable or timed
+        out), no byte was sent.  After any other error the runner may have received
+        the request, also on a reused connection that the runner closed.
         """
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
         )
-        # The path goes out as it came in; decoding it and encoding it again
-        # would turn "%2F" into a slash.
+        # The path is forwarded unchanged: decoding and encoding it again would
+        # turn "%2F" into a slash.
         url = URL(f"http://{endpoint.address}{path}", encoded=True)
         try:
             async with self._session.request(
@@ -280,18 +281,18 @@
                 f"{endpoint.name}: {exc}", retry_after_s=_CONNECT_TIMEOUT_S
             ) from exc
         except TimeoutError as exc:
-            raise EndpointTimeoutError(f"{endpoint.name}: no answer in time") from exc
+            raise EndpointTimeoutError(f"{endpoint.name}: response timed out") from exc
         except (aiohttp.ClientError, OSError, ValueError) as exc:
             raise EndpointFailedError(f"{endpoint.name}: {exc!r}") from exc
 
     async def _read_whole(
         self, endpoint: Endpoint, method: str, resp: aiohttp.ClientResponse
     ) -> bytes:
-        """Return the answer's body once all of it has come.
+        """Return the complete body of a response.
 
-        :raises EndpointFailedError: if it is too long, or if its end cannot be
-            told from a cut: an answer that ends with its connection looks the
-            same when the runner dies half way.
+        :raises EndpointFailedError: if the body is too large, or if its end cannot
+            be distinguished from a truncation: a body that is delimited by the end
+            of the connection looks the same when the runner dies half way.
         """
         bodiless = method == "HEAD" or resp.status in _BODILESS
         framed = "Content-Length" in resp.headers or (
@@ -300,7 +301,7 @@
         if not framed and not bodiless:
             resp.close()
             raise EndpointFailedError(
-                f"{endpoint.name}: the answer says neither its length nor chunked"
+                f"{endpoint.name}: neither Content-Length nor chunked encoding"
             )
         chunks, size = [], 0
         async for chunk in resp.content.iter_any():
@@ -309,7 +310,7 @@
             if size > self._max_answer_bytes:
                 resp.close()
                 raise EndpointFailedError(
-                    f"{endpoint.name}: answer over {self._max_answer_bytes} B",
+                    f"{endpoint.name}: response exceeds {self._max_answer_bytes} B",
                     ran="yes",
                 )
         return b"".join(chunks)
@@ -320,10 +321,10 @@
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """Return the headers that may pass on, repeated ones as often as they came.
+    """Return the headers to forward, with repeated headers kept.
 
-    Besides the well-known ones, those that the Connection header names belong
-    to one connection.
+    Besides the headers of :data:`HOP_HEADERS`, those that the Connection header
+    names belong to a single connection.
     """
     named = headers.get("Connection") or headers.get("connection") or ""
     dropped = HOP_HEADERS | {n.strip().lower() for n in named.split(",")}
@@ -336,7 +337,7 @@
     headers = end_to_end_headers(resp.headers)
     length = resp.headers.get("Content-Length")
     if length is not None and (method == "HEAD" or resp.status in _BODILESS):
-        # It tells the length of the body that a GET would have got.
+        # The length of the body that a GET request would return.
         headers["Content-Length"] = length
     pairs = tuple(headers.items())
     return EndpointResponse(resp.status, pairs, body, "X-Leaving" in resp.headers)
@@ -345,7 +346,7 @@
 def http_platform(
     session: aiohttp.ClientSession, url: str, timeout_s: float, worker_timeout_s: float
 ) -> Platform:
-    """Return the platform's services over HTTP."""
+    """Return the HTTP clients of the platform's services."""
     return Platform(
         HttpLog(session, url, timeout_s),
         HttpInstanceList(session, url, timeout_s),
--- a/src/firhook/platform/_instance.py
+++ b/src/firhook/platform/_instance.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each instance."""
+"""The settings file that the platform writes for each instance."""
 
 import tomllib
 from pathlib import Path
@@ -19,10 +19,10 @@
 
 @attrs.frozen(slots=True)
 class StoreLimits:
-    """What the platform's store takes.
+    """Limits of the platform's store.
 
-    :param record_bytes: the most in one record.
-    :param append_bytes: the most in the records of one append.
+    :param record_bytes: maximum size of a record.
+    :param append_bytes: maximum total size of the records of one append.
     """
 
     record_bytes: int = 262144
@@ -33,26 +33,27 @@
 
 @attrs.frozen(slots=True)
 class Bounds:
-    """Times that the platform and its users hold the system to, in seconds.
-
-    :param config_apply_s: a configuration is in force everywhere so soon.
-    :param revocation_s: a withdrawn key is refused everywhere so soon.
-    :param drain_s: a worker that leaves gets no new work after this.
-    :param stop_grace_s: a process that is told to stop is killed after this.
-    :param lease_s: the longest lease that a worker grants.
-    :param task_stop_s: a task that is stopped ends within this.
-    :param gang_timeout_s: members of a gang wait so long for the others.
-    :param cancel_s: no task of a cancelled job starts after this.
-    :param job_visibility_s: an accepted job is seen everywhere so soon.
-    :param status_s: an ended job is kept at least so long.
-    :param early_start_s: a timed task may start so much before it is due.
-    :param checkpoint_s: a task saves its progress so often.
-    :param restore_s: resuming from a checkpoint takes so long.
-    :param machine_lease_s: how long another holder of a machine must keep away.
-    :param throttle_delay_s: a change of a task's pace works after so long.
-    :param max_overrun_s: a serving task may be over its target so long.
-    :param move_notice_s: a task that was moved counts as away so long.
-    :param remote_slowdown: tasks away from their data take so many times longer.
+    """Time limits that the platform and its users set, in seconds.
+
+    :param config_apply_s: time within which a configuration is in force everywhere.
+    :param revocation_s: time within which a withdrawn key is refused everywhere.
+    :param drain_s: time after which a draining worker must get no new work.
+    :param stop_grace_s: time after which a process that was asked to stop is killed.
+    :param lease_s: longest lease that a worker grants.
+    :param task_stop_s: time within which a stopped task ends.
+    :param gang_timeout_s: how long the members of a gang wait for each other.
+    :param cancel_s: time after which no task of a cancelled job starts.
+    :param job_visibility_s: time within which an accepted job is visible everywhere.
+    :param status_s: minimum time for which an ended job is retained.
+    :param early_start_s: how long before it is due a timed task may start.
+    :param checkpoint_s: interval between the checkpoints of a task.
+    :param restore_s: time to resume a task from a checkpoint.
+    :param machine_lease_s: how long a machine is reserved for its holder.
+    :param throttle_delay_s: time until a change of a task's speed takes effect.
+    :param max_overrun_s: how long a serving task may exceed its target.
+    :param move_notice_s: how long a task counts as absent after a move.
+    :param remote_slowdown: factor on the duration of tasks that run away from their
+        data.
     """
 
     config_apply_s: float = 2.0
@@ -77,15 +78,17 @@
 
 @attrs.frozen(slots=True)
 class InstanceSettings:
-    """What an instance is told of itself and of the platform.
+    """An instance's settings and the addresses of the platform's services.
 
-    :param callers: where callers connect.
-    :param probe: where the platform asks whether the instance is ready.
-    :param peer_port: the first port that is free for its peers.
+    :param callers: address that callers connect to.
+    :param probe: address of the platform's readiness probe.
+    :param peer_port: first port that is free for connections from peers.
     :param store: the platform's store.
-    :param adviser: says which workers may run a step, if there is one.
-    :param machines_api: where machines are moved and maintained, if there is.
-    :param strength: processors, in cores.
+    :param adviser: service that permits workers for a step; ``None`` if the platform
+        has no such service.
+    :param machines_api: service that moves and maintains machines; ``None`` if the
+        platform has no such service.
+    :param strength: CPU capacity in standard cores.
     """
 
     name: str
@@ -106,7 +109,7 @@
 def load_instance_settings(path: Path) -> InstanceSettings:
     """Read and check the settings file.
 
-    :raises SettingsInvalidError: naming the field that is wrong.
+    :raises SettingsInvalidError: naming the invalid field.
     """
     try:
         with path.open("rb") as file:
@@ -124,7 +127,7 @@
     limits = get_object(data, "limits")
     ports = data.get("internal_port_range")
     if not isinstance(ports, list) or not all(type(p) is int for p in ports):
-        raise FieldError("internal_port_range: give two ports")
+        raise FieldError("internal_port_range: expected two ports")
     return InstanceSettings(
         name=get_str(data, "node_name"),
         zone=get_str(data, "zone"),
@@ -133,10 +136,10 @@
         probe=_decode_address(listen, "readiness"),
         peer_port=ports[0],
         store=_decode_address(get_object(data, "platform"), "address"),
-        # The service is called by the name of what it gives, a recommendation.
+        # The adviser is the platform's recommendation service.
         adviser=_decode_optional_address(data, "recommendation"),
         machines_api=_decode_optional_address(get_object(data, "cloud_api"), "address"),
-        # A share of a core that is so many times as fast as a plain one.
+        # A share of one core, which is ``cores`` times as fast as a standard core.
         strength=get_number(limits, "cpu_share", 1) * get_number(limits, "cores", 1),
         heartbeat_s=get_number(data, "heartbeat_interval_ms", 1500) / 1000,
         bounds=_decode_bounds(get_object(data, "bounds")),
@@ -147,7 +150,7 @@
 def _decode_address(data: dict[str, Any], name: str) -> Address:
     host, _, port = get_str(data, name).rpartition(":")
     if not host or not port.isdigit():
-        raise FieldError(f"{name}: give an IP number and a port")
+        raise FieldError(f"{name}: expected an IP address and a port")
     return Address(host, int(port))
 
 
@@ -168,7 +171,7 @@
         revocation_s=seconds("revocation_ms", defaults.revocation_s),
         drain_s=seconds("drain_ms", defaults.drain_s),
         stop_grace_s=seconds("grace_period_s", defaults.stop_grace_s),
-        # The most that a worker holds its tasks without a word.
+        # The longest time that a worker keeps its tasks without a lease renewal.
         lease_s=seconds("max_hold_ms", defaults.lease_s),
         task_stop_s=seconds("termination_grace_ms", defaults.task_stop_s),
         gang_timeout_s=seconds("gang_timeout_ms", defaults.gang_timeout_s),
@@ -178,7 +181,7 @@
         early_start_s=seconds("early_ms", defaults.early_start_s),
         checkpoint_s=seconds("checkpoint_interval_s", defaults.checkpoint_s),
         restore_s=seconds("restore_ms", defaults.restore_s),
-        # Of the holder of a machine, not of a worker's tasks.
+        # The lease on a machine, not the one on a worker's tasks.
         machine_lease_s=seconds("lease_duration_ms", defaults.machine_lease_s),
         throttle_delay_s=seconds("pacing_ms", defaults.throttle_delay_s),
         max_overrun_s=seconds("interference_ms", defaults.max_overrun_s),
--- a/src/firhook/platform/_jobs.py
+++ b/src/firhook/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as callers send them, and the answers they get."""
+"""Decoding of the jobs that callers submit and encoding of the responses."""
 
 import re
 from typing import Any
@@ -19,10 +19,10 @@
 )
 
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
-#: The longest text that workers may be told to run.
+#: Longest specification that a worker accepts.
 MAX_TEXT_BYTES = 4000
-#: Callers' largest steps have some tens of tasks; one far beyond would fill an
-#: instance's memory.
+#: The largest steps of callers have some tens of tasks.  The limit keeps a job from
+#: filling an instance's memory.
 MAX_TASKS = 10000
 MAX_STEPS = 200
 
@@ -38,18 +38,18 @@
 def decode_job(raw: bytes) -> JobSpec:
     """Decode and check a job.
 
-    :raises RequestMalformedError: naming the field that is wrong.
+    :raises RequestMalformedError: naming the invalid field.
     """
     try:
         data = parse_json(raw)
         job_text = get_str(data, "specification")
         if len(job_text.encode()) > MAX_TEXT_BYTES:
-            raise FieldError(f"specification: over {MAX_TEXT_BYTES} bytes")
+            raise FieldError(f"specification: exceeds {MAX_TEXT_BYTES} bytes")
         steps = tuple(
             _decode_step(row, i) for i, row in enumerate(get_list(data, "steps"))
         )
         if not 1 <= len(steps) <= MAX_STEPS:
-            raise FieldError(f"steps: give 1 to {MAX_STEPS}")
+            raise FieldError(f"steps: expected 1 to {MAX_STEPS}")
         return JobSpec(
             text=job_text,
             steps=steps,
@@ -63,13 +63,13 @@
 
 def _decode_step(row: Any, index: int) -> StepSpec:
     if not isinstance(row, dict):
-        raise FieldError(f"steps.{index}: no object")
+        raise FieldError(f"steps.{index}: expected an object")
     count = get_int(row, "count")
     if not 1 <= count <= MAX_TASKS:
-        raise FieldError(f"steps.{index}.count: give 1 to {MAX_TASKS}")
+        raise FieldError(f"steps.{index}.count: expected 1 to {MAX_TASKS}")
     after = get_list(row, "after")
     if not all(type(a) is int and 0 <= a < index for a in after):
-        raise FieldError(f"steps.{index}.after: give numbers of earlier steps")
+        raise FieldError(f"steps.{index}.after: expected indexes of earlier steps")
     return StepSpec(
         count=count,
         need=decode_resources(row),
@@ -78,7 +78,7 @@
         checkpoints=get_bool(row, "enable_checkpoints"),
         gang=get_bool(row, "all_or_nothing"),
         same_rack=get_bool(row, "same_rack"),
-        # One label that the worker must have.
+        # A label that the worker must have.
         label=get_str(row, "requirements", ""),
         data_rack=get_str(row, "data_rack", ""),
         per_worker=get_int(row, "anti_affinity", 0),
@@ -92,10 +92,10 @@
 
 
 def encode_status(status: JobStatus) -> bytes:
-    """Return the body that tells a caller where a job stands."""
+    """Return the response body for a job's status."""
     return _STATUS_BODIES[status]
 
 
 def encode_pending(count: int) -> bytes:
-    """Return the body that tells how many jobs of a queue wait to begin."""
+    """Return the response body for the number of pending jobs of a queue."""
     return msgspec.json.encode({"pending": count})
--- a/src/firhook/platform/_store.py
+++ b/src/firhook/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: partitions of records, and newest values."""
+"""Client of the platform's store: partitioned logs and the newest value per key."""
 
 import base64
 import struct
@@ -29,34 +29,35 @@
     parse_json,
 )
 
-#: The cell's own records.  A topic whose name begins so keeps the newest record
-#: of each key for good.
+#: The cell's own records.  A topic whose name starts with "keyed." retains the
+#: newest record of each key indefinitely.
 CELL_TOPIC = "keyed.firhook"
-#: What operators write.
+#: Records that operators write.
 OPERATOR_TOPIC = "keyed.op"
-#: Where workers register.
+#: Registrations of workers.
 WORKER_TOPIC = "keyed.servers"
 
-#: When a refused call makes sense again, in seconds.
+#: Suggested delay before a refused call is retried.
 _RETRY_S = 0.5
 _LENGTH = struct.Struct(">I")
 _BOUNDS = struct.Struct(">QQ")
-#: A read waits so much longer for its answer than it asks the store to wait;
-#: a store that answers 60 times slower than its 4 ms is still heard.
+#: Added to the time that the store is asked to wait.  A store that takes 60 times
+#: its usual 4 ms still answers within it.
 _READ_SLACK_S = 1.0
-#: The longest that one page may take to arrive.  A page has 1 MB at most, which
-#: takes 1.6 s on a link of 5 Mbit/s, and four partitions are read side by side
-#: when an instance starts.  With a limit as for short answers, instances on such
-#: links never got a first page after all had been without power.
+#: Time limit for a complete page.  A page has at most 1 MB, which takes 1.6 s on a
+#: link of 5 Mbit/s, and a starting instance reads four partitions concurrently.
+#: With the timeout of short responses, instances on such links never received a
+#: first page after a power failure of the whole cell.
 _MAX_READ_S = 12.0
 
 
 @attrs.frozen(slots=True)
 class Producer:
-    """Who appends, so that a repeat is recognised and an old lead refused.
+    """Identity of an append, for deduplication and for fencing off a deposed lead.
 
-    :param epoch: an append with an epoch lower than one seen is refused.
-    :param sequence: numbers the appends of an epoch.
+    :param epoch: the store refuses an append whose epoch is lower than one it has
+        seen.
+    :param sequence: number of the append within the epoch.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 @attrs.frozen(slots=True)
 class AppendResult:
-    """Where records landed, and the offset that the next one will get."""
+    """Offset of the first appended record, and the end of the partition."""
 
     offset: int
     end: int
@@ -74,7 +75,7 @@
 
 @attrs.frozen(slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; without a value the key is dropped."""
+    """A record of a keyed topic; ``None`` as the value deletes the key."""
 
     key: str
     value: bytes | None
@@ -82,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class StoredRecord:
-    """A record with its offset."""
+    """A record of a keyed topic and its offset."""
 
     offset: int
     key: str
@@ -91,9 +92,10 @@
 
 @attrs.frozen(slots=True)
 class Slice:
-    """Part of a partition, and the offset after its last record.
+    """A range of records of a partition.
 
-    :param next_offset: the offset after the last record returned.
+    :param next_offset: offset after the last returned record.
+    :param end: offset of the next record to be appended to the partition.
     """
 
     records: tuple[StoredRecord, ...]
@@ -105,8 +107,8 @@
 class NewestRecords:
     """The newest record of each key.
 
-    :param end: where the partition ended before the first page was read: all
-        records before it are accounted for.
+    :param end: end of the partition before the first page was read; every record
+        before it is reflected.
     """
 
     records: tuple[StoredRecord, ...]
@@ -114,7 +116,7 @@
 
 
 def encode_keyed_record(record: KeyedRecord) -> bytes:
-    """Return a keyed record's content."""
+    """Encode a keyed record: length of the key, key and value."""
     key = record.key.encode()
     return bytes((len(key),)) + key + (record.value or b"")
 
@@ -131,12 +133,12 @@
 
 
 class Store(ABC):
-    """The platform's store, as one instance reaches it.
+    """Client of the platform's store for one instance.
 
-    Every method raises :class:`LogUnavailableError` if the store certainly did
-    nothing, and :class:`LogOutcomeUnknownError` if no answer came.
+    Every method raises :class:`LogUnavailableError` if the call certainly had no
+    effect, and :class:`LogOutcomeUnknownError` if no response came.
 
-    :ivar calls: how many calls ended how, by name and outcome.
+    :ivar calls: number of calls by name and outcome.
     """
 
     calls: dict[str, int]
@@ -151,13 +153,13 @@
         expected_end: int | None = None,
         timeout_s: float | None = None,
     ) -> AppendResult:
-        """Append records, all or none; without records only set the epoch.
+        """Append records atomically; without records, only set the epoch.
 
-        :param expected_end: append only if the partition ends there.
-        :raises LogFencedError: if a higher epoch has been seen.
+        :param expected_end: append only if the partition ends at this offset.
+        :raises LogFencedError: if the store has seen a higher epoch.
         :raises LogSequenceError: if the sequence number is not the next one.
-        :raises LogMovedError: if the partition ends elsewhere.
-        :raises LogFullError: if there is no space.
+        :raises LogMovedError: if the partition does not end at ``expected_end``.
+        :raises LogFullError: if the store is full.
         """
 
     @abstractmethod
@@ -166,7 +168,7 @@
     ) -> Slice:
         """Return the records of a keyed topic from an offset on.
 
-        :param wait_s: how long the store waits if there are none yet.
+        :param wait_s: how long the store waits for a record if there is none.
         :raises LogTrimmedError: if records from the offset on have expired.
         """
 
@@ -176,15 +178,17 @@
     ) -> NewestRecords:
         """Return the newest record of each key of a keyed topic.
 
-        :param after: only of keys beyond this one, in the order of their bytes.
-        :param until: only of keys before this one; of all if empty.
+        Keys are ordered by their bytes.
+
+        :param after: exclusive lower bound of the keys; none if empty.
+        :param until: exclusive upper bound of the keys; none if empty.
         """
 
 
 class HttpStore(Store):
-    """Client of the platform's store; the only one.
+    """HTTP client of the platform's store.
 
-    :param timeout_s: how long to wait for an answer.
+    :param timeout_s: how long to wait for a response.
     """
 
     def __init__(
@@ -210,7 +214,7 @@
     ) -> Response:
         url = f"{self._url}{name}{query}"
         try:
-            answer = await call(
+            response = await call(
                 self._session,
                 method,
                 url,
@@ -224,12 +228,12 @@
         except NoResponseError as exc:
             self._count(name, "no_answer")
             raise LogOutcomeUnknownError(str(exc), retry_after_s=_RETRY_S) from exc
-        self._count(name, str(answer.status))
-        if answer.status in (429, 503):
+        self._count(name, str(response.status))
+        if response.status in (429, 503):
             raise LogUnavailableError(
-                f"the store answered {answer.status}", retry_after_s=_RETRY_S
+                f"the store returned {response.status}", retry_after_s=_RETRY_S
             )
-        return answer
+        return response
 
     async def append(
         self,
@@ -248,16 +252,16 @@
         if expected_end is not None:
             query += f"&at={expected_end}"
         body = b"".join(_LENGTH.pack(len(r)) + r for r in records)
-        answer = await self._call(
+        response = await self._call(
             "POST", "append", query, body, timeout_s or self._timeout_s
         )
-        if answer.status == 200:
+        if response.status == 200:
             try:
-                data = parse_json(answer.body)
+                data = parse_json(response.body)
                 return AppendResult(get_int(data, "offset", 0), get_int(data, "end", 0))
             except FieldError as exc:
                 raise LogOutcomeUnknownError(str(exc)) from exc
-        raise _decode_append_error(answer)
+        raise _decode_append_error(response)
 
     async def read(
         self, topic: str, partition: int, offset: int, wait_s: float = 0.0
@@ -266,14 +270,14 @@
         query = f"?topic={topic}&part={partition}&from={offset}"
         if wait_s > 0:
             query += f"&wait_ms={int(wait_s * 1000)}"
-        answer = await self._call(
+        response = await self._call(
             "GET", "read", query, None, wait_s + _READ_SLACK_S, _MAX_READ_S
         )
-        if answer.status == 410:
-            raise LogTrimmedError(f"{topic} from {offset}")
-        if answer.status != 200 or len(answer.body) < _BOUNDS.size:
-            raise LogOutcomeUnknownError(f"the store answered {answer.status}")
-        return _decode_slice(answer.body, offset)
+        if response.status == 410:
+            raise LogTrimmedError(f"{topic}: offset {offset} has expired")
+        if response.status != 200 or len(response.body) < _BOUNDS.size:
+            raise LogOutcomeUnknownError(f"the store returned {response.status}")
+        return _decode_slice(response.body, offset)
 
     async def read_newest(
         self, topic: str, partition: int = 0, after: str = "", until: str = ""
@@ -285,16 +289,16 @@
             query = f"?topic={topic}&part={partition}"
             if after:
                 query += f"&after={_quote_key(after)}"
-            answer = await self._call(
+            response = await self._call(
                 "GET", "newest", query, None, self._timeout_s, _MAX_READ_S
             )
-            if answer.status != 200:
-                raise LogOutcomeUnknownError(f"the store answered {answer.status}")
+            if response.status != 200:
+                raise LogOutcomeUnknownError(f"the store returned {response.status}")
             try:
-                data = parse_json(answer.body)
+                data = parse_json(response.body)
                 page = [_decode_newest_record(item) for item in get_list(data, "items")]
-                # Later pages may show later records; those are read again from
-                # the end that the first page told.
+                # Later pages may include later records; the caller reads those
+                # again from the end that the first page reported.
                 end = get_int(data, "end", 0) if end is None else end
                 more = data.get("has_more") is True
             except FieldError as exc:
@@ -332,24 +336,21 @@
     return Slice(tuple(records), offset, end)
 
 
-def _decode_append_error(answer: Response) -> FirhookError:
+def _decode_append_error(response: Response) -> FirhookError:
     try:
-        data = parse_json(answer.body)
+        data = parse_json(response.body)
     except FieldError:
         data = {}
-    # The field tells why a call was refused.
     reason = data.get("reason")
-    if answer.status == 409 and reason == "fenced":
-        return LogFencedError("a higher epoch has been seen")
-    if answer.status == 409 and reason == "seq":
-        return LogSequenceError(
-            "another sequence number is expected", **_sequence_fields(data)
-        )
-    if answer.status == 412:
-        return LogMovedError("the partition ends elsewhere", end=data.get("end"))
-    if answer.status == 507:
+    if response.status == 409 and reason == "fenced":
+        return LogFencedError("the store has seen a higher epoch")
+    if response.status == 409 and reason == "seq":
+        return LogSequenceError("unexpected sequence number", **_sequence_fields(data))
+    if response.status == 412:
+        return LogMovedError("unexpected end of the partition", end=data.get("end"))
+    if response.status == 507:
         return LogFullError("the store is full", retry_after_s=_RETRY_S)
-    return LogOutcomeUnknownError(f"the store answered {answer.status}")
+    return LogOutcomeUnknownError(f"the store returned {response.status}")
 
 
 def _sequence_fields(data: dict[str, Any]) -> dict[str, Any]:
@@ -357,7 +358,7 @@
 
 
 def _quote_key(key: str) -> str:
-    # Keys are our own or operators'; a slash is the only other sign in ours.
+    # Percent-encodes operators' keys; this system's own keys need no encoding.
     return "".join(
         c
         if (c.isalnum() and c.isascii()) or c in "-._~/"
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -1,4 +1,4 @@
-"""Workers: how they register, and the calls to one of them."""
+"""Registrations of workers, and the clients of workers and of the adviser."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -35,10 +35,10 @@
     parse_json,
 )
 
-#: A look waits so much longer for its answer than it asks the worker to wait.
+#: Added to the time that a poll asks the worker to wait.
 _POLL_SLACK_S = 1.0
-#: How long to wait for the answer to an order.  Workers answer within
-#: milliseconds; one that is silent for so long is cut off, or answers nothing.
+#: Workers answer an order within milliseconds.  One that has not answered by then is
+#: unreachable or will not answer at all.
 ORDER_TIMEOUT_S = 0.8
 
 _OUTCOMES_BY_REASON = {
@@ -53,17 +53,17 @@
 
 
 def decode_worker(name: str, raw: bytes) -> WorkerEntry | None:
-    """Decode what a worker registered; ``None`` if it names no worker to use.
+    """Decode the registration of a worker; return ``None`` if it is unusable.
 
     Entries may come from other writers.
     """
     try:
         data = parse_json(raw)
-        # The labels are the worker's kind and then its rack.
+        # The labels are the worker's kind, followed by its rack.
         labels = get_str_list(data, "labels")
         return WorkerEntry(
             name=name,
-            # The moment at which this life of the worker began.
+            # The time at which this incarnation of the worker started.
             life=get_int(data, "born", 0),
             pool=get_str(data, "service"),
             address=_host_port(get_str(data, "address")),
@@ -83,7 +83,7 @@
 def _host_port(value: str) -> str:
     host, _, port = value.rpartition(":")
     if not host or not port.isdigit():
-        raise FieldError(f"address: {value!r} is no IP number and port")
+        raise FieldError(f"address: {value!r} is not an IP address and port")
     return value
 
 
@@ -108,10 +108,10 @@
 
 
 class Workers(ABC):
-    """Calls to workers.
+    """Client of the workers.
 
-    Before each order is sent, the sender's right to give orders is asked for; an
-    order is not sent without it.
+    Before each order is sent, the client checks whether the sender may still give
+    orders; if not, the order is not sent.
     """
 
     @abstractmethod
@@ -123,13 +123,15 @@
         lease_until_s: float | None,
         wait_s: float,
     ) -> Look:
-        """Renew the lease, forget ends, and return what runs and what ended.
+        """Renew the lease, acknowledge ended runs, and return the worker's state.
 
-        :param ack: all ends up to this number are stored and may be forgotten.
-        :param lease_until_s: on the worker's clock; ``None`` renews nothing.
+        :param ack: highest number of an ended run that is stored; the worker may
+            delete the ended runs up to it.
+        :param lease_until_s: new end of the lease on the worker's clock; ``None``
+            does not renew it.
         :param wait_s: how long the worker may wait for a run to end.
-        :raises WorkerUnreachableError: if no whole answer came.
-        :raises WorkerFencedError: if a higher fencing token was seen there.
+        :raises WorkerUnreachableError: if no complete response came.
+        :raises WorkerFencedError: if the worker has seen a higher fencing token.
         """
 
     @abstractmethod
@@ -140,19 +142,19 @@
     async def stop(
         self, worker: WorkerEntry, task: str, run: int, fence: int
     ) -> OrderAnswer:
-        """Order a run to be stopped; one that is not there yet never starts."""
+        """Order a run to be stopped; if it has not started, it never will."""
 
     @abstractmethod
     async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
-        """Let a run work at a share of its full speed."""
+        """Limit a run to a percentage of its full speed."""
 
 
 class HttpWorkers(Workers):
-    """Calls to workers over HTTP; the only client of them.
+    """HTTP client of the workers.
 
-    :param may_send: whether the sender may still give orders.
+    :param may_send: returns whether the sender may still give orders.
     """
 
     def __init__(
@@ -176,15 +178,15 @@
         if wait_s > 0:
             body["wait_ms"] = int(wait_s * 1000)
         try:
-            answer = await self._post(worker, "hold", body, wait_s + _POLL_SLACK_S)
+            response = await self._post(worker, "hold", body, wait_s + _POLL_SLACK_S)
         except (NotSentError, NoResponseError) as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc}") from exc
-        if answer.status == 409:
+        if response.status == 409:
             raise WorkerFencedError(worker.name)
         try:
-            if answer.status != 200:
-                raise FieldError(f"answered {answer.status}")
-            return _decode_poll_reply(parse_json(answer.body))
+            if response.status != 200:
+                raise FieldError(f"returned {response.status}")
+            return _decode_poll_reply(parse_json(response.body))
         except (FieldError, IndexError, KeyError, TypeError, ValueError) as exc:
             raise WorkerUnreachableError(f"{worker.name}: {exc}") from exc
 
@@ -223,12 +225,12 @@
         if not self._may_send():
             return OrderAnswer(OrderOutcome.NOT_SENT)
         try:
-            answer = await self._post(worker, name, body, ORDER_TIMEOUT_S)
+            response = await self._post(worker, name, body, ORDER_TIMEOUT_S)
         except NotSentError:
             return OrderAnswer(OrderOutcome.NOT_SENT)
         except NoResponseError:
             return OrderAnswer(OrderOutcome.UNKNOWN)
-        return _decode_order_answer(answer)
+        return _decode_order_answer(response)
 
     async def _post(
         self, worker: WorkerEntry, name: str, body: dict[str, Any], timeout_s: float
@@ -239,24 +241,24 @@
         return await call(self._session, "POST", url, timeout_s, raw, headers)
 
 
-def _decode_order_answer(answer: Response) -> OrderAnswer:
+def _decode_order_answer(response: Response) -> OrderAnswer:
     try:
-        data = parse_json(answer.body) if answer.body else {}
+        data = parse_json(response.body) if response.body else {}
         life = get_int(data, "born", 0)
         clock_s = (
             get_number(data, "timestamp_ms") / 1000 if "timestamp_ms" in data else None
         )
     except FieldError:
         data, life, clock_s = {}, 0, None
-    if answer.status == 200:
+    if response.status == 200:
         outcome = OrderOutcome.TAKEN
-    elif answer.status == 409:
+    elif response.status == 409:
         outcome = _OUTCOMES_BY_REASON.get(str(data.get("reason")), OrderOutcome.UNKNOWN)
-    elif answer.status == 421:
+    elif response.status == 421:
         outcome = OrderOutcome.WRONG_LIFE
-    elif answer.status in (429, 503):
+    elif response.status in (429, 503):
         outcome = OrderOutcome.BUSY
-    elif answer.status == 400:
+    elif response.status == 400:
         outcome = OrderOutcome.INVALID
     else:
         outcome = OrderOutcome.UNKNOWN
@@ -264,7 +266,7 @@
 
 
 class Adviser(ABC):
-    """The service that knows which workers may run a step."""
+    """Client of the service that decides which workers may run a step."""
 
     @abstractmethod
     async def ask(
@@ -272,13 +274,13 @@
     ) -> Advice | None:
         """Return the workers that may run a step, with their tickets.
 
-        :return: ``None`` if no usable answer came.
+        :return: ``None`` if no usable response came.
         """
 
 
 @attrs.define(slots=True)
 class HttpAdviser(Adviser):
-    """The adviser over HTTP."""
+    """HTTP client of the adviser."""
 
     _session: aiohttp.ClientSession
     _address: Address
@@ -291,10 +293,10 @@
         body = msgspec.json.encode({"step": step, "workers": workers})
         headers = {"Content-Type": "application/json"}
         try:
-            answer = await call(self._session, "POST", url, timeout_s, body, headers)
-            if answer.status != 200:
-                raise FieldError(f"answered {answer.status}")
-            data = parse_json(answer.body)
+            response = await call(self._session, "POST", url, timeout_s, body, headers)
+            if response.status != 200:
+                raise FieldError(f"returned {response.status}")
+            data = parse_json(response.body)
             tickets = {str(row[0]): str(row[1]) for row in get_list(data, "good")}
             return Advice(tickets, get_number(data, "validity_ms", 0) / 1000)
         except (
--- a/src/firhook/platform/bodies.py
+++ b/src/firhook/platform/bodies.py
@@ -1,4 +1,4 @@
-"""What operators, callers and workers write, decoded into firhook's types."""
+"""Conversion between the platform's JSON bodies and firhook's types."""
 
 from firhook.platform._config import CONFIG_KEY, decode_config
 from firhook.platform._fields import FieldError
--- a/src/firhook/platform/clients.py
+++ b/src/firhook/platform/clients.py
@@ -1,4 +1,4 @@
-"""Interfaces to the log, the instance list, workers and runners."""
+"""Interfaces of the clients of the log, the instance list, workers and runners."""
 
 from firhook._orders import Order, Report, StartOrder, StopOrder, TaskReport
 from firhook.platform._base import (
--- a/src/firhook/platform/connections.py
+++ b/src/firhook/platform/connections.py
@@ -1,4 +1,4 @@
-"""All that an instance reaches of the platform, in one place."""
+"""An instance's clients of the platform's services."""
 
 from firhook.platform._connections import Connections, HttpConnections
 
--- a/src/firhook/platform/early.py
+++ b/src/firhook/platform/early.py
@@ -1,4 +1,4 @@
-"""What is read of the settings file before anything else is imported."""
+"""Reads the part of the settings file that is needed before all other imports."""
 
 from firhook.platform._early import callers_address
 
--- a/src/firhook/platform/http.py
+++ b/src/firhook/platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP adapters of the platform's interfaces."""
+"""HTTP clients of the platform's services."""
 
 from firhook.platform._http import HOP_HEADERS, http_platform
 
--- a/src/firhook/platform/instance.py
+++ b/src/firhook/platform/instance.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each instance."""
+"""The settings file that the platform writes for each instance."""
 
 from firhook.platform._client import new_session
 from firhook.platform._instance import (
--- a/src/firhook/platform/names.py
+++ b/src/firhook/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform uses towards a process, apart from its interfaces."""
+"""Names that the platform passes to a process."""
 
-#: The environment's variable that holds the path of the settings file.
+#: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "FIRHOOK_SETTINGS"
--- a/src/firhook/platform/store.py
+++ b/src/firhook/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store."""
+"""Client of the platform's store."""
 
 from firhook.platform._store import (
     CELL_TOPIC,
--- a/src/firhook/platform/workers.py
+++ b/src/firhook/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to workers and to the adviser."""
+"""Clients of the workers and of the adviser."""
 
 from firhook.platform._workers import (
     ORDER_TIMEOUT_S,
--- a/tests/failures/test_model_server.py
+++ b/tests/failures/test_model_server.py
@@ -1,4 +1,4 @@
-"""The stand-in servers themselves, at their ends."""
+"""Shutdown of the HTTP server of the platform's model."""
 
 import asyncio
 import time
@@ -8,11 +8,11 @@
 from standins.model import HttpModel
 
 
-def test_request_that_is_answered_while_the_stand_in_stops_makes_no_error(caplog):
-    """A busy machine stops a soak's servers while one answers a last question.
+def test_request_in_flight_while_the_server_stops_logs_no_error(caplog):
+    """The server stops on a busy machine while it answers a last request.
 
-    aiohttp gave up waiting for the answer in the step in which it was ready, and
-    an InvalidStateError stood in the logs of a play that had kept every promise.
+    aiohttp gave up waiting for the response in the very loop iteration in which
+    it became ready, and logged an InvalidStateError in an otherwise clean run.
     """
 
     async def scenario():
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -1,4 +1,4 @@
-"""What operators, callers and workers write, decoded into firhook's types."""
+"""Decoding of the bodies that operators, callers and workers write."""
 
 import struct
 
@@ -63,7 +63,7 @@
     return msgspec.json.encode({**data, **changes})
 
 
-def test_a_worker_entry_is_decoded_with_its_life_and_rack():
+def test_worker_entry_is_decoded_with_its_incarnation_and_rack():
     entry = decode_worker("w", encoded(ENTRY))
     assert (entry.life, entry.rack, entry.pool) == (1700000000123, "r1-3", "p")
     assert entry.capacity == Resources(16000, 32768, 1)
@@ -82,7 +82,7 @@
         {"service": None},
     ],
 )
-def test_an_entry_of_another_writer_names_no_worker(changes):
+def test_malformed_worker_entry_is_ignored(changes):
     assert decode_worker("w", encoded(ENTRY, **changes)) is None
 
 
@@ -91,7 +91,7 @@
     assert decode_worker("w", raw) is None
 
 
-def test_a_configuration_is_found_by_the_longest_prefix_and_keeps_no_keys():
+def test_queue_is_found_by_longest_prefix_and_api_keys_are_not_kept():
     config = decode_config(encoded(CONFIG))
     assert config.queue_for("h.example", "/a/b/1").name == "long"
     assert config.queue_for("h.example", "/a/1").name == "q"
@@ -102,12 +102,12 @@
     assert config.queues[0].advice.takes_s(10) == pytest.approx(0.0175)
 
 
-def test_a_configuration_that_cannot_be_read_says_which_field():
+def test_malformed_configuration_names_the_invalid_field():
     with pytest.raises(FieldError, match="version"):
         decode_config(encoded(CONFIG, version="seven"))
 
 
-def test_a_job_is_decoded_with_its_steps():
+def test_job_is_decoded_with_its_steps():
     step = {"count": 2, "millicpus": 500, "after": [], "all_or_nothing": True}
     job = decode_job(
         msgspec.json.encode(
@@ -136,7 +136,7 @@
         b'{"specification":"' + b"x" * 4001 + b'","steps":[{"count":1}]}',
     ],
 )
-def test_a_job_that_makes_no_sense_is_refused_with_a_reason(body):
+def test_invalid_job_is_refused(body):
     with pytest.raises(RequestMalformedError):
         decode_job(body)
 
@@ -147,7 +147,7 @@
         decode_job(msgspec.json.encode({"specification": "x", "steps": data}))
 
 
-def test_records_of_a_read_are_numbered_from_the_offset_asked_for():
+def test_read_records_are_numbered_from_the_requested_offset():
     contents = [
         encode_keyed_record(KeyedRecord("a", b"1")),
         b"",
@@ -164,7 +164,7 @@
     assert part.next_offset == 12
 
 
-def test_settings_are_read_and_their_faults_are_named(tmp_path):
+def test_settings_are_read_and_invalid_fields_are_named(tmp_path):
     path = tmp_path / "local.toml"
     path.write_text(SETTINGS)
     settings = load_instance_settings(path)
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""Requests to runners over real sockets: whole answers, and true errors."""
+"""The HTTP clients of runners and of the instance list over real sockets."""
 
 import asyncio
 
@@ -19,11 +19,11 @@
 
 
 class RawRunner:
-    """Answers each request with the next of the bytes it was given.
+    """Server that answers each request with the next of the given byte strings.
 
     :param answers: bytes to send for each request; ``None`` closes the
-        connection without an answer.
-    :param close: whether to close the connection after each answer.
+        connection without a response.
+    :param close: whether to close the connection after each response.
     """
 
     def __init__(self, *answers: bytes | None, close: bool = False) -> None:
@@ -76,7 +76,7 @@
 
 
 def run(runner: RawRunner, *sends) -> list:
-    """Send requests in turn; return answers, or the errors in their place."""
+    """Send requests in turn; return a response or an error for each."""
 
     async def scenario():
         results = []
@@ -100,9 +100,11 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-def test_answer_cut_short_is_an_error_and_never_a_short_answer(cut):
-    """A runner dies in the middle of an answer.  Passed on as if it were whole,
-    a logbook would end after its first half and nobody would know.
+def test_truncated_response_is_an_error(cut):
+    """A runner dies in the middle of a response.
+
+    If the part were forwarded as a complete response, the caller would get
+    truncated data without noticing.
     """
     (exc,) = run(RawRunner(cut, close=True), {})
     assert isinstance(exc, EndpointFailedError)
@@ -110,10 +112,11 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
-def test_request_cut_on_a_reused_connection_is_sent_once(method):
-    """The runner closes an idle connection just as a request is sent on it.  The
-    runner may have run the request, so the adapter must not send it again by
-    itself, and must not claim that it was not run.
+def test_request_that_fails_on_a_reused_connection_is_not_resent(method):
+    """The runner closes an idle connection just as a request is sent on it.
+
+    The runner may have run the request, so the client must neither resend it nor
+    report that it was not run.
     """
     runner = RawRunner(ok(), None, ok())
     first, second = run(runner, {}, {"method": method, "body": b"x"})
@@ -123,8 +126,8 @@
     assert len(runner.got) == 2
 
 
-def test_refused_connection_is_certainly_not_sent():
-    """A runner has gone and its port is closed: its requests may go elsewhere."""
+def test_refused_connection_is_reported_as_not_sent():
+    """A runner is gone and its port closed: its requests may go to another runner."""
 
     async def scenario():
         async with RawRunner() as runner:
@@ -137,9 +140,10 @@
     asyncio.run(scenario())
 
 
-def test_late_answer_is_not_taken_for_the_next_one():
-    """A runner answers after its request's time is up.  The next request on the
-    connection must not get that answer.
+def test_late_response_is_not_mistaken_for_the_next_one():
+    """A runner answers after the request has timed out.
+
+    The next request to the runner must not get that response.
     """
 
     async def scenario():
@@ -153,16 +157,16 @@
     asyncio.run(scenario())
 
 
-def test_path_and_query_go_out_exactly_as_they_came_in():
+def test_path_and_query_are_forwarded_unchanged():
     path = "/a%2Fb/%7Ec/../d//e;f=1?q=a%20b&q=&x=%C3%A9+"
     runner = RawRunner(ok())
     run(runner, {"path": path})
     assert runner.got[0].startswith(b"GET " + path.encode() + b" HTTP/1.1\r\n")
 
 
-def test_headers_of_the_connection_stay_behind_and_repeated_ones_pass():
-    """Two ends that disagree on where a message stops let one caller's bytes be
-    read as another's request.
+def test_hop_by_hop_headers_are_dropped_and_repeated_ones_are_forwarded():
+    """If two ends disagree on where a message ends, one caller's bytes may be read
+    as another's request.
     """
     headers = CIMultiDict(
         [
@@ -196,7 +200,7 @@
     assert b"a=1" not in runner.got[1]
 
 
-def test_head_keeps_the_length_it_tells():
+def test_response_to_head_keeps_its_content_length():
     runner = RawRunner(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n", ok())
     head, after = run(runner, {"method": "HEAD"}, {})
     assert ("Content-Length", "42") in head.headers
@@ -204,7 +208,7 @@
     assert after.body == b"fine"
 
 
-def test_answer_over_the_limit_is_an_error():
+def test_response_over_the_size_limit_is_an_error():
     async def scenario():
         async with RawRunner(ok(b"x" * 2000)) as runner:
             runner.client._max_answer_bytes = 1000
@@ -215,11 +219,11 @@
     asyncio.run(scenario())
 
 
-def test_unchanged_instance_list_is_sent_once():
-    """Every instance polls the whole list each second.
+def test_unchanged_instance_list_is_not_sent_again():
+    """Every instance polls the instance list each second.
 
-    Sent whole each time it would be most of what control may take of the
-    network; sent never again after a change, a leaving runner would get work.
+    Sent in full each time, the list would use most of the bandwidth of control
+    traffic.  If a change were not sent, a leaving runner would get work.
     """
 
     async def scenario():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store over real sockets."""
+"""The HTTP client of the platform's store over real sockets."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 PAGE = {"items": [{"key": "job/1", "value": "eA==", "offset": 4}], "end": 5}
 
 
-def newest_from(pieces, pause_s):
-    """Return the newest records, told in pieces with a pause between them."""
+def read_newest_from_server(pieces, pause_s):
+    """Read the newest records from a server that sends the page in pieces."""
 
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -38,30 +38,33 @@
     return asyncio.run(scenario())
 
 
-def test_page_that_a_thin_link_takes_long_for_is_read_whole():
-    """All instances were without power, and read the cell anew over links of
-    5 Mbit/s: a page of 1 MB takes longer than any short answer may.
+def test_page_that_arrives_slowly_is_read_completely():
+    """After a power failure all instances read the cell over links of 5 Mbit/s.
 
-    Given up in the middle, each page would be asked for again and never be
-    there; the instance would serve nobody for as long as it lives.
+    A page of 1 MB then takes longer than the timeout of a short response.  If the
+    client gave up in the middle, it would request the page again forever and the
+    instance would never serve.
     """
-    newest = newest_from(pieces=10, pause_s=TIMEOUT_S / 2)
+    newest = read_newest_from_server(pieces=10, pause_s=TIMEOUT_S / 2)
     assert [r.key for r in newest.records] == ["job/1"]
     assert newest.end == 5
 
 
-def test_page_whose_rest_does_not_come_is_given_up():
-    """The store goes silent in the middle of an answer.
+def test_read_of_a_stalled_page_times_out():
+    """The store stalls in the middle of a response.
 
-    Waiting for the rest for long would hold up whoever asked, while another try
-    may be answered at once.
+    A long wait for the rest would delay the reader, while a retry may succeed at
+    once.
     """
     with pytest.raises(LogOutcomeUnknownError):
-        newest_from(pieces=2, pause_s=TIMEOUT_S * 4)
+        read_newest_from_server(pieces=2, pause_s=TIMEOUT_S * 4)
 
 
-def test_records_of_other_keys_are_neither_returned_nor_waited_for():
-    """A range of keys is read although the store pages through all that follow."""
+def test_key_range_stops_paging_at_its_upper_bound():
+    """The store pages through all keys after the lower bound.
+
+    The client must stop at the upper bound and drop the keys beyond it.
+    """
     pages = {
         "lead": ["mesh", "peer/a"],
         "peer/a": ["peer/b", "state/1"],
