--- a/standins/model/__init__.py
+++ b/standins/model/__init__.py
@@ -1,8 +1,9 @@
-"""A model of the users' platform in virtual time.
+"""An in-memory model of the users' platform in virtual time.
 
-Store, workers, adviser and callers as their pages describe them, with faults on
-command.  The instances in it run firhook's real services; only what they reach
-through :mod:`firhook.platform` is replaced, and the messages between them.
+It models the store, the workers, the adviser and the callers as the platform's
+documentation describes them, and injects faults.  The instances run firhook's real
+services; only the clients of :mod:`firhook.platform` and the transport between
+instances are replaced.
 """
 
 from standins.model._adviser import ModelAdviser
--- a/standins/model/_adviser.py
+++ b/standins/model/_adviser.py
@@ -1,4 +1,4 @@
-"""The service that knows which workers may run a step."""
+"""Model of the service that decides which workers may run a step."""
 
 import asyncio
 import hashlib
@@ -10,13 +10,16 @@
 
 
 class ModelAdviser:
-    """Answers each instance's questions one after the other.
+    """State of the adviser, which answers the calls of an instance serially.
 
-    :param good: the share of workers that may run a step.
-    :ivar calls: how often it was asked.
-    :ivar late_s: how much later than the adviser gives them answers arrive, by the
-        instance that asked.
-    :ivar calls_by_instance: the same by instance.
+    :param base_s: duration of an answer without any workers.
+    :param per_worker_s: additional duration per worker.
+    :param valid_s: validity of a ticket.
+    :param permitted_share: share of workers that may run a step.
+    :ivar calls: number of calls.
+    :ivar calls_by_instance: number of calls by instance.
+    :ivar answer_delay_s: additional delay of the answers, by calling instance.
+    :ivar down: whether no call is answered.
     """
 
     def __init__(
@@ -31,24 +34,24 @@
         self._free_at: dict[str, float] = {}
 
     def may_run(self, step: str, worker: str) -> bool:
-        """Return whether a worker may run a step; it never changes."""
-        # Spread evenly, so that some of any five workers may.
+        """Return whether a worker may run a step; the result never changes."""
+        # Spread evenly, so that of any five consecutive workers some may.
         first = hashlib.sha256(step.encode()).digest()[0]
         number = int("".join(c for c in worker if c.isdigit()) or 0)
         return (first + number) % 5 < 5 * self.permitted_share
 
     def answer_duration_s(self, step: str, workers: int) -> float:
-        """Return how long an answer about so many workers takes."""
+        """Return the duration of an answer about a number of workers."""
         return self.base_s + self.per_worker_s * workers
 
     def client(self, instance: str) -> "ModelAdviserClient":
-        """Return the adviser as an instance reaches it."""
+        """Return an instance's client of the adviser."""
         return ModelAdviserClient(self, instance)
 
     async def answer(
         self, instance: str, step: str, workers: tuple[str, ...]
     ) -> Advice:
-        """Answer in turn."""
+        """Answer after the instance's earlier calls."""
         self.calls += 1
         self.calls_by_instance[instance] += 1
         begins = max(now(), self._free_at.get(instance, 0.0))
@@ -62,7 +65,7 @@
 
 
 class ModelAdviserClient(Adviser):
-    """The adviser as one instance reaches it."""
+    """Client of the adviser for one instance."""
 
     def __init__(self, adviser: ModelAdviser, instance: str) -> None:
         self._adviser = adviser
@@ -79,5 +82,5 @@
             async with asyncio.timeout(timeout_s):
                 return await self._adviser.answer(self._instance, step, workers)
         except TimeoutError:
-            # It stands at the adviser in this instance's turn all the same.
+            # The call still occupies the instance's queue at the adviser.
             return None
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -1,4 +1,4 @@
-"""Instances of firhook over the model of the platform."""
+"""A cell of firhook instances on the model of the platform."""
 
 import asyncio
 import contextlib
@@ -43,16 +43,16 @@
 HOST = "jobs.example"
 KEY = "key-of-a"
 NETWORK_DELAY_S = 0.001
-#: What the transport adds to a message, in bytes.
+#: Bytes that the transport adds to a message.
 MESSAGE_OVERHEAD = 120
-#: How long callers take to leave an instance that is told to stop.
+#: How long callers take to leave an instance that stops.
 CALLER_LEAVE_S = 2.6
-#: The messages that tell instances of new records.
+#: Messages that announce new records to instances.
 PUSH_MESSAGES = (RecordsPush, DigestPush)
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine in virtual time, and return its result."""
+    """Run a coroutine in virtual time and return its result."""
     loop = VirtualLoop()
     set_clocks(loop.time, lambda: 1_700_000_000 + loop.time())
     try:
@@ -69,7 +69,7 @@
 
 
 class _Gate:
-    """Lets an instance's calls through, unless it is frozen or dead."""
+    """Blocks an instance's calls while it is frozen or dead."""
 
     def __init__(self) -> None:
         self.open = asyncio.Event()
@@ -80,7 +80,7 @@
 
 
 class _GatedClient:
-    """A client whose calls wait at the instance's gate."""
+    """Client whose calls and results wait for the instance's gate."""
 
     def __init__(self, client: Any, gate: _Gate) -> None:
         self._client, self._gate = client, gate
@@ -100,7 +100,7 @@
 
 
 class ModelConnections(Connections):
-    """The model as one instance reaches it."""
+    """Clients of the model for one instance."""
 
     def __init__(self, cell: "ModelCell", name: str, gate: _Gate) -> None:
         self._cell, self._name, self._gate = cell, name, gate
@@ -123,12 +123,12 @@
 
 
 class ModelMesh(InstanceService):
-    """Carries messages between the instances of the model."""
+    """Transport of messages between the instances of the model."""
 
     cell: "ModelCell"
 
     def wire(self) -> None:
-        """Offer questions to peers."""
+        """Connect the transport to the instance's bus."""
         self.handlers: dict[type, Callable[[Any], Any]] = {}
         self.bus.answer(AskInstance, self._ask)
         self.bus.subscribe(ServeInstance, self._on_serve)
@@ -169,7 +169,7 @@
         self.handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
-        """Register."""
+        """Register the instance in the cell."""
         self.add_future(self._register())
 
     async def _register(self) -> None:
@@ -213,13 +213,13 @@
 
 
 class ModelCallers(Callers):
-    """The callers' interface without sockets."""
+    """The callers' service without sockets."""
 
     async def _listen(self, handler: Any, address: Address, sock: Any = None) -> None:
-        """Listen nowhere."""
+        """Do nothing; requests arrive by :meth:`ModelInstance.call`."""
 
     async def drain(self) -> None:
-        """Wait as long as callers take to leave."""
+        """Wait for the time that callers take to leave."""
         await pause(CALLER_LEAVE_S)
 
 
@@ -228,13 +228,13 @@
         self._body = body
 
     async def iter_any(self) -> Any:
-        """Return the body at once."""
+        """Yield the body in one piece."""
         yield self._body
 
 
 @attrs.define
 class ModelRequest:
-    """A caller's request as the callers' interface sees it."""
+    """A caller's request with the attributes that the callers' service reads."""
 
     method: str
     path: str
@@ -245,7 +245,7 @@
 
     @property
     def headers(self) -> CIMultiDict[str]:
-        """Its headers."""
+        """The request's headers."""
         return CIMultiDict(
             {
                 "Host": self.host,
@@ -256,18 +256,18 @@
 
     @property
     def content_length(self) -> int:
-        """Its body's length."""
+        """The length of the body."""
         return len(self.body)
 
     @property
     def content(self) -> _Content:
-        """Its body."""
+        """The body as a stream."""
         return _Content(self.body)
 
 
 @attrs.define(eq=False)
 class ModelInstance:
-    """An instance, and what can be done to it."""
+    """A running instance and the gate that can freeze it."""
 
     instance: Instance
     gate: _Gate
@@ -275,16 +275,16 @@
 
     @property
     def lead(self) -> Any:
-        """Its lead service."""
+        """The instance's lead service."""
         return self.instance.services["lead"]
 
     @property
     def leads(self) -> bool:
-        """Whether it leads and may give orders."""
+        """Whether the instance leads and may give orders."""
         return self.alive and self.lead.term is not None and self.lead.may_act()
 
     async def call(self, req: ModelRequest) -> tuple[int, Any]:
-        """Send a caller's request; return status and body."""
+        """Send a caller's request; return the status and the decoded body."""
         resp = await self.instance.services["callers"]._handle(req)
         body = msgspec.json.decode(resp.body) if resp.body else None
         return resp.status, body
@@ -315,19 +315,22 @@
 
 
 class ModelCell:
-    """A cell: the platform, some instances, and callers.
-
-    :param advised: whether the adviser is asked before each start.
-    :param strengths: processors of instances, in cores; 1 where nothing is said.
-    :param zones: of instances, by name; the same one where nothing is said.
-    :ivar drops: the share of one-way messages between instances that are lost.
-    :ivar jitter_s: how much later than others such a message may arrive.
-    :ivar told: such messages with records that arrived.
-    :ivar link_bytes_s: what an instance's link carries in a second, by name; the
-        messages that it sends wait behind each other.  Endless where nothing is said.
-    :ivar order_bytes: what an order to a worker takes of that.
+    """A cell: the platform, several instances and callers.
+
+    :param advised: whether workers must be permitted by the adviser before a start.
+    :param strengths: CPU capacity in cores by instance; 1 if absent.
+    :param zones: zone by instance; the same zone if absent.
+    :ivar plans: plans of the tasks of a step.
+    :ivar cut_links: pairs of instances that cannot reach each other.
+    :ivar drop_share: share of one-way messages between instances that are lost.
+    :ivar jitter_s: maximum additional delay of a one-way message.
+    :ivar received_pushes: number of delivered messages that announce records.
+    :ivar link_bytes_s: bandwidth of an instance's link in bytes per second, by
+        instance; its messages queue behind each other.  Unlimited if absent.
+    :ivar order_bytes: size of an order to a worker on that link.
     :ivar sent_bytes: bytes of messages by sender, receiver and kind.
-    :ivar longest_wait_s: the longest that a message waited at each instance's link.
+    :ivar longest_wait_s: longest wait of a message at the link, by instance.
+    :ivar accepted: path prefix of each accepted job.
     """
 
     def __init__(
@@ -367,7 +370,7 @@
         self._jobs = 0
 
     async def begin(self) -> None:
-        """Start everything and wait until there is a lead."""
+        """Start the workers and the instances and wait until one leads."""
         self.configure(1)
         for i in range(self._worker_count):
             self.add_worker(f"w{i}", f"r1-{i // 3}")
@@ -377,7 +380,7 @@
         await pause(0.5)
 
     def configure(self, version: int, **changes: Any) -> None:
-        """Put a configuration in force, as operators do."""
+        """Write a configuration as operators do."""
         body = config_body(version, **changes)
         if self.advised:
             for queue in body["routes"]:
@@ -409,16 +412,16 @@
         self.store.put(WORKER_TOPIC, name, self.workers[name].entry_bytes())
 
     def unregister(self, name: str) -> None:
-        """Let a worker's entry lapse."""
+        """Expire a worker's entry."""
         self.store.put(WORKER_TOPIC, name, None)
 
     def plan_of(self, task: str) -> TaskPlan:
-        """Return what the model knows of a task."""
+        """Return the plan of a task."""
         step = task.rpartition(".")[0]
         return self.plans[step]
 
     def services(self) -> dict[str, type[InstanceService]]:
-        """Return the services that an instance runs, in the order of their start."""
+        """Return the services of an instance in the order in which they start."""
         shipped = load_services()
         return {
             "follower": shipped["follower"],
@@ -450,19 +453,19 @@
         instance = Instance(
             settings, ModelConnections(self, name, gate), self.services()
         )
-        made = ModelInstance(instance, gate)
-        self.instances[name] = made
+        model_instance = ModelInstance(instance, gate)
+        self.instances[name] = model_instance
         await instance.start()
-        return made
+        return model_instance
 
     def send_over_link(self, name: str, peer: str, body: Any) -> float:
-        """Send a message over an instance's link; return how long that takes."""
+        """Send a message over an instance's link; return the seconds that it takes."""
         size = len(pack_frame(body)) + MESSAGE_OVERHEAD
         self.sent_bytes[name, peer, type(body).__name__] += size
         return self.send_bytes_over_link(name, size)
 
     def send_bytes_over_link(self, name: str, size: int) -> float:
-        """Send so many bytes over an instance's link; return how long that takes."""
+        """Send bytes over an instance's link; return the seconds that it takes."""
         rate = self.link_bytes_s.get(name)
         if rate is None:
             return 0.0
@@ -472,52 +475,52 @@
         self.longest_wait_s[name] = max(self.longest_wait_s[name], wait_s)
         return wait_s
 
-    # What can be done to instances.
+    # Faults and restarts of instances.
 
     def kill(self, name: str) -> None:
-        """End an instance at once: nothing that it began goes on."""
-        found = self.instances[name]
-        found.alive = False
-        found.gate.open.clear()
-        asyncio.get_running_loop().create_task(self._shut_down(found))
-
-    async def _shut_down(self, found: ModelInstance) -> None:
-        term = found.lead.term
+        """Kill an instance at once, so that none of its calls continues."""
+        model_instance = self.instances[name]
+        model_instance.alive = False
+        model_instance.gate.open.clear()
+        asyncio.get_running_loop().create_task(self._shut_down(model_instance))
+
+    async def _shut_down(self, model_instance: ModelInstance) -> None:
+        term = model_instance.lead.term
         if term is not None:
             await term.end()
-        await found.instance.stop()
+        await model_instance.instance.stop()
 
     async def stop(self, name: str) -> None:
-        """Tell an instance to stop, and wait until it has."""
-        found = self.instances[name]
-        await found.instance.drain()
-        found.alive = False
-        found.gate.open.clear()
-        await found.instance.stop()
+        """Stop an instance and wait until it has stopped."""
+        model_instance = self.instances[name]
+        await model_instance.instance.drain()
+        model_instance.alive = False
+        model_instance.gate.open.clear()
+        await model_instance.instance.stop()
 
     async def restart(self, name: str) -> None:
         """Start a killed instance again."""
         await self.add_instance(name)
 
     def freeze(self, name: str) -> None:
-        """Hold an instance up in the middle of whatever it does."""
+        """Suspend an instance in the middle of its work."""
         self.instances[name].gate.open.clear()
 
     def disable_pushes(self, name: str) -> None:
-        """Have an instance learn of records only by reading the store."""
+        """Make an instance learn of records only by reading the store."""
         handlers = self.instances[name].instance.services["mesh"].handlers
         for kind in PUSH_MESSAGES:
             handlers.pop(kind)
 
     def unfreeze(self, name: str) -> None:
-        """Let it go on."""
+        """Resume a frozen instance."""
         self.instances[name].gate.open.set()
 
     def lead(self) -> ModelInstance | None:
         """Return the instance that leads and may give orders."""
-        for found in self.instances.values():
-            if found.leads and found.gate.open.is_set():
-                return found
+        for model_instance in self.instances.values():
+            if model_instance.leads and model_instance.gate.open.is_set():
+                return model_instance
         return None
 
     def lead_name(self) -> str:
@@ -527,7 +530,7 @@
     # Callers.
 
     def any_instance(self) -> ModelInstance:
-        """Return an instance that lives."""
+        """Return a random instance that is running and not frozen."""
         alive = [
             i
             for _, i in sorted(self.instances.items())
@@ -536,7 +539,7 @@
         return self.rng.choice(alive)
 
     def new_job_id(self) -> str:
-        """Return an id."""
+        """Return an unused job id."""
         self._jobs += 1
         return f"{self._jobs:016x}"
 
@@ -549,7 +552,7 @@
         fails: bool = False,
         **more: Any,
     ) -> tuple[str, int]:
-        """Submit a job, with retries as callers make them; return id and status."""
+        """Submit a job with the retries of a caller; return its id and the status."""
         job_id = job_id or self.new_job_id()
         occurrences = max(more.get("repetitions", 0), 1)
         for number, step in enumerate(steps):
@@ -575,35 +578,35 @@
                 self.accepted[job_id] = prefix
                 return job_id, status
             await pause(0.3)
-        # It was refused only if no attempt was left open.
+        # The job was refused only if no attempt has an unknown outcome.
         return job_id, 504 if 504 in statuses else statuses[-1]
 
     async def status(self, job_id: str, instance: ModelInstance | None = None) -> str:
-        """Return where a job stands, or the status code of a refusal."""
+        """Return a job's status, or the HTTP status code of a refusal."""
         target = instance or self.any_instance()
         path = self.accepted.get(job_id, "/plan/") + job_id
         code, body = await target.call(ModelRequest("GET", path))
         return body["state"] if code == 200 else str(code)
 
     async def cancel(self, job_id: str) -> int:
-        """Cancel a job; return the status code."""
+        """Cancel a job; return the HTTP status code."""
         path = self.accepted.get(job_id, "/plan/") + job_id
         code, _ = await self.any_instance().call(ModelRequest("DELETE", path))
         return code
 
     async def until(self, holds: Callable[[], bool], limit_s: float) -> None:
-        """Wait until something holds."""
+        """Wait until a predicate returns true."""
         end = now() + limit_s
         while not holds():
             if now() > end:
-                raise TimeoutError(f"not within {limit_s} s")
+                raise TimeoutError(f"condition not met within {limit_s} s")
             await pause(0.01)
 
     def ended(self, job_id: str) -> bool:
-        """Return whether a job has ended, as the records say."""
-        for found in self.instances.values():
-            if found.alive and found.gate.open.is_set():
-                view = found.instance.replica.jobs.get(job_id)
+        """Return whether a job has ended according to an instance's records."""
+        for model_instance in self.instances.values():
+            if model_instance.alive and model_instance.gate.open.is_set():
+                view = model_instance.instance.replica.jobs.get(job_id)
                 if view is not None and view.status.ended:
                     return True
         return False
@@ -615,7 +618,7 @@
     def final(self, job_id: str) -> JobStatus:
         """Return the newest status of a job that any instance knows."""
         return max(
-            found.instance.replica.jobs[job_id].status
-            for found in self.instances.values()
-            if found.alive and job_id in found.instance.replica.jobs
+            model_instance.instance.replica.jobs[job_id].status
+            for model_instance in self.instances.values()
+            if model_instance.alive and job_id in model_instance.instance.replica.jobs
         )
--- a/standins/model/_checks.py
+++ b/standins/model/_checks.py
@@ -1,11 +1,11 @@
-"""What must hold at all times, checked where the work is done."""
+"""Invariants that are checked on every event of the workers."""
 
 import attrs
 
 
 @attrs.frozen
 class Violation:
-    """Something that must never happen, and did."""
+    """A violated invariant."""
 
     at: float
     what: str
@@ -14,13 +14,16 @@
 
 @attrs.define(eq=False)
 class Checks:
-    """Sees every start and every end in the cell.
+    """Observes every start and every end of a run in the cell.
 
-    :ivar broken: what went wrong.
-    :ivar alone: members of gangs that waited for the others in vain, which a
-        fault near them may bring about.
-    :ivar running: where each task runs now, with the run.
+    :ivar violations: violated invariants.
+    :ivar incomplete_gangs: runs that timed out waiting for the rest of their gang,
+        which a fault nearby may cause.
+    :ivar running: runs in progress by task, worker and incarnation.
     :ivar done: tasks whose end ``done`` was acknowledged.
+    :ivar last_start: time of the last start of each task.
+    :ivar duplicates: steps whose tasks may run more than once.
+    :ivar refused: jobs that were refused and must not run.
     """
 
     violations: list[Violation] = attrs.field(factory=list)
@@ -34,13 +37,13 @@
     refused: set[str] = attrs.field(factory=set)
 
     def record_violation(self, at: float, what: str, detail: str) -> None:
-        """Take note of something that must never happen."""
+        """Record a violated invariant."""
         self.violations.append(Violation(at, what, detail))
 
     def started(
         self, at: float, task: str, worker: str, incarnation: int, run: int
     ) -> None:
-        """Take note of a start."""
+        """Record that a run started."""
         others = self.running.setdefault(task, {})
         step = task.rpartition(".")[0]
         if others and step not in self.duplicates:
@@ -56,14 +59,14 @@
         self.last_start[task] = at
 
     def ended(self, task: str, worker: str, incarnation: int) -> None:
-        """Take note that a run is no longer going on."""
+        """Record that a run ended."""
         self.running.get(task, {}).pop((worker, incarnation), None)
 
     def acknowledged(self, at: float, task: str, ended_at: float) -> None:
-        """Take note that an end ``done`` was acknowledged.
+        """Record that an end ``done`` was acknowledged.
 
-        Only then does it stand: an end that its worker lost, or whose lease
-        lapsed before, may be followed by another start.
+        An end counts only from then on: if the worker lost it, or its lease expired
+        before the acknowledgement, the task may start again.
         """
         self.done.add(task)
         later = self.last_start.get(task, 0.0) > ended_at
--- a/standins/model/_faults.py
+++ b/standins/model/_faults.py
@@ -1,4 +1,4 @@
-"""Random faults over a cell, with jobs coming all the while."""
+"""Random faults on a cell under a continuous load of jobs."""
 
 import asyncio
 import random
@@ -9,13 +9,13 @@
 from standins.model._cell import ModelCell
 from standins.model._time import now, pause
 
-#: How long jobs and faults come, and how long the cell then has to finish.
+#: How long jobs and faults arrive, and how long the cell may then take to finish.
 FAULT_PERIOD_S = 25.0
 SETTLE_TIMEOUT_S = 60.0
 
 
-#: The faults that the model knew when the first seeds were kept as tests; with
-#: others among them these seeds would play other scenes.
+#: The faults that the model had when the first seeds became regression tests.  With
+#: other faults in the list, these seeds would generate other scenarios.
 INITIAL_FAULT_KINDS = (
     "cancel",
     "deal_anew",
@@ -37,11 +37,13 @@
 
 @attrs.frozen
 class Outcome:
-    """What a play came to.
+    """The result of a scenario.
 
-    :param broken: what must never happen, and did.
-    :param unended: accepted jobs that did not end.
-    :param wrong: jobs that ended otherwise than they should have.
+    :param violations: violated invariants.
+    :param unfinished: accepted jobs that did not end.
+    :param wrong_status: jobs that ended with an unexpected status.
+    :param accepted: number of accepted jobs.
+    :param history: the injected faults with their times.
     """
 
     violations: tuple[Any, ...]
@@ -52,16 +54,16 @@
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether no invariant was violated and every job ended as expected."""
         return not self.violations and not self.unfinished and not self.wrong_status
 
 
 class FaultScenario:
-    """Plays one seed.
+    """A scenario of random jobs and faults that a seed determines.
 
-    :param kinds: names of the faults that may come; all if none.
-    :param instances: how many there are, a third of them four times as strong as
-        the others; some alike ones are drawn if 0.
+    :param kinds: names of the faults to inject; all if empty.
+    :param instances: number of instances, of which a third have four times the CPU
+        capacity of the others; 0 draws a number of equal instances.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
             strengths={f"i{n}": 2.0 if n % 3 == 0 else 0.5 for n in range(instances)},
             workers=workers,
             seed=seed,
-            # Of three workers the adviser might permit none.
+            # With only three workers the adviser might permit none.
             advised=workers > 3 and self.rng.random() < 0.7,
         )
         self.history: list[str] = []
@@ -86,7 +88,7 @@
         self._cancelled: set[str] = set()
 
     async def run(self) -> Outcome:
-        """Play it, and say what came of it."""
+        """Run the scenario and return its result."""
         await self.cell.begin()
         end = now() + FAULT_PERIOD_S
         while now() < end:
@@ -96,11 +98,11 @@
         try:
             await self.cell.all_done(SETTLE_TIMEOUT_S)
         except TimeoutError:
-            self.record("not all ended")
+            self.record("some jobs did not end")
         return self._outcome()
 
     def record(self, what: str) -> None:
-        """Keep what was done, for who reads a failure."""
+        """Add an event to the history, which explains a failure."""
         self.history.append(f"{now():.2f} {what}")
 
     async def _act(self) -> None:
@@ -153,7 +155,7 @@
         )
 
     def _pick_instance(self) -> str | None:
-        """Choose an instance, mostly the lead."""
+        """Choose a running instance, usually the lead."""
         alive = [n for n, i in self.cell.instances.items() if i.alive]
         if not alive:
             return None
@@ -166,7 +168,7 @@
         return self.cell.workers[self.rng.choice(sorted(self.cell.workers))]
 
     def schedule(self, delay_s: float, func: Any, *args: Any) -> None:
-        """Undo a fault after a while."""
+        """Schedule a call, usually to undo a fault."""
         asyncio.get_running_loop().call_later(delay_s, func, *args)
 
     async def _clear_faults(self) -> None:
@@ -188,7 +190,7 @@
     # Faults.
 
     async def fault_kill(self) -> None:
-        """Kill an instance, and start it again after a while."""
+        """Kill an instance and start it again later."""
         name = self._pick_instance()
         if name is None:
             return
@@ -197,7 +199,7 @@
         await self.cell.restart(name)
 
     async def fault_freeze(self) -> None:
-        """Hold an instance up for some seconds."""
+        """Freeze an instance for some seconds."""
         name = self._pick_instance()
         if name is not None:
             self.cell.freeze(name)
@@ -208,13 +210,13 @@
             self.cell.unfreeze(name)
 
     async def fault_store_down(self) -> None:
-        """Take the store away, from all or from one."""
+        """Make the store unavailable to all instances or to one."""
         name = self.rng.choice(("*", self._pick_instance() or "*"))
         self.cell.store.mode[name] = self.rng.choice(("busy", "silent"))
         self.schedule(1 + 4 * self.rng.random(), self.cell.store.mode.pop, name, None)
 
     async def fault_store_partly_down(self) -> None:
-        """Take some of the cell's partitions away."""
+        """Make some of the cell's partitions unavailable."""
         for number in self.rng.sample(range(4), self.rng.choice((1, 2))):
             self.cell.store.down_partitions.add(number)
             self.schedule(
@@ -224,12 +226,12 @@
             )
 
     async def fault_store_loses(self) -> None:
-        """Lose answers of the store."""
+        """Lose some of the store's answers to writes."""
         self.cell.store.lost_share = 0.3
         self.schedule(3, setattr, self.cell.store, "lost_share", 0.0)
 
     async def fault_store_late(self) -> None:
-        """Carry writes out late."""
+        """Delay some writes."""
         self.cell.store.late_share = 0.2
         self.schedule(3, setattr, self.cell.store, "late_share", 0.0)
 
@@ -239,17 +241,17 @@
         self.schedule(3, setattr, self.cell.store, "slow", 1.0)
 
     async def fault_store_forgets(self) -> None:
-        """Expire the store's history."""
+        """Expire all records except the newest of each key."""
         self.cell.store.expire_history()
 
     async def fault_deal_anew(self) -> None:
-        """Do nothing: no instance holds partitions of a group.
+        """Do nothing, since no instance holds partitions of a group.
 
-        The name stays, so that the first seeds play the scenes that they played.
+        The name is kept so that the first seeds generate the same scenarios.
         """
 
     async def fault_worker_crash(self) -> None:
-        """Crash a worker, which comes back in a new life."""
+        """Crash a worker and start a new incarnation later."""
         worker = self._pick_worker()
         worker.crash()
         self.schedule(self.rng.random() * 6, worker.restart)
@@ -259,13 +261,13 @@
         self._pick_worker().restart()
 
     async def fault_worker_cut(self) -> None:
-        """Cut a worker off, or let it answer nothing."""
+        """Make a worker unreachable, or make it stop answering."""
         worker = self._pick_worker()
         worker.mode = self.rng.choice(("cut", "mute"))
         self.schedule(1 + 12 * self.rng.random(), setattr, worker, "mode", "up")
 
     async def fault_worker_cut_from_some(self) -> None:
-        """Cut a worker off from some instances."""
+        """Make a worker unreachable from an instance."""
         worker = self._pick_worker()
         name = self._pick_instance()
         if name is not None:
@@ -275,13 +277,13 @@
             )
 
     async def fault_orders_late(self) -> None:
-        """Let a worker carry out some orders seconds later."""
+        """Delay some orders to workers by seconds."""
         for worker in self.cell.workers.values():
             worker.late_share = 0.1
             self.schedule(4, setattr, worker, "late_share", 0.0)
 
     async def fault_answers_lost(self) -> None:
-        """Let workers do what they are told at once, and lose some of the answers."""
+        """Lose some of the workers' answers to calls that take effect."""
         for worker in self.cell.workers.values():
             worker.lost_share = 0.2
             self.schedule(5, setattr, worker, "lost_share", 0.0)
@@ -298,7 +300,7 @@
             return
         jobs = [j for j in self.cell.accepted if not self.cell.ended(j)]
         for job in self.rng.sample(jobs, min(len(jobs), 3)):
-            # An answer that does not come leaves open whether it is cancelled.
+            # Without an answer the outcome of the cancellation is unknown.
             self._cancelled.add(job)
             await self.cell.cancel(job)
 
--- a/standins/model/_http.py
+++ b/standins/model/_http.py
@@ -1,4 +1,4 @@
-"""The model of the platform over HTTP, in real time, for real processes."""
+"""HTTP server of the model of the platform, in real time, for real processes."""
 
 import asyncio
 import base64
@@ -41,9 +41,8 @@
     OrderOutcome.NO_ROOM: "room",
     OrderOutcome.NO_TICKET: "ticket",
 }
-#: Requests that come while the sockets are closed are waited for so long; none
-#: takes longer to answer.
-_CLOSE_S = 5.0
+#: Time limit for requests that arrive while the sockets close; none takes longer.
+_SHUTDOWN_TIMEOUT_S = 5.0
 _SETTINGS = """\
 node_name = "{name}"
 ip_address = "127.0.0.1"
@@ -77,10 +76,10 @@
 
 
 class HttpModel:
-    """Serves store, workers and adviser on ports of the loopback address.
+    """Serves the store, workers and the adviser on ports of the loopback address.
 
-    :param work_s: how long each task works.
-    :ivar plans: what is known of the tasks of a step, where it is not that.
+    :param work_s: default duration of a task.
+    :ivar plans: plans of the tasks of a step, in place of the default.
     """
 
     def __init__(self, workers: int = 4, work_s: float = 0.3, seed: int = 1) -> None:
@@ -95,10 +94,10 @@
         self._gangs = Gangs()
         self._count = workers
         self._runners: list[web.AppRunner] = []
-        self._handling: set[asyncio.Task[Any]] = set()
+        self._handler_tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Listen, register the workers and put a configuration in force."""
+        """Listen, register the workers and write a configuration."""
         self.addresses["store"] = await self._listen(self._store_routes())
         self.addresses["adviser"] = await self.add_adviser("any")
         for i in range(self._count):
@@ -106,20 +105,20 @@
         self.configure(1)
 
     async def stop(self) -> None:
-        """Leave what is being answered, and close all sockets.
+        """Cancel all requests in progress and close all sockets.
 
-        A handler that ends in the moment in which aiohttp gives up waiting for it
-        fails within aiohttp.  So none is left to wait for.
+        aiohttp fails on a handler that finishes at the very moment at which aiohttp
+        gives up waiting for it, so all handlers end before the cleanup.
         """
-        for task in self._handling:
+        for task in self._handler_tasks:
             task.cancel()
-        if self._handling:
-            await asyncio.wait(self._handling)
+        if self._handler_tasks:
+            await asyncio.wait(self._handler_tasks)
         for runner in self._runners:
             await runner.cleanup()
 
     def configure(self, version: int, **changes: Any) -> None:
-        """Put a configuration in force, as operators do."""
+        """Write a configuration as operators do."""
         body = config_body(version, **changes)
         advice = {"decision_ms": 20, "per_item_ms": 1, "validity_ms": 2000}
         for queue in body["routes"]:
@@ -136,8 +135,8 @@
     ) -> Path:
         """Write an instance's settings file; return its path.
 
-        :param store: the address at which it reaches the store, if another.
-        :param adviser: likewise the adviser's.
+        :param store: address of the store, if not that of this server.
+        :param adviser: address of the adviser, if not that of this server.
         """
         path = folder / f"{name}.toml"
         callers, probe, peers = ports
@@ -158,7 +157,9 @@
             client_max_size=1 << 24, middlewares=[self._track_handler]
         )
         app.add_routes(routes)
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=_CLOSE_S)
+        runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
+        )
         await runner.setup()
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
@@ -170,11 +171,11 @@
     async def _track_handler(
         self, req: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Keep the task that answers a request, to be cancelled at the stop."""
+        """Track the task that answers a request, so that :meth:`stop` can cancel it."""
         task = asyncio.current_task()
         assert task is not None
-        self._handling.add(task)
-        task.add_done_callback(self._handling.discard)
+        self._handler_tasks.add(task)
+        task.add_done_callback(self._handler_tasks.discard)
         return await handler(req)
 
     # The store.
@@ -249,7 +250,7 @@
     # The adviser.
 
     async def add_adviser(self, caller: str) -> str:
-        """Listen for one machine's questions, which are answered in turn."""
+        """Start an adviser for one caller, which answers its calls serially."""
 
         async def advise(req: web.Request) -> web.Response:
             data = msgspec.json.decode(await req.read())
@@ -316,7 +317,7 @@
         self.register(name)
 
     def register(self, name: str) -> None:
-        """Write a worker's entry, with the address that instances reach it at."""
+        """Write a worker's entry with the address that it listens at."""
         entry = {**self.workers[name].entry(), "address": self.addresses[name]}
         self.store.put(WORKER_TOPIC, name, msgspec.json.encode(entry))
 
@@ -350,7 +351,7 @@
 
 
 def _abort_connection(req: web.Request) -> web.Response:
-    """Break the connection; the answer that is returned reaches nobody."""
+    """Abort the connection; the returned response is never sent."""
     if req.transport is not None:
         req.transport.abort()
     return web.Response(status=500)
--- a/standins/model/_ports.py
+++ b/standins/model/_ports.py
@@ -1,16 +1,16 @@
-"""Ports for processes that will listen a while later."""
+"""Reserves ports for processes that start listening later."""
 
 import secrets
 import socket
 
-#: Below 32768, from where Linux takes ports for outgoing connections.
+#: Below 32768, where Linux begins the range for outgoing connections.
 _LISTENING_PORTS = range(12000, 32000)
 
 
 class ReservedPorts:
-    """Ports of this host that no other reservation gets.
+    """Ports of this host that are exclusive to this reservation.
 
-    Each is bound by a socket that never listens, so that a process that sets
+    Each port is bound by a socket that never listens, so that a process that sets
     ``SO_REUSEADDR``, as firhook does, can still listen there.
     """
 
@@ -18,7 +18,7 @@
         self._socks: list[socket.socket] = []
 
     def take(self, count: int) -> tuple[int, ...]:
-        """Return ports that are reserved until :meth:`close`."""
+        """Reserve ports until :meth:`close` and return them."""
         return tuple(self._take() for _ in range(count))
 
     def _take(self) -> int:
@@ -29,13 +29,13 @@
             except OSError:
                 sock.close()
                 continue
-            # Set only now: two sockets that both had it could bind one port.
+            # Set after the bind: two sockets with the option could share a port.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._socks.append(sock)
             port: int = sock.getsockname()[1]
             return port
 
     def close(self) -> None:
-        """Let go of all ports."""
+        """Release all ports."""
         for sock in self._socks:
             sock.close()
--- a/standins/model/_processes.py
+++ b/standins/model/_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of firhook over the model of the platform, on loopback."""
+"""firhook processes that use the model of the platform on the loopback address."""
 
 import asyncio
 import os
@@ -15,22 +15,22 @@
 
 SRC = str(Path(__file__).parent.parent.parent / "src")
 KEY = {"Authorization": "Bearer key-of-a", "Host": "jobs.example"}
-LIMIT_S = 40.0
+TIMEOUT_S = 40.0
 
 
-async def until(holds: Any, limit_s: float = LIMIT_S) -> None:
-    """Wait until an asynchronous question is answered with yes."""
+async def until(holds: Any, limit_s: float = TIMEOUT_S) -> None:
+    """Wait until an asynchronous predicate returns true."""
     for _ in range(int(limit_s / 0.05)):
         if await holds():
             return
         await asyncio.sleep(0.05)
-    raise AssertionError("not in time")
+    raise AssertionError("condition not met in time")
 
 
 class Process:
-    """A firhookd.
+    """A firhookd process.
 
-    :ivar lines: what it logged.
+    :ivar lines: the events that it logged.
     """
 
     def __init__(self, settings: Path, ports: tuple[int, ...]) -> None:
@@ -38,7 +38,7 @@
         self.lines: list[dict[str, Any]] = []
 
     async def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         env = {**os.environ, "FIRHOOK_SETTINGS": str(self.settings), "PYTHONPATH": SRC}
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -56,29 +56,29 @@
             try:
                 self.lines.append(msgspec.json.decode(line))
             except msgspec.DecodeError as exc:
-                # Went this reader away, nobody would empty the pipe any more.
+                # Keep reading: if this task ended, the pipe would fill up.
                 self.lines.append({"event": "unreadable", "raw": repr((exc, line))})
 
     def stop_reading(self) -> None:
-        """Leave what it logs in the pipe."""
+        """Stop reading the process's log from the pipe."""
         self._reading.cancel()
 
     def resume_reading(self) -> None:
-        """Read what it logs again."""
+        """Start reading the process's log again."""
         self._reading = asyncio.create_task(self._read())
 
     def leads(self) -> bool:
-        """Return whether its last word on leading was that it does."""
+        """Return whether the process leads, according to its log."""
         words = [line["event"] for line in self.lines]
         words = [w for w in words if w in ("lead.began", "lead.ended")]
         return bool(words) and words[-1] == "lead.began"
 
     def signal(self, sig: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send the process a signal."""
         self.process.send_signal(sig)
 
     async def end(self) -> None:
-        """Kill it, if it still runs."""
+        """Kill the process if it still runs."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -86,7 +86,7 @@
 
 
 class Processes:
-    """Some instances, and a caller who tries another one on any trouble."""
+    """Several instances, and a caller that retries at another instance on errors."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.model = HttpModel()
@@ -95,7 +95,7 @@
         self.all: list[Process] = []
 
     async def __aenter__(self) -> "Processes":
-        """Start everything and wait until it serves."""
+        """Start the platform and the instances and wait until they serve."""
         await self.model.start()
         self.session = aiohttp.ClientSession()
         for i in range(self._count):
@@ -108,7 +108,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """End what was started."""
+        """Stop the instances and the platform."""
         await self.session.close()
         for process in self.all:
             await process.end()
@@ -116,12 +116,12 @@
         await self.model.stop()
 
     async def is_serving(self) -> bool:
-        """Return whether all are ready and one leads."""
+        """Return whether all instances are ready and one leads."""
         answers = [await self.is_ready(p) for p in self.all]
         return all(answers) and any(p.leads() for p in self.all)
 
     async def is_ready(self, process: Process) -> bool:
-        """Return whether an instance says that it is ready."""
+        """Return whether an instance's readiness probe succeeds."""
         try:
             url = f"http://127.0.0.1:{process.ports[1]}/-/readiness"
             async with self.session.get(url) as resp:
@@ -132,7 +132,7 @@
     async def call(
         self, process: Process, method: str, path: str, body: bytes | None = None
     ) -> tuple[int, bytes]:
-        """Send a request; return status and body, 0 if there was no answer."""
+        """Send a request; return status and body, status 0 if there was no answer."""
         url = f"http://127.0.0.1:{process.ports[0]}{path}"
         try:
             async with self.session.request(
@@ -143,7 +143,7 @@
             return 0, b""
 
     async def submit(self, job: str, count: int = 4) -> None:
-        """Submit a job, as often as it takes."""
+        """Submit a job, with retries until it is accepted."""
         steps = [{"count": count, "millicpus": 1000, "task_memory_mb": 100}]
         body = msgspec.json.encode({"specification": "x", "steps": steps})
         for _ in range(20):
@@ -152,10 +152,10 @@
                 if status == 200:
                     return
             await asyncio.sleep(0.2)
-        raise AssertionError("not accepted")
+        raise AssertionError(f"job {job} was not accepted")
 
     async def state(self, job: str) -> str | None:
-        """Return where a job stands, by the first instance that answers."""
+        """Return the status of a job at the first instance that answers."""
         for process in self.all:
             status, body = await self.call(process, "GET", f"/plan/{job}")
             if status == 200:
--- a/standins/model/_store.py
+++ b/standins/model/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: partitions, newest values and producers."""
+"""Model of the platform's store: partitions, newest values and producers."""
 
 import asyncio
 import random
@@ -26,26 +26,32 @@
 )
 from standins.model._time import now, pause
 
-#: An answer of the calm store, and how long an append takes there.
+#: Times of the unloaded store: of a call, and of an append within its partition.
 ROUND_TRIP_S = 0.004
 APPEND_S = 0.001
-#: An append is turned away if it would wait for so long behind others.
+#: An append is refused if it would wait longer than this behind others.
 APPEND_QUEUE_S = 2.0
-#: How long callers wait for an answer that does not come.
+#: How long clients wait for an answer that does not come.
 NO_ANSWER_S = 1.5
 
 
 def split_keyed(content: bytes) -> tuple[str, bytes | None]:
-    """Return key and value of a keyed record's content."""
+    """Return the key and the value of an encoded keyed record."""
     end = 1 + content[0]
     return content[1:end].decode(), content[end:] or None
 
 
 @attrs.define(eq=False)
 class _Partition:
-    """The records of one partition, and who may append.
-
-    :ivar busy_until: when the appends that it has taken on are done.
+    """The records of a partition and the state of its producer.
+
+    :ivar first: offset of the first retained record.
+    :ivar newest: offset and value of the newest record of each key.
+    :ivar epoch: highest epoch of a producer so far.
+    :ivar sequence: last sequence number within the epoch.
+    :ivar answers: results of recent appends, by sequence number.
+    :ivar busy_until: time at which the accepted appends are done.
+    :ivar appended: set and replaced with each append, to wake waiting readers.
     """
 
     records: list[bytes] = attrs.field(factory=list)
@@ -77,20 +83,22 @@
 
 
 class ModelStore:
-    """The store itself.
-
-    :ivar mode: how it answers an instance: ``up``, ``busy`` (503), ``silent``
-        (nothing is done and no answer comes), by instance; ``*`` for all.
-    :ivar down_partitions: partitions of every topic that answer nothing useful.
-    :ivar slow: a factor on its times.
-    :ivar serial_appends: whether a partition does its appends one after the other, and
-        turns away those that would wait for long.
-    :ivar lost_share: the share of writes that are done and not answered.
-    :ivar partition_read_s: how long an instance's link takes for an answer to a reading
-        of a partition, by both.
-    :ivar link_bytes_s: what an instance's link carries of the cell's records in a
-        second, by its name; endless where nothing is said.
-    :ivar full_reads: how often each instance read all of a partition.
+    """State of the store, shared by the clients of all instances.
+
+    :ivar mode: behaviour by instance, ``*`` for all instances: ``up``, ``busy``
+        (503) or ``silent`` (calls have no effect and no answer).
+    :ivar down_partitions: numbers of the partitions whose calls are refused.
+    :ivar slow: factor on the store's times.
+    :ivar serial_appends: whether a partition runs its appends one after the other
+        and refuses those that would wait too long.
+    :ivar lost_share: share of writes that take effect and are not answered.
+    :ivar late_share: share of writes that take effect seconds later and are not
+        answered.
+    :ivar partition_read_s: time that an instance's link takes to transfer a read of
+        a partition, by instance and partition.
+    :ivar link_bytes_s: bandwidth of an instance's link for the cell's records, in
+        bytes per second by instance; unlimited if absent.
+    :ivar full_reads: number of reads of a full partition, by instance.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -109,26 +117,26 @@
         self.reads = 0
 
     def partition(self, topic: str, number: int = 0) -> _Partition:
-        """Return a partition; it is made on first use."""
+        """Return a partition; create it on first use."""
         return self.partitions.setdefault((topic, number), _Partition())
 
     def put(self, topic: str, key: str, value: bytes | None) -> int:
-        """Write as an operator or a worker does; return the offset."""
+        """Append a keyed record as an operator or a worker does; return its offset."""
         content = bytes((len(key.encode()),)) + key.encode() + (value or b"")
         return self.partition(topic).add([content]).offset
 
     def expire_history(self) -> None:
-        """Expire all records but the newest of each key."""
+        """Expire all records except the newest of each key."""
         for part in self.partitions.values():
             part.first, part.records = part.end, []
 
     def client(self, instance: str) -> "ModelStoreClient":
-        """Return the store as an instance reaches it."""
+        """Return an instance's client of the store."""
         return ModelStoreClient(self, instance)
 
 
 class ModelStoreClient(Store):
-    """The store as one instance reaches it."""
+    """Client of the store for one instance."""
 
     def __init__(self, store: ModelStore, instance: str) -> None:
         self.calls = {}
@@ -211,7 +219,7 @@
         try:
             self._add(topic, partition, records, producer, expected_end)
         except (LogFencedError, LogSequenceError, LogMovedError):
-            # Its condition holds no more; the store does nothing.
+            # The append's condition no longer holds, so it has no effect.
             return
 
     def _add(self, topic, partition, records, producer, expected_end) -> AppendResult:
--- a/standins/model/_time.py
+++ b/standins/model/_time.py
@@ -1,10 +1,13 @@
-"""An event loop whose time is that of its next timer."""
+"""An event loop in virtual time."""
 
 import asyncio
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Minutes pass in milliseconds, and each run is the same."""
+    """Event loop whose clock jumps to the next timer.
+
+    Minutes pass in milliseconds, and every run is the same.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -1,4 +1,4 @@
-"""Workers that run tasks under leases, as their pages describe them."""
+"""Model of the workers, which run tasks under leases."""
 
 import asyncio
 import random
@@ -31,10 +31,11 @@
 
 @attrs.frozen
 class TaskPlan:
-    """What only the model knows of a task.
+    """Properties of a task that only the model knows.
 
-    :param work_s: how long it takes on a sound worker.
-    :param fails: whether it fails wherever it runs.
+    :param work_s: duration on a worker of normal speed.
+    :param fails: whether the task fails wherever it runs.
+    :param gang: number of members of the task's gang; 0 without a gang.
     """
 
     work_s: float
@@ -46,7 +47,12 @@
 
 @attrs.define(eq=False)
 class _Run:
-    """A run on a worker."""
+    """A run on a worker.
+
+    :ivar saved_s: work that was done in earlier runs, from the checkpoint.
+    :ivar works: whether the run has begun its work; the members of a gang wait for
+        each other first.
+    """
 
     task: str
     number: int
@@ -59,13 +65,13 @@
 
 
 class Gangs:
-    """Brings the members of gangs together over all workers."""
+    """Coordinates the members of gangs across all workers."""
 
     def __init__(self) -> None:
         self.members: dict[tuple[str, int], dict[str, tuple[ModelWorker, _Run]]] = {}
 
     def add(self, worker: "ModelWorker", run: _Run) -> None:
-        """Add a member; with the last one the gang begins to work."""
+        """Add a member; the gang begins its work when it is complete."""
         key = (run.task.rpartition(".")[0], run.number)
         members = self.members.setdefault(key, {})
         members[run.task] = (worker, run)
@@ -89,7 +95,7 @@
             worker.finish(run, End.ALONE)
 
     def ended(self, run: _Run, end: End) -> None:
-        """End the other members with one."""
+        """End the other members of a gang after one has ended."""
         key = (run.task.rpartition(".")[0], run.number)
         members = self.members.pop(key, {})
         members.pop(run.task, None)
@@ -98,18 +104,22 @@
 
 
 class ModelWorker:
-    """One worker.
-
-    :ivar mode: ``up``, ``cut`` (nothing arrives), ``mute`` (what arrives is done
-        and not answered).
-    :ivar late_share: the share of orders that get no answer and are carried out
-        seconds later.
-    :ivar lost_share: the share of calls that are carried out at once and whose
-        answers are lost.
-    :ivar slow: a factor on the time that work takes.
-    :ivar fails_all: whether all that it runs fails at once.
-    :ivar stalled: whether what it starts makes no progress.
-    :ivar expired_tickets: starts refused as their tickets had ended.
+    """A worker.
+
+    :ivar mode: ``up``, ``cut`` (no call arrives) or ``mute`` (calls take effect
+        without an answer).
+    :ivar unreachable_from: instances whose calls do not arrive.
+    :ivar late_share: share of orders that take effect seconds later and are not
+        answered.
+    :ivar lost_share: share of calls that take effect at once and whose answers are
+        lost.
+    :ivar slow: factor on the duration of work.
+    :ivar fails_all: whether all runs fail soon after they start.
+    :ivar stalled: whether new runs make no progress.
+    :ivar expired_tickets: number of starts refused for an expired ticket.
+    :ivar incarnation: number of the worker's current process, which grows with each
+        restart.
+    :ivar polls: number of polls.
     """
 
     def __init__(
@@ -122,7 +132,7 @@
         checks: Checks,
         gangs: Gangs,
         rng: random.Random,
-        longest_lease_s: float = 10.0,
+        max_lease_s: float = 10.0,
     ) -> None:
         self.name, self.capacity, self.rack, self.zone = name, capacity, rack, zone
         self.checks = checks
@@ -139,7 +149,7 @@
         self.polls = 0
         self.expired_tickets = 0
         self._plans, self._gangs, self._rng = plans, gangs, rng
-        self._longest_lease_s = longest_lease_s
+        self._max_lease_s = max_lease_s
         self._reset()
 
     def _reset(self) -> None:
@@ -155,17 +165,17 @@
         self._done_at: dict[int, float] = {}
 
     def loses_answer(self, rng: random.Random) -> bool:
-        """Return whether the answer to a call that it carried out is lost."""
+        """Return whether the answer to a completed call is lost."""
         return self.lost_share > 0 and rng.random() < self.lost_share
 
     def clock(self) -> float:
-        """Return its own steady clock."""
+        """Return the time of the worker's own monotonic clock."""
         return now() - self._clock_base
 
-    # What happens to it.
+    # Faults.
 
     def crash(self) -> None:
-        """Lose all that runs, silently."""
+        """Lose all runs without reporting their ends."""
         self.up = False
         for run in list(self.runs.values()):
             self._drop(run)
@@ -173,14 +183,14 @@
                 self._gangs.ended(run, End.BROKEN)
 
     def restart(self) -> None:
-        """Come back in a new life that knows nothing."""
+        """Start a new incarnation without any state."""
         self.crash()
         self.incarnation += 1000
         self._reset()
         self.up = True
 
     def entry(self) -> dict:
-        """Return what it registers."""
+        """Return the worker's registration."""
         data = {
             "service": "pool",
             "address": f"{self.name}:80",
@@ -203,20 +213,20 @@
         return data
 
     def entry_bytes(self) -> bytes:
-        """Return it as it lies in the store."""
+        """Return the registration as the store holds it."""
         return msgspec.json.encode(self.entry())
 
-    # Its work.
+    # Runs.
 
     def used(self) -> Resources:
-        """Return what all that runs takes, what is being stopped included."""
+        """Return the resources of all runs, including those being stopped."""
         total = Resources()
         for run in self.runs.values():
             total = total.plus(run.plan.need)
         return total
 
     def begin_work(self, run: _Run, work_s: float) -> None:
-        """Let a run work until it ends."""
+        """Begin the work of a run and schedule its end."""
         run.works = True
         run.started_at = now()
         if self.stalled:
@@ -229,7 +239,7 @@
         run.timers.append(loop.call_later(left, self.finish, run, end))
 
     def finish(self, run: _Run, end: End) -> None:
-        """End a run, if it still goes on."""
+        """End a run if it is still in progress."""
         if self.runs.get((run.task, run.number)) is not run:
             return
         saved = self._checkpoint(run)
@@ -259,12 +269,12 @@
         self.checks.ended(run.task, self.name, self.incarnation)
 
     def _extend_lease(self, until_s: float) -> None:
-        until_s = min(until_s, self.clock() + self._longest_lease_s)
+        until_s = min(until_s, self.clock() + self._max_lease_s)
         self._lease_until = max(self._lease_until, until_s)
         if self._lease_timer is not None:
             self._lease_timer.cancel()
         left = max(self._lease_until - self.clock(), 0.0)
-        # Its clock is 1% slow, which is within what is allowed.
+        # The worker's clock is 1% slow, which is within the permitted drift.
         self._lease_timer = asyncio.get_running_loop().call_later(
             left * 1.01, self._expire_lease
         )
@@ -274,7 +284,7 @@
         for run in list(self.runs.values()):
             self.finish(run, End.LAPSED)
 
-    # Its interface.
+    # Interface.
 
     def poll(self, fence: int, ack: int, until_s: float | None) -> Look:
         """See :meth:`Workers.poll`."""
@@ -347,7 +357,7 @@
         return OrderAnswer(outcome, self.incarnation, self.clock())
 
     async def wait_for_end(self, wait_s: float) -> None:
-        """Wait until a run ends, if none is listed yet."""
+        """Wait until a run ends, unless an ended run is listed already."""
         until = now() + wait_s
         while not self.ends and now() < until and self.up:
             self._changed.clear()
@@ -366,10 +376,10 @@
 
 
 class ModelWorkers(Workers):
-    """The workers as one instance reaches them.
+    """Client of the workers for one instance.
 
-    :param link_wait_s: says how long an order takes to leave over the instance's
-        link, which it is sent over.
+    :param send_over_link: sends an order over the instance's link and returns how
+        long that takes, in seconds.
     """
 
     def __init__(
@@ -445,8 +455,8 @@
         if self._rng.random() < target.late_share:
             late_s = 2 + 10 * self._rng.random()
             loop = asyncio.get_running_loop()
-            # It waits inside the worker, and is lost with it: no order can be
-            # kept from a fresh life that has seen no fencing token.
+            # The late order is lost if the worker restarts first: a new incarnation
+            # has seen no fencing token and could not refuse it.
             incarnation = target.incarnation
             loop.call_later(
                 late_s,
