--- /dev/null
+++ b/src/firhook/cell/_job_table.py
@@ -0,0 +1,767 @@
+"""The lead's in-memory state of the cell's jobs, steps, tasks and runs.
+
+An instance that becomes lead rebuilds the table from the stored records.  Each
+change is stored before it has an external effect: an assignment before the start
+order is sent, and the end of a run before it is acknowledged to the worker, which
+then deletes it.  The change of a job's status to running affects only the answers
+to callers, so it may be stored a little later, together with other changes.
+"""
+
+import math
+from collections.abc import Iterable, Iterator
+
+import attrs
+
+from firhook.cell._config import CellConfig, Queue
+from firhook.cell._records import (
+    AcceptedJob,
+    JobState,
+    JobStatus,
+    RunState,
+    StepState,
+    TaskState,
+    WorkerIncarnation,
+)
+from firhook.cell._resources import NO_RESOURCES, Resources
+from firhook.cell._spec import StepSpec
+from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
+
+#: Progress, in percentage points, from which a run's measured speed is used.
+_MIN_MEASURED_PERCENT = 5.0
+#: A worker may still carry out an unanswered order up to 12 s after it was sent.
+MAX_ORDER_DELAY_S = 12.5
+#: Longest time that a job's change to running waits to be stored with other
+#: changes, which saves an append for each start.  The count of waiting jobs that
+#: callers get may be 2 s old.
+BEGUN_STORE_DELAY_S = 0.25
+#: Workers in the adviser call that the critical path, and so a job's objective,
+#: includes for each step.
+_ADVICE_WORKERS = 30
+
+
+@attrs.define(slots=True, eq=False)
+class Run:
+    """One start of a task on one worker.
+
+    :param incarnation: the worker's incarnation that the start was sent to, or that
+        last listed the run.
+    :param started_at: when the run was assigned; once the start order was answered,
+        when that answer arrived.
+    :ivar stored: whether the assignment is on the log; orders are sent only then.
+    :ivar confirmed: whether the worker has listed the run.
+    :ivar unanswered_starts: number of start orders without an answer; the worker may
+        still carry out each of them seconds later.
+    :ivar sent_at: when the last start order was sent.
+    :ivar absence_conclusive_after: if a poll sent after this time does not list the
+        run, it neither runs nor will start.
+    :ivar ticket: the adviser's ticket, if the queue requires one.
+    :ivar stop_reason: why the run is to be stopped; empty if it is not.
+    """
+
+    task: "Task"
+    number: int
+    worker: str
+    incarnation: int
+    started_at: float
+    stored: bool = False
+    confirmed: bool = False
+    unanswered_starts: int = 0
+    sent_at: float = -math.inf
+    absence_conclusive_after: float = math.inf
+    ticket: str = ""
+    stop_reason: str = ""
+    first_percent: float = -1.0
+    first_percent_at: float = 0.0
+    percent: float = 0.0
+    percent_at: float = 0.0
+
+    @property
+    def key(self) -> tuple[str, int]:
+        """The task's name and the run's number, which identify it to workers."""
+        return (self.task.name, self.number)
+
+    def update_progress(self, row: RunningRow, now: float) -> None:
+        """Record the progress and the checkpoint that the worker reports."""
+        self.confirmed = True
+        if row.checkpoint:
+            self.task.update_checkpoint(row.checkpoint)
+        if self.first_percent < 0:
+            self.first_percent, self.first_percent_at = row.percent, now
+        if row.percent != self.percent or not self.percent_at:
+            self.percent, self.percent_at = row.percent, now
+
+    def remaining_s(self, now: float) -> float:
+        """Return an estimate of the remaining duration, in seconds.
+
+        Callers' estimates are off by up to 90%, so the speed that the worker reports
+        takes precedence as soon as enough progress was measured.
+        """
+        gained = self.percent - self.first_percent
+        if self.first_percent >= 0 and gained >= _MIN_MEASURED_PERCENT:
+            per_percent = (self.percent_at - self.first_percent_at) / gained
+            remaining = (100.0 - self.percent) * per_percent
+            return max(remaining - (now - self.percent_at), 0.0)
+        return max(self.task.step.spec.estimate_s - (now - self.started_at), 0.05)
+
+
+@attrs.define(slots=True, eq=False)
+class Task:
+    """One task of a step of one occurrence of a job."""
+
+    step: "Step"
+    index: int
+    done: bool = False
+    last_run: int = 0
+    failures: int = 0
+    checkpoint: str = ""
+    runs: list[Run] = attrs.field(factory=list)
+
+    @property
+    def name(self) -> str:
+        """The task's name in the workers' interface."""
+        return f"{self.step.name}.{self.index}"
+
+    def update_checkpoint(self, checkpoint: str) -> None:
+        """Keep the newest checkpoint; the members of a gang share one."""
+        if not self.step.spec.checkpoints:
+            return
+        if self.step.spec.gang:
+            self.step.checkpoint = checkpoint
+        else:
+            self.checkpoint = checkpoint
+
+    def to_state(self, workers: dict[tuple[str, int], int]) -> TaskState | None:
+        """Return the record of the task; ``None`` if it was never assigned.
+
+        :param workers: index of each worker incarnation in the job's record;
+            those of this task's runs are added.
+        """
+        if not self.last_run and not self.done:
+            return None
+        rows = tuple(
+            RunState(
+                r.number, workers.setdefault((r.worker, r.incarnation), len(workers))
+            )
+            for r in self.runs
+        )
+        checkpoint = "" if self.done else self.step.start_checkpoint(self)
+        return TaskState(self.done, self.last_run, self.failures, checkpoint, rows)
+
+
+@attrs.define(slots=True, eq=False)
+class Step:
+    """A step of one occurrence of a job.
+
+    :param critical_path_s: estimated duration of the longest chain of steps from this
+        one to the end of the job.
+    :ivar ready_at: when all steps that it depends on were done; ``None`` before.
+    :ivar idle: tasks that wait for a worker, by index.
+    :ivar remaining: number of tasks that are not done.
+    :ivar checkpoint: newest checkpoint of a gang, valid for each member.
+    """
+
+    job: "Job"
+    occurrence: int
+    number: int
+    spec: StepSpec
+    critical_path_s: float
+    tasks: list[Task] = attrs.field(factory=list)
+    ready_at: float | None = None
+    idle: dict[int, Task] = attrs.field(factory=dict)
+    remaining: int = 0
+    checkpoint: str = ""
+
+    @property
+    def name(self) -> str:
+        """The step's name in requests to the adviser."""
+        return f"{self.job.id}.{self.occurrence}.{self.number}"
+
+    @property
+    def started(self) -> bool:
+        """Whether any of its tasks was ever assigned."""
+        return any(task.last_run for task in self.tasks)
+
+    def runs(self) -> Iterator[Run]:
+        """Yield the runs that may still be executing."""
+        for task in self.tasks:
+            yield from task.runs
+
+    def start_checkpoint(self, task: Task) -> str:
+        """Return the checkpoint that the task's next run resumes from."""
+        return self.checkpoint if self.spec.gang else task.checkpoint
+
+    def latest_start(self) -> float:
+        """Return the latest start time at which the job still meets its objective."""
+        return self.job.objective_at(self.occurrence) - self.critical_path_s
+
+    def to_state(self, workers: dict[tuple[str, int], int]) -> StepState:
+        """Return the record of the step; see :meth:`Task.to_state`."""
+        rows = tuple(task.to_state(workers) for task in self.tasks)
+        return StepState(self.occurrence, self.number, rows)
+
+
+@attrs.define(slots=True, eq=False)
+class Job:
+    """A job with the state of its steps.
+
+    :param queue: current configuration of its queue, or the last one if the queue
+        was removed.
+    :param accepted_at: on the lead's boot clock.
+    :ivar status: queued until a worker reports the first run of one of its tasks.
+    :ivar ended_at: seconds since 1970; 0 if the job has not ended.
+    :ivar steps: steps by occurrence and number.
+    :ivar next_occurrence: first occurrence that has not been released.
+    :ivar first_occurrence: first occurrence that is not done.
+    :ivar due_at: release time of each occurrence, on the boot clock.
+    :ivar critical_path_s: estimated duration of the job's longest chain of steps.
+    """
+
+    accepted: AcceptedJob
+    queue: Queue
+    accepted_at: float
+    status: JobStatus = JobStatus.QUEUED
+    ended_at: float = 0.0
+    steps: dict[tuple[int, int], Step] = attrs.field(factory=dict)
+    next_occurrence: int = 0
+    first_occurrence: int = 0
+    due_at: dict[int, float] = attrs.field(factory=dict)
+    critical_path_s: float = 0.0
+    reported: bool = False
+
+    @property
+    def id(self) -> str:
+        """The job's id, chosen by the caller."""
+        return self.accepted.id
+
+    @property
+    def team(self) -> str:
+        """Name of the team that submitted the job."""
+        return self.accepted.team
+
+    def released_at(self, occurrence: int) -> float:
+        """Return when an occurrence was due, on the boot clock.
+
+        For a job that is not periodic this is when it was accepted.
+        """
+        return self.due_at.get(occurrence, self.accepted_at)
+
+    def objective_at(self, occurrence: int) -> float:
+        """Return when an occurrence should be done at the latest, on the boot clock."""
+        start = self.released_at(occurrence)
+        return (
+            start + self.queue.slack_factor * self.critical_path_s + self.queue.target_s
+        )
+
+    def critical_paths_s(self) -> list[float]:
+        """Return each step's critical path to the end of the job, in seconds."""
+        advice = self.queue.advice
+        advice_s = advice.answer_s(_ADVICE_WORKERS) if advice else 0.0
+        return critical_paths_s(self.accepted.spec.steps, advice_s)
+
+    def runs(self) -> Iterator[Run]:
+        """Yield the runs that may still be executing."""
+        for step in self.steps.values():
+            yield from step.runs()
+
+    def to_state(self, version: int = 0) -> JobState:
+        """Return the record of the job.
+
+        For a job that ended, it contains only the steps that still have runs: the
+        next lead has to continue stopping them.
+        """
+        workers: dict[tuple[str, int], int] = {}
+        steps = tuple(
+            step.to_state(workers)
+            for step in self.steps.values()
+            if any(step.runs())
+            or (
+                step.started
+                and not self.status.ended
+                and step.occurrence >= self.first_occurrence
+            )
+        )
+        incarnations = tuple(
+            WorkerIncarnation(name, incarnation) for name, incarnation in workers
+        )
+        return JobState(
+            int(self.status),
+            self.ended_at,
+            incarnations,
+            steps,
+            self.first_occurrence,
+            version,
+        )
+
+
+def critical_paths_s(job_steps: tuple[StepSpec, ...], advice_s: float) -> list[float]:
+    """Return each step's critical path to the end of the job, in seconds.
+
+    :param advice_s: duration of the adviser call that each step needs.
+    """
+    paths_s = [0.0] * len(job_steps)
+    for number in range(len(job_steps) - 1, -1, -1):
+        after = (
+            paths_s[later]
+            for later in range(number + 1, len(job_steps))
+            if number in job_steps[later].after
+        )
+        paths_s[number] = (
+            job_steps[number].estimate_s + advice_s + max(after, default=0)
+        )
+    return paths_s
+
+
+class JobTable:
+    """The jobs that have not ended or still have runs, with their tasks and runs.
+
+    :ivar jobs: jobs by id.
+    :ivar open_steps: ready steps that have idle tasks, by name.
+    :ivar worker_runs: runs by worker and by :attr:`Run.key`.
+    :ivar worker_usage: resources that the runs reserve on each worker.
+    :ivar team_usage: resources that the runs of each team need.
+    :ivar planned: runs assigned since the last :meth:`take_planned`.
+    :ivar to_stop: runs to stop, added since the last :meth:`take_to_stop`.
+    :ivar ended_runs: reported ends, which the owner logs and clears.
+    :ivar voided: runs that were voided, each with the reason; the owner logs and
+        clears them.
+    """
+
+    def __init__(self, config: CellConfig) -> None:
+        self.config = config
+        self.jobs: dict[str, Job] = {}
+        self.open_steps: dict[str, Step] = {}
+        self.worker_runs: dict[str, dict[tuple[str, int], Run]] = {}
+        self.worker_usage: dict[str, Resources] = {}
+        self.team_usage: dict[str, Resources] = {}
+        self.planned: list[Run] = []
+        self.to_stop: list[Run] = []
+        self.ended_runs: list[tuple[Run, RunEnd]] = []
+        self.voided: list[tuple[Run, str]] = []
+        self._dirty: dict[str, Job] = {}
+        # When each job whose change to running is not stored began, oldest first.
+        self._unstored_begins: dict[str, float] = {}
+        self._periodic_jobs: dict[str, Job] = {}
+
+    # Jobs.
+
+    def set_config(self, config: CellConfig) -> None:
+        """Apply another version of the configuration."""
+        self.config = config
+        for job in self.jobs.values():
+            job.queue = config.by_address.get(job.queue.address, job.queue)
+
+    def add(
+        self,
+        accepted: AcceptedJob,
+        state: JobState | None,
+        now: float,
+        unix_now: float,
+    ) -> Job | None:
+        """Add a job that was accepted, or restore it from its stored state.
+
+        :param state: the stored state; ``None`` if there is none.
+        :param now: on the boot clock.
+        :param unix_now: seconds since 1970.
+        :return: ``None`` if the job is in the table already.
+        """
+        if accepted.id in self.jobs:
+            return None
+        queue = self.config.by_address.get(accepted.queue.address, accepted.queue)
+        # The wall clock may have jumped since the job was accepted, or differ from
+        # that of the accepting instance, so its age is bounded.
+        age_s = min(max(unix_now - accepted.accepted_at, 0.0), 60.0)
+        job = Job(accepted, queue, now - age_s)
+        job.critical_path_s = max(job.critical_paths_s(), default=0.0)
+        self.jobs[job.id] = job
+        if state is not None:
+            self._restore(job, state, now)
+        if job.status.ended:
+            self._delete_if_finished(job)
+            return job
+        if accepted.spec.periodic:
+            self._periodic_jobs[job.id] = job
+            self._add_due(job, now, unix_now)
+        else:
+            self._add_occurrence(job, 0, now)
+        for step in job.steps.values():
+            self._update_step(step, now)
+        return job
+
+    def tick(self, now: float, unix_now: float) -> None:
+        """Release the occurrences that are due."""
+        for job in list(self._periodic_jobs.values()):
+            self._add_due(job, now, unix_now)
+
+    def next_due(self) -> float | None:
+        """Return when the next occurrence is due, in seconds since 1970."""
+        return min(
+            (
+                job.accepted.spec.due(job.next_occurrence)
+                for job in self._periodic_jobs.values()
+            ),
+            default=None,
+        )
+
+    def _add_due(self, job: Job, now: float, unix_now: float) -> None:
+        spec = job.accepted.spec
+        while job.next_occurrence < spec.occurrences:
+            due = spec.due(job.next_occurrence)
+            if due > unix_now:
+                return
+            job.due_at[job.next_occurrence] = now - min(unix_now - due, 60.0)
+            self._add_occurrence(job, job.next_occurrence, now)
+            job.next_occurrence += 1
+        self._periodic_jobs.pop(job.id, None)
+
+    def _add_occurrence(self, job: Job, occurrence: int, now: float) -> None:
+        paths_s = job.critical_paths_s()
+        for number, spec in enumerate(job.accepted.spec.steps):
+            if (occurrence, number) in job.steps:
+                continue
+            step = Step(
+                job, occurrence, number, spec, paths_s[number], remaining=spec.count
+            )
+            step.tasks = [Task(step, index) for index in range(spec.count)]
+            job.steps[occurrence, number] = step
+        for number in range(len(job.accepted.spec.steps)):
+            self._update_step(job.steps[occurrence, number], now)
+
+    def _restore(self, job: Job, state: JobState, now: float) -> None:
+        job.status = JobStatus(state.status)
+        job.ended_at = state.ended_at
+        job.first_occurrence = job.next_occurrence = state.first_occurrence
+        stored_steps = {(s.occurrence, s.number): s for s in state.steps}
+        for occurrence in sorted({o for o, _ in stored_steps}):
+            if occurrence >= job.next_occurrence:
+                job.next_occurrence = occurrence + 1
+            job.due_at.setdefault(occurrence, job.accepted_at)
+            self._add_occurrence(job, occurrence, now)
+        for key, stored in stored_steps.items():
+            step = job.steps.get(key)
+            if step is not None:
+                self._restore_step(step, stored, state, now)
+
+    def _restore_step(
+        self, step: Step, stored: StepState, state: JobState, now: float
+    ) -> None:
+        for task, stored_task in zip(step.tasks, stored.tasks, strict=False):
+            if stored_task is None:
+                continue
+            task.done, task.last_run = stored_task.done, stored_task.last_run
+            task.failures = stored_task.failures
+            task.update_checkpoint(stored_task.checkpoint)
+            for row in stored_task.runs:
+                worker = state.workers[row.worker]
+                run = Run(task, row.number, worker.name, worker.incarnation, now)
+                # A worker that has seen this lead's fencing token ignores orders
+                # of earlier leads, so the first poll shows whether the run exists.
+                run.stored, run.absence_conclusive_after = True, -math.inf
+                self._add_run(run)
+                if step.job.status.ended or task.done:
+                    self.stop(run, "job_ended")
+        step.remaining = sum(not task.done for task in step.tasks)
+
+    def cancel(self, job_id: str, unix_now: float) -> None:
+        """Cancel a job, unless it has ended."""
+        job = self.jobs.get(job_id)
+        if job is not None and not job.status.ended:
+            self._end_job(job, JobStatus.CANCELLED, unix_now)
+
+    # Steps.
+
+    def _update_step(self, step: Step, now: float) -> None:
+        """Update the step's idle tasks and whether it is ready."""
+        if step.job.status.ended:
+            self.open_steps.pop(step.name, None)
+            return
+        if step.ready_at is None and self._predecessors_done(step):
+            step.ready_at = now
+        step.idle = {t.index: t for t in step.tasks if not t.done and not t.runs}
+        if step.spec.gang and len(step.idle) < step.spec.count:
+            step.idle = {}
+        if step.ready_at is not None and step.idle:
+            self.open_steps[step.name] = step
+        else:
+            self.open_steps.pop(step.name, None)
+
+    def _predecessors_done(self, step: Step) -> bool:
+        return all(
+            step.job.steps[step.occurrence, predecessor].remaining == 0
+            for predecessor in step.spec.after
+        )
+
+    def allow_duplicate(self, task: Task) -> None:
+        """Let a task start on another worker beside its runs, if it may run twice."""
+        step = task.step
+        if step.spec.duplicates and not task.done and not step.job.status.ended:
+            step.idle[task.index] = task
+            if step.ready_at is not None:
+                self.open_steps[step.name] = step
+
+    # Runs.
+
+    def plan(
+        self, step: Step, tasks: Iterable[tuple[Task, str, int]], now: float
+    ) -> list[Run]:
+        """Assign tasks to workers; the members of a gang get the same run number.
+
+        The job stays queued until :meth:`mark_begun`.
+
+        :param tasks: each with the name and the incarnation of its worker.
+        """
+        chosen = list(tasks)
+        shared = max(task.last_run for task, _, _ in chosen) + 1
+        runs: list[Run] = []
+        for task, worker, incarnation in chosen:
+            number = shared if step.spec.gang else task.last_run + 1
+            task.last_run = number
+            run = Run(task, number, worker, incarnation, now)
+            self._add_run(run)
+            runs.append(run)
+            step.idle.pop(task.index, None)
+        if not step.idle:
+            self.open_steps.pop(step.name, None)
+        self._dirty[step.job.id] = step.job
+        self.planned += runs
+        return runs
+
+    def _add_run(self, run: Run) -> None:
+        run.task.runs.append(run)
+        spec = run.task.step.spec
+        team = run.task.step.job.team
+        self.worker_runs.setdefault(run.worker, {})[run.key] = run
+        used = self.worker_usage.get(run.worker, NO_RESOURCES)
+        self.worker_usage[run.worker] = used.add(spec.reserved)
+        self.team_usage[team] = self.team_usage.get(team, NO_RESOURCES).add(spec.need)
+
+    def _remove_run(self, run: Run) -> None:
+        run.task.runs.remove(run)
+        spec = run.task.step.spec
+        team = run.task.step.job.team
+        del self.worker_runs[run.worker][run.key]
+        self.worker_usage[run.worker] = self.worker_usage[run.worker].subtract(
+            spec.reserved
+        )
+        self.team_usage[team] = self.team_usage[team].subtract(spec.need)
+
+    def void(self, run: Run, reason: str, now: float) -> None:
+        """Remove a run that is known neither to run nor to start later."""
+        if run not in run.task.runs:
+            return
+        step = run.task.step
+        self.voided.append((run, reason))
+        self._remove_run(run)
+        if step.spec.gang and not run.task.done:
+            self.stop_gang(step, run.number)
+        self._on_run_removed(step, now)
+
+    def end(
+        self, run: Run, end: RunEnd, checkpoint: str, now: float, unix: float
+    ) -> None:
+        """Record how a run ended and remove it.
+
+        :param now: on the boot clock.
+        :param unix: seconds since 1970.
+        """
+        task, step = run.task, run.task.step
+        self._remove_run(run)
+        self.ended_runs.append((run, end))
+        if checkpoint:
+            task.update_checkpoint(checkpoint)
+        if step.spec.long_running:
+            self._on_run_removed(step, now)
+            return
+        if end is RunEnd.DONE:
+            self._complete_task(run, unix)
+        elif end is RunEnd.FAILED:
+            self._record_failure(task, unix)
+        if step.spec.gang and not task.done:
+            self.stop_gang(step, run.number)
+        self._on_run_removed(step, now)
+
+    def _on_run_removed(self, step: Step, now: float) -> None:
+        self._dirty[step.job.id] = step.job
+        self._update_step(step, now)
+        if step.remaining == 0:
+            self._update_successors(step, now)
+        self._delete_if_finished(step.job)
+
+    def _update_successors(self, step: Step, now: float) -> None:
+        for (occurrence, _), later in step.job.steps.items():
+            if occurrence == step.occurrence and step.number in later.spec.after:
+                self._update_step(later, now)
+
+    def _complete_task(self, run: Run, unix_now: float) -> None:
+        step = run.task.step
+        # A gang is done as soon as one member reports that it is.
+        tasks = step.tasks if step.spec.gang else [run.task]
+        for task in tasks:
+            if task.done:
+                continue
+            task.done, task.checkpoint = True, ""
+            step.remaining -= 1
+            for other in task.runs:
+                if other.number != run.number or not step.spec.gang:
+                    self.stop(other, "copy_done")
+        if step.remaining == 0 and not step.job.status.ended:
+            self._complete_if_done(step.job, unix_now)
+
+    def _complete_if_done(self, job: Job, unix_now: float) -> None:
+        while self._occurrence_done(job, job.first_occurrence):
+            job.first_occurrence += 1
+        if job.first_occurrence >= max(job.accepted.spec.occurrences, 1):
+            self._end_job(job, JobStatus.COMPLETED, unix_now)
+
+    def _occurrence_done(self, job: Job, occurrence: int) -> bool:
+        if occurrence >= max(job.accepted.spec.occurrences, 1):
+            return False
+        numbers = range(len(job.accepted.spec.steps))
+        return all(
+            (occurrence, n) in job.steps and job.steps[occurrence, n].remaining == 0
+            for n in numbers
+        )
+
+    def _record_failure(self, task: Task, unix_now: float) -> None:
+        step = task.step
+        # A failure of one member counts for the whole gang.
+        for member in step.tasks if step.spec.gang else [task]:
+            member.failures += 1
+        if task.failures >= step.job.queue.max_attempts and not task.done:
+            self._end_job(step.job, JobStatus.FAILED, unix_now)
+
+    def stop_gang(self, step: Step, number: int) -> None:
+        """Stop the other members of a gang's run, which can no longer complete."""
+        for run in step.runs():
+            if run.number == number:
+                self.stop(run, "gang_broken")
+
+    def _end_job(self, job: Job, status: JobStatus, unix_now: float) -> None:
+        if job.status.ended:
+            return
+        job.status, job.ended_at = status, unix_now
+        self._dirty[job.id] = job
+        self._periodic_jobs.pop(job.id, None)
+        for step in job.steps.values():
+            step.idle = {}
+            self.open_steps.pop(step.name, None)
+        for run in list(job.runs()):
+            # The members of a gang that is done end together without being stopped.
+            if not run.task.done:
+                self.stop(run, "job_ended")
+        self._delete_if_finished(job)
+
+    def _delete_if_finished(self, job: Job) -> None:
+        if job.status.ended and not any(job.runs()):
+            self._periodic_jobs.pop(job.id, None)
+            self.jobs.pop(job.id, None)
+
+    def stop(self, run: Run, reason: str) -> None:
+        """Schedule a run to be stopped, unless it already is."""
+        if run.stop_reason:
+            return
+        run.stop_reason = reason
+        self.to_stop.append(run)
+
+    # Reports of workers.
+
+    def mark_begun(self, job: Job, now: float) -> None:
+        """Record that a worker began a task of a job.
+
+        The status never returns to queued.
+        """
+        if job.status == JobStatus.QUEUED:
+            job.status = JobStatus.RUNNING
+            self._unstored_begins[job.id] = now
+
+    def apply_poll_reply(
+        self, worker: str, reply: PollReply, sent_at: float, now: float, unix_now: float
+    ) -> list[tuple[str, int]]:
+        """Apply a worker's reply to a poll.
+
+        :param sent_at: when the poll was sent, on the boot clock.
+        :return: keys of the orphaned runs that the worker lists as running.
+        """
+        runs = self.worker_runs.get(worker, {})
+        listed = {(row.task, row.run): row for row in reply.running}
+        ended = {(row.task, row.run): row for row in reply.ended}
+        # The worker began runs that were voided before; their jobs count as begun.
+        for task, _ in (listed.keys() | ended.keys()) - runs.keys():
+            job = self.jobs.get(task.partition(".")[0])
+            if job is not None:
+                self.mark_begun(job, now)
+        for run in list(runs.values()):
+            if run.key in ended and run.incarnation <= reply.incarnation:
+                # A worker lists only runs that it began, however they ended.
+                self.mark_begun(run.task.step.job, now)
+                self._apply_end(run, ended[run.key], now, unix_now)
+            elif run.key in listed:
+                run.incarnation = reply.incarnation
+                self.mark_begun(run.task.step.job, now)
+                run.update_progress(listed[run.key], now)
+            else:
+                self._apply_absence(run, reply, sent_at, now)
+        return [key for key in listed if key not in runs and key not in ended]
+
+    def _apply_end(self, run: Run, row: EndedRow, now: float, unix_now: float) -> None:
+        if run not in run.task.runs:
+            # The end of another run in the same reply has removed this one.
+            return
+        self.end(run, row.end, row.checkpoint, now, unix_now)
+
+    def _apply_absence(
+        self, run: Run, reply: PollReply, sent_at: float, now: float
+    ) -> None:
+        if not run.stored or run not in run.task.runs:
+            return
+        if reply.incarnation > run.incarnation:
+            if run.unanswered_starts:
+                # The unanswered order may still reach the new incarnation.
+                run.incarnation = reply.incarnation
+                self.stop(run, "worker_restarted")
+                return
+            self.void(run, "worker_restarted", now)
+        elif run.absence_conclusive_after < sent_at:
+            self.void(run, "not_there", now)
+
+    def expire_lease(self, worker: str, now: float) -> None:
+        """Void the runs on a worker whose lease has expired.
+
+        Runs with a recent unanswered start are kept for :data:`MAX_ORDER_DELAY_S`,
+        because the order may be carried out seconds later.  A worker that did not
+        restart then refuses it, since the lease in the order has expired.  A worker
+        that did restart has another clock and would run the task beside its next run.
+        """
+        for run in list(self.worker_runs.get(worker, {}).values()):
+            if run.unanswered_starts and now - run.sent_at < MAX_ORDER_DELAY_S:
+                continue
+            if run.stored:
+                self.void(run, "lease_lapsed", now)
+
+    # Changes to store and orders to send.
+
+    def take_dirty(self, now: float) -> list[Job]:
+        """Return the jobs that changed since the last call and are to be stored.
+
+        A job that only changed to running waits for another change of its own, until
+        the oldest such job has waited for :data:`BEGUN_STORE_DELAY_S`.
+        """
+        dirty, self._dirty = self._dirty, {}
+        for job_id in dirty:
+            self._unstored_begins.pop(job_id, None)
+        oldest = next(iter(self._unstored_begins.values()), math.inf)
+        if now - oldest >= BEGUN_STORE_DELAY_S:
+            dirty.update(
+                (job_id, self.jobs[job_id]) for job_id in self._unstored_begins
+            )
+            self._unstored_begins = {}
+        return list(dirty.values())
+
+    def take_planned(self) -> list[Run]:
+        """Return the runs that were assigned since the last call."""
+        planned, self.planned = self.planned, []
+        return planned
+
+    def take_to_stop(self) -> list[Run]:
+        """Return the runs to stop, added since the last call."""
+        runs, self.to_stop = self.to_stop, []
+        return runs
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -1,12 +1,12 @@
-"""The records of a cell's topic, and how they are encoded.
+"""The records of a cell's topic, and their encoding.
 
-Each record is the whole new value of its key, so that a reader needs only the
-newest record of each key, in any order.  Callers' instances write what they
-accepted and cancelled; only the lead writes the state of jobs.
+Each record contains the full new value of its key, so a reader needs only the newest
+record of each key, in any order.  The instances that serve callers write the jobs that
+they accept and cancel; only the lead writes the state of jobs.
 
-Values are encoded as rows, without the names of fields: every instance reads
-every record, and the names would be most of the bytes.  A new field goes last
-and has a default, so that instances of two versions read each other's records.
+Values are encoded as rows without field names: every instance reads every record, and
+the names would be most of the bytes.  A new field is added last and has a default, so
+that instances of different versions can read each other's records.
 """
 
 import enum
@@ -30,29 +30,33 @@
 PEER_PREFIX = "peer/"
 LEAD_KEY = "lead"
 MESH_KEY = "mesh"
-#: The keys between these two, in the order of their bytes, are of instances.
-MEMBERS_AFTER, MEMBERS_UNTIL = LEAD_KEY, STATE_PREFIX
+#: The keys about instances, which are the mesh key and those of the peers, lie between
+#: these two in byte order.
+INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE = LEAD_KEY, STATE_PREFIX
 
-
-#: States that a lead may write; versions begin anew with each epoch.
-VERSIONS_AN_EPOCH = 10**9
+#: Versions reserved for the states that a lead writes in its epoch; the count restarts
+#: with each epoch.
+VERSIONS_PER_EPOCH = 10**9
 
 
 def state_version(epoch: int, count: int) -> int:
-    """Return the version of a lead's state, above that of every lead before."""
-    return epoch * VERSIONS_AN_EPOCH + count
+    """Return the version of a record, higher than any of an earlier epoch.
+
+    :param count: number of the record among those of this epoch.
+    """
+    return epoch * VERSIONS_PER_EPOCH + count
 
 
 def epoch_of(version: int) -> int:
     """Return the epoch of the lead that wrote a record with this version."""
-    return version // VERSIONS_AN_EPOCH
+    return version // VERSIONS_PER_EPOCH
 
 
 class JobStatus(enum.IntEnum):
-    """Where a job stands; the numbers are on the log.
+    """The status of a job; the numbers are stored in records.
 
-    A job is queued until a worker has said that it began one of its tasks, and
-    running from then on, whatever becomes of that task.
+    A job is queued until a worker reports that it began one of its tasks.  It is
+    running from then on, whatever happens to that task.
     """
 
     QUEUED = 0
@@ -63,16 +67,16 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it never changes again."""
+        """Whether the status is final."""
         return self >= JobStatus.COMPLETED
 
 
 @attrs.frozen(slots=True)
 class AcceptedJob:
-    """A job that was accepted, as the accepting instance wrote it.
+    """An accepted job, as the accepting instance wrote it.
 
-    :param queue: the queue as it was configured then; a queue that is taken
-        away later leaves its jobs with these values.
+    :param queue: the queue as it was configured then.  These values apply if the queue
+        is later removed.
     :param accepted_at: seconds since 1970 by the accepting instance's clock.
     """
 
@@ -84,18 +88,18 @@
 
     @property
     def owner(self) -> tuple[str, str]:
-        """Whose job it is, by queue and team."""
+        """The address of the queue and the team that own the job."""
         return self.queue.owner(self.team)
 
     @property
     def is_digest(self) -> bool:
-        """Whether it lacks what the job runs; a job has a step at least."""
+        """Whether the job's specification was left out; a full job has steps."""
         return not self.spec.steps
 
 
 @attrs.frozen(slots=True)
 class RunState:
-    """A run that may be going on.
+    """A run that may still be executing.
 
     :param worker: index into the workers of the job's state.
     """
@@ -106,7 +110,11 @@
 
 @attrs.frozen(slots=True)
 class TaskState:
-    """A task that was begun."""
+    """A task that was assigned at least once.
+
+    :param last_run: number of its newest run.
+    :param failures: number of failed runs.
+    """
 
     done: bool = False
     last_run: int = 0
@@ -117,7 +125,10 @@
 
 @attrs.frozen(slots=True)
 class StepState:
-    """The tasks of a step of one occurrence, by index; ``None``: not begun."""
+    """The state of a step in one occurrence of its job.
+
+    :param tasks: its tasks by index; ``None`` for those that were never assigned.
+    """
 
     occurrence: int
     number: int
@@ -125,27 +136,27 @@
 
 
 @attrs.frozen(slots=True)
-class WorkerLife:
-    """One life of a worker."""
+class WorkerIncarnation:
+    """One incarnation of a worker."""
 
     name: str
-    life: int
+    incarnation: int
 
 
 @attrs.frozen(slots=True)
 class JobState:
-    """How far a job is.
+    """The progress of a job, as the lead stores it.
 
-    :param ended_at: seconds since 1970 when it ended; 0 if it has not.
+    :param ended_at: seconds since 1970 when the job ended; 0 if it has not.
+    :param workers: the worker incarnations that its runs refer to.
     :param first_occurrence: all occurrences before this one are done.
-    :param version: of two states of one job the one with the higher version is
-        the newer, whichever partition they are on; it holds the lead's epoch and
-        a count.
+    :param version: combines the lead's epoch and a count.  Of two states of a job, the
+        one with the higher version is the newer, whichever partitions they are on.
     """
 
     status: int
     ended_at: float = 0.0
-    workers: tuple[WorkerLife, ...] = ()
+    workers: tuple[WorkerIncarnation, ...] = ()
     steps: tuple[StepState, ...] = ()
     first_occurrence: int = 0
     version: int = 0
@@ -153,13 +164,13 @@
 
 @attrs.frozen(slots=True)
 class PeerRecord:
-    """An instance, for the others to find.
+    """The registration of an instance, by which the others find it.
 
     :param incarnation: unique for each run of the process.
     :param address: where it listens for its peers.
-    :param strength: its processors, in cores.
-    :param reading: whether it has not read the cell's records to their end yet; its
-        link may be full of them.
+    :param strength: its processor capacity, in cores.
+    :param catching_up: whether it has not yet read the cell's records to their end;
+        these records may saturate its network link.
     """
 
     name: str
@@ -167,15 +178,15 @@
     address: str
     zone: str
     strength: float = 1.0
-    reading: bool = False
+    catching_up: bool = False
 
 
 @attrs.frozen(slots=True)
 class LeadRecord:
     """The instance that leads the cell, for operators and for its peers.
 
-    :param version: like that of a job's state; a lead that has nothing else to
-        write writes this record again, which tells that it lives.
+    :param version: like that of a job's state.  A lead that has nothing else to write
+        writes this record again as a heartbeat.
     """
 
     name: str
@@ -193,89 +204,90 @@
 
 
 @attrs.frozen(slots=True)
-class StoredState:
-    """The state of a job as it lies on the log, read as far as callers need it.
-
-    Load: the lead writes a job's state anew with each start and each end, 500
-    times a second in a cell of 176 workers, and every instance gets all of them.
-    Harm: decoded whole they took half a core on each of 33 instances, where the
-    weakest have half a core; an answer to a caller waited behind them.  Only a
-    new lead needs the tasks.
-
-    :param over: whether nothing of the job is left to stop.
-    :param raw: the state as it was read, which may be a digest.
+class StateSummary:
+    """The part of a job's stored state that is needed to answer callers.
+
+    The lead writes a job's state with each start and each end of a run, 500 times a
+    second in a cell of 176 workers, and every instance receives all of them.  Full
+    decoding took half a core on each of 33 instances, and the weakest instances have
+    only half a core, so answers to callers were delayed.  Only a new lead needs the
+    tasks, which :meth:`decode` returns.
+
+    :param has_no_steps: whether the state lists no steps; if the job has ended, none of
+        its runs remains to be stopped.
+    :param raw: the encoded state, which may be a digest.
     """
 
     status: JobStatus
     ended_at: float
-    over: bool
+    has_no_steps: bool
     version: int
     raw: bytes
 
-    def whole(self) -> JobState:
-        """Return all of it.
+    def decode(self) -> JobState:
+        """Decode the full state.
 
-        :raises RecordMalformedError: if it cannot be read.
+        :raises RecordMalformedError: if the record is malformed or a digest.
         """
         return decode_record(JobState, self.raw)
 
 
-def peek_state(raw: bytes) -> StoredState:
-    """Read of a job's state what callers are told.
+def decode_state_summary(raw: bytes) -> StateSummary:
+    """Decode the part of a job's state that is needed to answer callers.
 
-    :raises RecordMalformedError: if it is no state.
+    :raises RecordMalformedError: if the bytes are not a state.
     """
     try:
-        row = _RAW_ROW.decode(raw)
-        # Rows may end early, where what follows has its default.
+        row = _RAW_ROW_DECODER.decode(raw)
+        # A row written by an older version lacks the newest fields.
         row += [msgspec.Raw(default) for default in _STATE_DEFAULTS[len(row) :]]
-        return StoredState(
-            JobStatus(_INT.decode(row[0])),
-            _FLOAT.decode(row[1]),
-            not _RAW_ROW.decode(row[3]),
-            _INT.decode(row[5]),
+        return StateSummary(
+            JobStatus(_INT_DECODER.decode(row[0])),
+            _FLOAT_DECODER.decode(row[1]),
+            not _RAW_ROW_DECODER.decode(row[3]),
+            _INT_DECODER.decode(row[5]),
             raw,
         )
     except (msgspec.MsgspecError, IndexError, ValueError) as exc:
         raise RecordMalformedError(f"JobState: {exc}") from exc
 
 
-def digest_state(state: StoredState) -> bytes:
-    """Return a state without the tasks; its whole cannot be read any more."""
-    steps = [] if state.over else [None]
+def digest_state(state: StateSummary) -> bytes:
+    """Encode a state without its tasks; the digest cannot be decoded in full."""
+    steps = [] if state.has_no_steps else [None]
     return msgspec.msgpack.encode(
         [int(state.status), state.ended_at, None, steps, 0, state.version]
     )
 
 
 def digest_job(raw: bytes) -> bytes:
-    """Return an accepted job without what it runs.
+    """Return an encoded accepted job without its specification.
 
-    :raises RecordMalformedError: if it is no accepted job.
+    :raises RecordMalformedError: if the bytes are not an accepted job.
     """
     try:
-        row = _RAW_ROW.decode(raw)
-        row[4] = _NO_SPEC
+        row = _RAW_ROW_DECODER.decode(raw)
+        row[4] = _EMPTY_SPEC
         return msgspec.msgpack.encode(row)
     except (msgspec.MsgspecError, IndexError) as exc:
         raise RecordMalformedError(f"AcceptedJob: {exc}") from exc
 
 
 def digest_value(value: Any) -> bytes:
-    """Return what is told of a record's value that was read."""
-    if isinstance(value, StoredState):
+    """Return the encoded digest of a record's decoded value."""
+    if isinstance(value, StateSummary):
         return digest_state(value)
     if isinstance(value, AcceptedJob):
         return encode_record(attrs.evolve(value, spec=JobSpec("", ())))
-    # Of most keys it matters only that they are there.
+    # ``True`` stands for the value of a key of which only the existence matters.
     return b"\x01" if value is True else encode_record(value)
 
 
-_NO_SPEC = msgspec.Raw(msgspec.msgpack.encode(["", []]))
-_RAW_ROW = msgspec.msgpack.Decoder(list[msgspec.Raw])
-_INT = msgspec.msgpack.Decoder(int)
-_FLOAT = msgspec.msgpack.Decoder(float)
-#: The fields of a state that a row may leave out, encoded; the status has none.
+_EMPTY_SPEC = msgspec.Raw(msgspec.msgpack.encode(["", []]))
+_RAW_ROW_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_INT_DECODER = msgspec.msgpack.Decoder(int)
+_FLOAT_DECODER = msgspec.msgpack.Decoder(float)
+#: The encoded default of each field of a state, by index.  The status has no default.
 _STATE_DEFAULTS = tuple(
     msgspec.msgpack.encode(default) for default in (None, 0.0, (), (), 0, 0)
 )
@@ -283,24 +295,24 @@
 
 def encode_record(obj: Any) -> bytes:
     """Encode an attrs object as a row."""
-    return msgspec.msgpack.encode(_row_maker(type(obj))(obj))
+    return msgspec.msgpack.encode(_row_encoder(type(obj))(obj))
 
 
 def decode_record(cls: type[T], raw: bytes) -> T:
     """Decode a row.
 
-    :raises RecordMalformedError: if it is no row of that class.
+    :raises RecordMalformedError: if the bytes are not a row of that class.
     """
     try:
-        return _object_maker(cls)(msgspec.msgpack.decode(raw))
+        return _row_decoder(cls)(msgspec.msgpack.decode(raw))
     except (msgspec.MsgspecError, TypeError, ValueError, IndexError) as exc:
         raise RecordMalformedError(f"{cls.__name__}: {exc}") from exc
 
 
-# The types of a class's fields are looked at once, when its first record is
-# encoded or decoded.  Looking at them for each value took nine tenths of the time.
+# The field types of a class are inspected once, when its first record is encoded or
+# decoded.  Inspecting them for each value took nine tenths of the time.
 
-Maker = Callable[[Any], Any]
+Converter = Callable[[Any], Any]
 
 
 def _field_types(cls: type) -> dict[str, Any]:
@@ -308,55 +320,55 @@
     return {f.name: hints[f.name] for f in attrs.fields(cls)}
 
 
-def _optional_kind(kind: Any) -> Any:
-    """Return what a value is if it is not ``None``; ``None`` if it must be."""
-    if get_origin(kind) not in (Union, types.UnionType):
+def _optional_type(cls: Any) -> Any:
+    """Return the type ``T`` of ``T | None``; ``None`` for any other type."""
+    if get_origin(cls) not in (Union, types.UnionType):
         return None
-    return next(k for k in get_args(kind) if k is not type(None))
+    return next(k for k in get_args(cls) if k is not type(None))
 
 
 @cache
-def _row_maker(kind: Any) -> Maker:
-    """Return what makes rows of values of a type."""
-    if attrs.has(kind):
-        fields = [(name, _row_maker(k)) for name, k in _field_types(kind).items()]
-        return lambda obj: [make(getattr(obj, name)) for name, make in fields]
-    origin = get_origin(kind)
+def _row_encoder(cls: Any) -> Converter:
+    """Return a function that converts values of a type to rows."""
+    if attrs.has(cls):
+        fields = [(name, _row_encoder(k)) for name, k in _field_types(cls).items()]
+        return lambda obj: [convert(getattr(obj, name)) for name, convert in fields]
+    origin = get_origin(cls)
     if origin is tuple:
-        item = _row_maker(get_args(kind)[0])
+        item = _row_encoder(get_args(cls)[0])
         return lambda values: [item(value) for value in values]
     if origin is frozenset:
         return sorted
-    inner = _optional_kind(kind)
+    inner = _optional_type(cls)
     if inner is not None:
-        some = _row_maker(inner)
-        return lambda value: None if value is None else some(value)
+        convert_value = _row_encoder(inner)
+        return lambda value: None if value is None else convert_value(value)
     return lambda value: value
 
 
 @cache
-def _object_maker(kind: Any) -> Maker:
-    """Return what makes values of a type of rows."""
-    if attrs.has(kind):
-        makers = [_object_maker(k) for k in _field_types(kind).values()]
-        # Rows of a newer version may be longer; what they add is unknown here.
-        return lambda row: kind(
-            *(make(value) for make, value in zip(makers, row, strict=False))
+def _row_decoder(cls: Any) -> Converter:
+    """Return a function that converts rows to values of a type."""
+    if attrs.has(cls):
+        decoders = [_row_decoder(k) for k in _field_types(cls).values()]
+        # A row written by a newer version may have more fields, which are ignored.
+        return lambda row: cls(
+            *(convert(value) for convert, value in zip(decoders, row, strict=False))
         )
-    origin = get_origin(kind)
+    origin = get_origin(cls)
     if origin is tuple:
-        item = _object_maker(get_args(kind)[0])
+        item = _row_decoder(get_args(cls)[0])
         return lambda row: tuple(item(value) for value in row)
-    inner = _optional_kind(kind)
+    inner = _optional_type(cls)
     if inner is not None:
-        some = _object_maker(inner)
-        return lambda value: None if value is None else some(value)
-    if kind is float:
+        convert_value = _row_decoder(inner)
+        return lambda value: None if value is None else convert_value(value)
+    if cls is float:
         return float
-    return lambda value: _checked(kind, value)
+    return lambda value: _check_type(cls, value)
 
 
-def _checked(kind: type, value: Any) -> Any:
-    if not isinstance(value, kind):
-        raise TypeError(f"{value!r} is not {kind.__name__}")
+def _check_type(cls: type, value: Any) -> Any:
+    if not isinstance(value, cls):
+        raise TypeError(f"{value!r} is not {cls.__name__}")
     return value
--- a/src/firhook/cell/records.py
+++ b/src/firhook/cell/records.py
@@ -1,39 +1,39 @@
-"""The records of a cell's topic: their keys and how they are encoded."""
+"""The records of a cell's topic, with their keys and their encoding."""
 
 from firhook.cell._records import (
     CANCEL_PREFIX,
+    INSTANCE_KEYS_AFTER,
+    INSTANCE_KEYS_BEFORE,
     JOB_PREFIX,
     LEAD_KEY,
-    MEMBERS_AFTER,
-    MEMBERS_UNTIL,
     MESH_KEY,
     PEER_PREFIX,
     STATE_PREFIX,
     decode_record,
+    decode_state_summary,
     digest_job,
     digest_state,
     digest_value,
     encode_record,
     epoch_of,
-    peek_state,
     state_version,
 )
 
 __all__ = [
     "CANCEL_PREFIX",
+    "INSTANCE_KEYS_AFTER",
+    "INSTANCE_KEYS_BEFORE",
     "JOB_PREFIX",
     "LEAD_KEY",
-    "MEMBERS_AFTER",
-    "MEMBERS_UNTIL",
     "MESH_KEY",
     "PEER_PREFIX",
     "STATE_PREFIX",
     "decode_record",
+    "decode_state_summary",
     "digest_job",
     "digest_state",
     "digest_value",
     "encode_record",
     "epoch_of",
-    "peek_state",
     "state_version",
 ]
--- a/src/firhook/platform/_config.py
+++ b/src/firhook/platform/_config.py
@@ -90,7 +90,7 @@
 def _decode_pool(row: dict[str, Any]) -> Pool:
     return Pool(
         name=get_str(row, "name"),
-        guards_capacity=get_bool(row, "enforce_capacity"),
+        enforces_capacity=get_bool(row, "enforce_capacity"),
         standby=get_bool(row, "standby"),
     )
 
--- a/src/firhook/platform/_jobs.py
+++ b/src/firhook/platform/_jobs.py
@@ -83,7 +83,7 @@
         data_rack=get_str(row, "data_rack", ""),
         per_worker=get_int(row, "anti_affinity", 0),
         duplicates=get_bool(row, "allow_duplicates"),
-        lasting=get_bool(row, "run_forever"),
+        long_running=get_bool(row, "run_forever"),
         image=get_str(row, "image", ""),
         target_s=get_number(row, "target_ms", 0) / 1000,
         fills=get_bool(row, "fills"),
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -11,11 +11,11 @@
 from firhook.address import Address
 from firhook.cell import (
     Advice,
-    End,
     EndedRow,
-    Look,
     OrderAnswer,
     OrderOutcome,
+    PollReply,
+    RunEnd,
     RunningRow,
     StartOrder,
     WorkerEntry,
@@ -43,12 +43,12 @@
 
 _OUTCOMES_BY_REASON = {
     "fence": OrderOutcome.FENCED,
-    "old": OrderOutcome.OLD,
-    "late": OrderOutcome.LATE,
-    "room": OrderOutcome.NO_ROOM,
+    "old": OrderOutcome.SUPERSEDED,
+    "late": OrderOutcome.EXPIRED,
+    "room": OrderOutcome.NO_CAPACITY,
     "ticket": OrderOutcome.NO_TICKET,
 }
-_ENDS_BY_VALUE = {end.value: end for end in End}
+_ENDS_BY_VALUE = {end.value: end for end in RunEnd}
 _DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
@@ -64,7 +64,7 @@
         return WorkerEntry(
             name=name,
             # The time at which this incarnation of the worker started.
-            life=get_int(data, "born", 0),
+            incarnation=get_int(data, "born", 0),
             pool=get_str(data, "service"),
             address=_host_port(get_str(data, "address")),
             zone=get_str(data, "zone"),
@@ -87,9 +87,9 @@
     return value
 
 
-def _decode_poll_reply(data: dict[str, Any]) -> Look:
-    return Look(
-        life=get_int(data, "born", 0),
+def _decode_poll_reply(data: dict[str, Any]) -> PollReply:
+    return PollReply(
+        incarnation=get_int(data, "born", 0),
         clock_s=get_number(data, "timestamp_ms") / 1000,
         running=tuple(_decode_running_row(row) for row in get_list(data, "running")),
         ended=tuple(_decode_ended_row(row) for row in get_list(data, "finished")),
@@ -122,7 +122,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """Renew the lease, acknowledge ended runs, and return the worker's state.
 
         :param ack: highest number of an ended run that is stored; the worker may
@@ -170,7 +170,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """See :meth:`Workers.poll`."""
         body: dict[str, Any] = {"fencing_token": fence, "ack_cursor": ack}
         if lease_until_s is not None:
@@ -251,11 +251,11 @@
     except FieldError:
         data, life, clock_s = {}, 0, None
     if response.status == 200:
-        outcome = OrderOutcome.TAKEN
+        outcome = OrderOutcome.APPLIED
     elif response.status == 409:
         outcome = _OUTCOMES_BY_REASON.get(str(data.get("reason")), OrderOutcome.UNKNOWN)
     elif response.status == 421:
-        outcome = OrderOutcome.WRONG_LIFE
+        outcome = OrderOutcome.WRONG_INCARNATION
     elif response.status in (429, 503):
         outcome = OrderOutcome.BUSY
     elif response.status == 400:
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -29,9 +29,9 @@
 from firhook.services._callers import Callers
 from firhook.services._events import (
     AskInstance,
-    ServeInstance,
-    TellInstance,
-    TellInstances,
+    RegisterMessageHandler,
+    SendToInstance,
+    SendToInstances,
 )
 from firhook.services._members import Registration, read_members
 from standins.model._adviser import ModelAdviser
@@ -131,16 +131,16 @@
         """Connect the transport to the instance's bus."""
         self.handlers: dict[type, Callable[[Any], Any]] = {}
         self.bus.answer(AskInstance, self._ask)
-        self.bus.subscribe(ServeInstance, self._on_serve)
-        self.bus.subscribe(TellInstances, self._on_broadcast)
-        self.bus.subscribe(TellInstance, self._on_send)
+        self.bus.subscribe(RegisterMessageHandler, self._on_serve)
+        self.bus.subscribe(SendToInstances, self._on_broadcast)
+        self.bus.subscribe(SendToInstance, self._on_send)
 
-    def _on_broadcast(self, event: TellInstances) -> None:
+    def _on_broadcast(self, event: SendToInstances) -> None:
         names = self.cell.instances if event.names is None else event.names
         for name in list(names):
-            self._on_send(TellInstance(name, event.body))
+            self._on_send(SendToInstance(name, event.body))
 
-    def _on_send(self, event: TellInstance) -> None:
+    def _on_send(self, event: SendToInstance) -> None:
         name, peer = event.peer, self.cell.instances.get(event.peer)
         cut = {self.settings.name, name} in self.cell.cut_links
         if name == self.settings.name or peer is None or not peer.alive or cut:
@@ -165,7 +165,7 @@
         if inspect.isawaitable(answer):
             await answer
 
-    def _on_serve(self, event: ServeInstance) -> None:
+    def _on_serve(self, event: RegisterMessageHandler) -> None:
         self.handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
--- a/standins/model/_http.py
+++ b/standins/model/_http.py
@@ -36,9 +36,9 @@
 
 _REASONS_BY_OUTCOME = {
     OrderOutcome.FENCED: "fence",
-    OrderOutcome.OLD: "old",
-    OrderOutcome.LATE: "late",
-    OrderOutcome.NO_ROOM: "room",
+    OrderOutcome.SUPERSEDED: "old",
+    OrderOutcome.EXPIRED: "late",
+    OrderOutcome.NO_CAPACITY: "room",
     OrderOutcome.NO_TICKET: "ticket",
 }
 #: Time limit for requests that arrive while the sockets close; none takes longer.
@@ -336,7 +336,7 @@
             return _json({"reason": "fence"}, 409)
         return _json(
             {
-                "born": reply.life,
+                "born": reply.incarnation,
                 "timestamp_ms": int(reply.clock_s * 1000),
                 "running": [
                     [r.task, r.run, r.checkpoint, r.percent, r.load]
@@ -359,8 +359,8 @@
 
 def _order_response(answer: OrderAnswer) -> web.Response:
     clock_ms = int((answer.clock_s or 0) * 1000)
-    data = {"timestamp_ms": clock_ms, "born": answer.life}
-    if answer.outcome is OrderOutcome.TAKEN:
+    data = {"timestamp_ms": clock_ms, "born": answer.incarnation}
+    if answer.outcome is OrderOutcome.APPLIED:
         return _json(data)
     return _json({**data, "reason": _REASONS_BY_OUTCOME[answer.outcome]}, 409)
 
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from firhook.cell import (
-    End,
     EndedRow,
-    Look,
     OrderAnswer,
     OrderOutcome,
+    PollReply,
     Resources,
+    RunEnd,
     RunningRow,
     StartOrder,
     WorkerEntry,
@@ -92,15 +92,17 @@
             worker.checks.incomplete_gangs.append(
                 f"{now():.2f} {run.task} run {run.number}"
             )
-            worker.finish(run, End.ALONE)
+            worker.finish(run, RunEnd.GANG_TIMED_OUT)
 
-    def ended(self, run: _Run, end: End) -> None:
+    def ended(self, run: _Run, end: RunEnd) -> None:
         """End the other members of a gang after one has ended."""
         key = (run.task.rpartition(".")[0], run.number)
         members = self.members.pop(key, {})
         members.pop(run.task, None)
         for worker, other in members.values():
-            worker.finish(other, End.DONE if end is End.DONE else End.BROKEN)
+            worker.finish(
+                other, RunEnd.DONE if end is RunEnd.DONE else RunEnd.GANG_BROKEN
+            )
 
 
 class ModelWorker:
@@ -180,7 +182,7 @@
         for run in list(self.runs.values()):
             self._drop(run)
             if run.plan.gang:
-                self._gangs.ended(run, End.BROKEN)
+                self._gangs.ended(run, RunEnd.GANG_BROKEN)
 
     def restart(self) -> None:
         """Start a new incarnation without any state."""
@@ -222,7 +224,7 @@
         """Return the resources of all runs, including those being stopped."""
         total = Resources()
         for run in self.runs.values():
-            total = total.plus(run.plan.need)
+            total = total.add(run.plan.need)
         return total
 
     def begin_work(self, run: _Run, work_s: float) -> None:
@@ -232,13 +234,13 @@
         if self.stalled:
             return
         if self.fails_all or run.plan.fails:
-            left, end = min(0.2, work_s), End.FAILED
+            left, end = min(0.2, work_s), RunEnd.FAILED
         else:
-            left, end = max(work_s - run.saved_s, 0.01) * self.slow, End.DONE
+            left, end = max(work_s - run.saved_s, 0.01) * self.slow, RunEnd.DONE
         loop = asyncio.get_running_loop()
         run.timers.append(loop.call_later(left, self.finish, run, end))
 
-    def finish(self, run: _Run, end: End) -> None:
+    def finish(self, run: _Run, end: RunEnd) -> None:
         """End a run if it is still in progress."""
         if self.runs.get((run.task, run.number)) is not run:
             return
@@ -250,7 +252,7 @@
         )
         row = EndedRow(self._count, run.task, run.number, end, saved)
         self.ends.append(row)
-        if end is End.DONE:
+        if end is RunEnd.DONE:
             self._done_at[self._count] = now()
         if run.plan.gang:
             self._gangs.ended(run, end)
@@ -282,11 +284,11 @@
     def _expire_lease(self) -> None:
         self._done_at.clear()
         for run in list(self.runs.values()):
-            self.finish(run, End.LAPSED)
+            self.finish(run, RunEnd.LEASE_EXPIRED)
 
     # Interface.
 
-    def poll(self, fence: int, ack: int, until_s: float | None) -> Look:
+    def poll(self, fence: int, ack: int, until_s: float | None) -> PollReply:
         """See :meth:`Workers.poll`."""
         if fence < self.fence:
             raise WorkerFencedError(self.name)
@@ -299,7 +301,7 @@
         if until_s is not None:
             self._extend_lease(until_s)
         rows = tuple(self._running_row(run) for run in self.runs.values())
-        return Look(self.incarnation, self.clock(), rows, tuple(self.ends))
+        return PollReply(self.incarnation, self.clock(), rows, tuple(self.ends))
 
     def _running_row(self, run: _Run) -> RunningRow:
         if not run.works:
@@ -315,11 +317,11 @@
         self.fence = order.fence
         if (order.task, order.run) in self.runs:
             self._extend_lease(order.lease_until_s)
-            return self._answer(OrderOutcome.TAKEN)
+            return self._answer(OrderOutcome.APPLIED)
         if order.run <= self._highest_ended.get(order.task, 0):
-            return self._answer(OrderOutcome.OLD)
+            return self._answer(OrderOutcome.SUPERSEDED)
         if order.lease_until_s < self.clock():
-            return self._answer(OrderOutcome.LATE)
+            return self._answer(OrderOutcome.EXPIRED)
         if order.ticket and float(order.ticket) < now():
             self.expired_tickets += 1
             return self._answer(OrderOutcome.NO_TICKET)
@@ -336,7 +338,7 @@
             self._gangs.add(self, run)
         else:
             self.begin_work(run, plan.work_s)
-        return self._answer(OrderOutcome.TAKEN)
+        return self._answer(OrderOutcome.APPLIED)
 
     def stop(self, task: str, number: int, fence: int) -> OrderAnswer:
         """See :meth:`Workers.stop`."""
@@ -350,8 +352,8 @@
         elif not run.stopping:
             run.stopping = True
             loop = asyncio.get_running_loop()
-            loop.call_later(TASK_STOP_S, self.finish, run, End.STOPPED)
-        return self._answer(OrderOutcome.TAKEN)
+            loop.call_later(TASK_STOP_S, self.finish, run, RunEnd.STOPPED)
+        return self._answer(OrderOutcome.APPLIED)
 
     def _answer(self, outcome: OrderOutcome) -> OrderAnswer:
         return OrderAnswer(outcome, self.incarnation, self.clock())
@@ -409,7 +411,7 @@
         ack: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> Look:
+    ) -> PollReply:
         """See :meth:`Workers.poll`."""
         await pause(NETWORK_DELAY_S)
         target = self._find_reachable(worker.name)
@@ -440,7 +442,7 @@
         self, worker: WorkerEntry, task: str, run: int, percent: int, fence: int
     ) -> OrderAnswer:
         """See :meth:`Workers.throttle`."""
-        return await self._order(worker.name, lambda w: w._answer(OrderOutcome.TAKEN))
+        return await self._order(worker.name, lambda w: w._answer(OrderOutcome.APPLIED))
 
     async def _order(
         self, name: str, act: Callable[[ModelWorker], OrderAnswer]
--- a/tests/services/test_handing_on.py
+++ b/tests/services/test_fan_out.py
@@ -4,7 +4,7 @@
 
 from firhook.cell.records import JOB_PREFIX
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import step
+from tests.services.scenarios import step
 
 ZONES = ("z0", "z1", "z2")
 BEAT = "LeadAlive"
@@ -120,8 +120,8 @@
         assert len(holders) < len(cell.instances) - 1
         for name in [lead, *holders]:
             cell.kill(name)
-        await cell.until(lambda: cell.lead() and cell.lead().lead.term.begun, 5.0)
-        book = cell.lead().lead.term.book
+        await cell.until(lambda: cell.lead() and cell.lead().lead.term.taken_over, 5.0)
+        book = cell.lead().lead.term.job_table
         assert all(book.jobs[job].accepted.spec.steps for job in jobs)
         assert sum(len(runs) for runs in book.worker_runs.values()) > 0
         await cell.all_done(40.0)
@@ -145,7 +145,7 @@
             if name != lead
         }
         whole = [name for name, v in views.items() if not v.accepted.is_digest]
-        runs = [views[name].state.whole().steps for name in whole if views[name].state]
+        runs = [views[name].state.decode().steps for name in whole if views[name].state]
         assert len(runs) >= 2
         cell.kill(lead)
         await cell.until(lambda: cell.lead() is not None, 5.0)
@@ -172,7 +172,7 @@
         assert cell.lead_name() == lead
         assert cell.instances[lead].lead.term.fence == fence
         heard = [i.lead._election for n, i in cell.instances.items() if i.alive]
-        assert not any(e.quiet(now()) for e in heard)
+        assert not any(e.lead_unresponsive(now()) for e in heard)
 
     run_virtual(play())
 
--- a/tests/services/test_members.py
+++ b/tests/services/test_members.py
@@ -9,8 +9,7 @@
 from firhook.services._members import Registration
 from firhook.services._mesh import MeshService
 from standins.model import ModelCell, now, pause, run_virtual
-from tests.services.scenes import play as play_scene
-from tests.services.scenes import step
+from tests.services.scenarios import run_scenario, step
 
 
 def test_instance_finds_its_peers_before_it_has_read_the_jobs():
@@ -29,7 +28,7 @@
         cell.store.partition_read_s["i0", 1] = 12.0
         fresh = Instance(known.settings, known.platform, {"mesh": MeshService})
         began = now()
-        assert await fresh.services["mesh"]._keys() == keys
+        assert await fresh.services["mesh"]._read_or_create_keys() == keys
         assert now() - began < 0.1
         assert fresh.replica.peers["p"] == peer
         assert not fresh.replica.jobs
@@ -59,19 +58,19 @@
         assert cell.adviser.calls_by_instance["i2"] > asked
         await cell.all_done(20.0)
 
-    play_scene(scene, instances=3, workers=6, advised=True)
+    run_scenario(scene, instances=3, workers=6, advised=True)
 
 
 @pytest.mark.parametrize("partitions", [(1, 3), (3, 1)])
 def test_instance_that_has_read_everything_is_known_as_such(partitions):
     """Its two records may lie on two partitions, and come in any order."""
-    early = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=True)
-    late = PeerRecord("p", "1", "a:1", "z0", 1.0, reading=False)
+    early = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=True)
+    late = PeerRecord("p", "1", "a:1", "z0", 1.0, catching_up=False)
     replica, key = Replica(), PEER_PREFIX + "p"
     replica.apply(5, key, encode_record(late), partitions[1])
     replica.apply(9, key, encode_record(early), partitions[0])
     assert replica.peers["p"] == late
-    again = PeerRecord("p", "2", "a:1", "z0", 1.0, reading=True)
+    again = PeerRecord("p", "2", "a:1", "z0", 1.0, catching_up=True)
     replica.apply(10, key, encode_record(again), partitions[0])
     assert replica.peers["p"] == again
 
@@ -87,9 +86,9 @@
             [bytes((len(key),)) + key.encode() + again]
         )
         await pause(3.0)
-        await Registration(found.services["mesh"], "i2").withdraw()
+        await Registration(found.services["mesh"], "i2").unregister()
         await pause(3.0)
         for instance in cell.instances.values():
             assert "i2" not in instance.instance.replica.peers
 
-    play_scene(scene, instances=3)
+    run_scenario(scene, instances=3)
