--- a/src/firhook/platform/_http.py
+++ b/src/firhook/platform/_http.py
@@ -274,7 +274,7 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as resp:
-                answer = await self._read_whole(endpoint, method, resp)
+                answer = await self._read_body(endpoint, method, resp)
                 return _to_response(method, resp, answer)
         except (aiohttp.ConnectionTimeoutError, aiohttp.ClientConnectorError) as exc:
             raise NoEndpointError(
@@ -285,7 +285,7 @@
         except (aiohttp.ClientError, OSError, ValueError) as exc:
             raise EndpointFailedError(f"{endpoint.name}: {exc!r}") from exc
 
-    async def _read_whole(
+    async def _read_body(
         self, endpoint: Endpoint, method: str, resp: aiohttp.ClientResponse
     ) -> bytes:
         """Return the complete body of a response.
--- a/src/firhook/platform/_jobs.py
+++ b/src/firhook/platform/_jobs.py
@@ -20,7 +20,7 @@
 
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
 #: Longest specification that a worker accepts.
-MAX_TEXT_BYTES = 4000
+MAX_SPECIFICATION_BYTES = 4000
 #: The largest steps of callers have some tens of tasks.  The limit keeps a job from
 #: filling an instance's memory.
 MAX_TASKS = 10000
@@ -43,8 +43,8 @@
     try:
         data = parse_json(raw)
         job_text = get_str(data, "specification")
-        if len(job_text.encode()) > MAX_TEXT_BYTES:
-            raise FieldError(f"specification: exceeds {MAX_TEXT_BYTES} bytes")
+        if len(job_text.encode()) > MAX_SPECIFICATION_BYTES:
+            raise FieldError(f"specification: exceeds {MAX_SPECIFICATION_BYTES} bytes")
         steps = tuple(
             _decode_step(row, i) for i, row in enumerate(get_list(data, "steps"))
         )
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -244,12 +244,12 @@
 def _decode_order_answer(response: Response) -> OrderAnswer:
     try:
         data = parse_json(response.body) if response.body else {}
-        life = get_int(data, "born", 0)
+        incarnation = get_int(data, "born", 0)
         clock_s = (
             get_number(data, "timestamp_ms") / 1000 if "timestamp_ms" in data else None
         )
     except FieldError:
-        data, life, clock_s = {}, 0, None
+        data, incarnation, clock_s = {}, 0, None
     if response.status == 200:
         outcome = OrderOutcome.APPLIED
     elif response.status == 409:
@@ -262,7 +262,7 @@
         outcome = OrderOutcome.INVALID
     else:
         outcome = OrderOutcome.UNKNOWN
-    return OrderAnswer(outcome, life, clock_s)
+    return OrderAnswer(outcome, incarnation, clock_s)
 
 
 class Adviser(ABC):
--- a/standins/model/_cell.py
+++ b/standins/model/_cell.py
@@ -131,7 +131,7 @@
         """Connect the transport to the instance's bus."""
         self.handlers: dict[type, Callable[[Any], Any]] = {}
         self.bus.answer(AskInstance, self._ask)
-        self.bus.subscribe(RegisterMessageHandler, self._on_serve)
+        self.bus.subscribe(RegisterMessageHandler, self._on_register_handler)
         self.bus.subscribe(SendToInstances, self._on_broadcast)
         self.bus.subscribe(SendToInstance, self._on_send)
 
@@ -165,7 +165,7 @@
         if inspect.isawaitable(answer):
             await answer
 
-    def _on_serve(self, event: RegisterMessageHandler) -> None:
+    def _on_register_handler(self, event: RegisterMessageHandler) -> None:
         self.handlers[event.kind] = event.handler
 
     async def on_started(self) -> None:
@@ -384,8 +384,8 @@
         body = config_body(version, **changes)
         if self.advised:
             for queue in body["routes"]:
-                plain = {"decision_ms": 50, "per_item_ms": 1, "validity_ms": 2000}
-                queue.setdefault("recommendation", plain)
+                defaults = {"decision_ms": 50, "per_item_ms": 1, "validity_ms": 2000}
+                queue.setdefault("recommendation", defaults)
         self.store.put(OPERATOR_TOPIC, "config", msgspec.json.encode(body))
 
     def add_worker(
--- a/standins/model/_faults.py
+++ b/standins/model/_faults.py
@@ -178,8 +178,8 @@
         self.cell.store.late_share = 0.0
         self.cell.store.down_partitions.clear()
         self.cell.cut_links.clear()
-        for name, found in list(self.cell.instances.items()):
-            self.cell.unfreeze(name) if found.alive else None
+        for name, model_instance in list(self.cell.instances.items()):
+            self.cell.unfreeze(name) if model_instance.alive else None
         for worker in self.cell.workers.values():
             worker.mode, worker.late_share, worker.slow = "up", 0.0, 1.0
             worker.lost_share = 0.0
--- a/standins/model/_store.py
+++ b/standins/model/_store.py
@@ -154,10 +154,10 @@
         await pause(ROUND_TRIP_S / 2 * self._store.slow)
         mode = "busy" if partition in self._store.down_partitions else self._mode()
         if mode == "busy":
-            raise LogUnavailableError("busy", retry_after_s=0.5)
+            raise LogUnavailableError("the store is busy", retry_after_s=0.5)
         if mode == "silent":
             await pause(silence_s)
-            raise LogOutcomeUnknownError("silent")
+            raise LogOutcomeUnknownError("no answer")
 
     async def _end_call(self, wrote: bool = False) -> None:
         await pause(ROUND_TRIP_S / 2 * self._store.slow)
@@ -201,7 +201,7 @@
                 expected_end,
             )
             await pause(NO_ANSWER_S)
-            raise LogOutcomeUnknownError("late")
+            raise LogOutcomeUnknownError("the append is delayed")
         await self._wait_turn(self._store.partition(topic, partition))
         done = self._add(topic, partition, records, producer, expected_end)
         await self._end_call(wrote=True)
@@ -211,7 +211,7 @@
         if not self._store.serial_appends:
             part.busy_until = now()
         if part.busy_until - now() > APPEND_QUEUE_S:
-            raise LogUnavailableError("busy", retry_after_s=0.5)
+            raise LogUnavailableError("the store is busy", retry_after_s=0.5)
         part.busy_until = max(part.busy_until, now()) + APPEND_S * self._store.slow
         await pause(part.busy_until - now())
 
@@ -225,11 +225,11 @@
     def _add(self, topic, partition, records, producer, expected_end) -> AppendResult:
         part = self._store.partition(topic, partition)
         if expected_end is not None and part.end != expected_end:
-            raise LogMovedError("moved", end=part.end)
+            raise LogMovedError("unexpected end of the partition", end=part.end)
         if producer is None:
             return part.add(records)
         if producer.epoch < part.epoch:
-            raise LogFencedError("fenced")
+            raise LogFencedError("the store has seen a higher epoch")
         if producer.epoch > part.epoch:
             part.epoch, part.sequence, part.answers = producer.epoch, -1, {}
         if not records:
@@ -237,7 +237,9 @@
         if producer.sequence in part.answers:
             return part.answers[producer.sequence]
         if part.sequence >= 0 and producer.sequence != part.sequence + 1:
-            raise LogSequenceError("sequence", expected=part.sequence + 1)
+            raise LogSequenceError(
+                "unexpected sequence number", expected=part.sequence + 1
+            )
         part.sequence = producer.sequence
         part.answers[producer.sequence] = part.add(records)
         part.answers.pop(producer.sequence - 5, None)
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -50,7 +50,7 @@
     """A run on a worker.
 
     :ivar saved_s: work that was done in earlier runs, from the checkpoint.
-    :ivar works: whether the run has begun its work; the members of a gang wait for
+    :ivar working: whether the run has begun its work; the members of a gang wait for
         each other first.
     """
 
@@ -61,7 +61,7 @@
     saved_s: float
     timers: list[asyncio.TimerHandle] = attrs.field(factory=list)
     stopping: bool = False
-    works: bool = False
+    working: bool = False
 
 
 class Gangs:
@@ -87,7 +87,7 @@
             )
 
     def _time_out(self, key: tuple[str, int], run: _Run) -> None:
-        if not run.works and run.task in self.members.get(key, {}):
+        if not run.working and run.task in self.members.get(key, {}):
             worker, _ = self.members[key][run.task]
             worker.checks.incomplete_gangs.append(
                 f"{now():.2f} {run.task} run {run.number}"
@@ -229,7 +229,7 @@
 
     def begin_work(self, run: _Run, work_s: float) -> None:
         """Begin the work of a run and schedule its end."""
-        run.works = True
+        run.working = True
         run.started_at = now()
         if self.stalled:
             return
@@ -259,7 +259,7 @@
         self._changed.set()
 
     def _checkpoint(self, run: _Run) -> str:
-        if not run.plan.checkpoints or not run.works:
+        if not run.plan.checkpoints or not run.working:
             return ""
         done_s = run.saved_s + (now() - run.started_at) / self.slow
         return f"{int(done_s / CHECKPOINT_INTERVAL_S)}"
@@ -304,7 +304,7 @@
         return PollReply(self.incarnation, self.clock(), rows, tuple(self.ends))
 
     def _running_row(self, run: _Run) -> RunningRow:
-        if not run.works:
+        if not run.working:
             return RunningRow(run.task, run.number, "", 0)
         done_s = run.saved_s + (now() - run.started_at) / self.slow
         percent = 0 if self.stalled else min(99, 100 * done_s / run.plan.work_s)
@@ -457,8 +457,8 @@
         if self._rng.random() < target.late_share:
             late_s = 2 + 10 * self._rng.random()
             loop = asyncio.get_running_loop()
-            # The late order is lost if the worker restarts first: a new incarnation
-            # has seen no fencing token and could not refuse it.
+            # The delayed order waits inside the worker and is lost with its process.
+            # A new incarnation, which has seen no fencing token, could not refuse it.
             incarnation = target.incarnation
             loop.call_later(
                 late_s,
