--- a/src/firhook/logs.py
+++ b/src/firhook/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, each with a stable event name."""
+"""Structured logs: one JSON object per line, with a stable event name."""
 
 import logging
 import sys
@@ -7,24 +7,25 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from firhook._log_stream import StallProofStream
+from firhook._log_stream import NonBlockingStream
 
-#: Events alone.  mode logs under the names of its services' modules, that each
-#: starts and stops, which says nothing that the events do not say.
+#: The only logger set to the configured level.  mode logs the start and stop of
+#: each service under the names of their modules, which repeats the events.
 _LOGGER = logging.getLogger("firhook.events")
-_stream: StallProofStream | None = None
+_stream: NonBlockingStream | None = None
 
 
 def setup_logs(
     zone: str, instance: str, level: str = "info", stream: TextIO | None = None
 ) -> None:
-    """Send all logs to standard error, or to a stream, as JSON lines.
+    """Write all logs as JSON lines to ``stream``, by default standard error.
 
-    :param zone: availability zone, put on every line.
-    :param instance: the instance's name, put on every line.
+    :param zone: availability zone, added to every line.
+    :param instance: the instance's name, added to every line.
+    :param level: the lowest level of events that are logged.
     """
     global _stream
-    _stream = StallProofStream(stream or sys.stderr)
+    _stream = NonBlockingStream(stream or sys.stderr)
     handler = logging.StreamHandler(_stream)
     handler.setFormatter(
         JsonFormatter(
@@ -41,61 +42,66 @@
     _LOGGER.setLevel(level.upper())
 
 
-#: Lines of one event in a second.  A cell that starts and ends 100 tasks a second
-#: stays below it; a loop of failures at one per call does not.
-LINES_A_SECOND = 400
+#: Limit per event.  A cell that starts and ends 100 tasks per second stays below
+#: it; a failure that repeats at every call does not.
+MAX_LINES_PER_SECOND = 400
 
 
-class _Budget:
-    """Bounds the lines of each event, and counts what was left out.
+class _EventRateLimiter:
+    """Limits the lines per second of each event and counts the dropped ones.
 
-    Load: something fails at every call, thousands of times a second.  Harm: each
-    line costs tens of microseconds of the one loop, which then serves nobody, and
-    fills the collector's disks with the same line.
+    A failure at every call can occur thousands of times per second.  Each line
+    takes tens of microseconds of the event loop, which would leave no time for
+    requests, and the same line would fill the log collector's disks.
     """
 
     def __init__(self) -> None:
         self._second = 0
-        self._lines: dict[str, int] = {}
+        self._line_counts: dict[str, int] = {}
 
     def allows(self, event: str, now: float) -> bool:
-        """Return whether a line may be written; say first what was left out."""
+        """Return whether a line may be written.
+
+        Logs the number of dropped lines of a past second first.
+        """
         if int(now) != self._second:
-            left_out = {
-                name: count - LINES_A_SECOND
-                for name, count in self._lines.items()
-                if count > LINES_A_SECOND
+            dropped = {
+                name: count - MAX_LINES_PER_SECOND
+                for name, count in self._line_counts.items()
+                if count > MAX_LINES_PER_SECOND
             }
-            self._second, self._lines = int(now), {}
-            if left_out:
-                _LOGGER.warning("log.left_out", extra={"lines": left_out})
-        count = self._lines.get(event, 0) + 1
-        self._lines[event] = count
-        return count <= LINES_A_SECOND
+            self._second, self._line_counts = int(now), {}
+            if dropped:
+                _LOGGER.warning("log.left_out", extra={"lines": dropped})
+        count = self._line_counts.get(event, 0) + 1
+        self._line_counts[event] = count
+        return count <= MAX_LINES_PER_SECOND
 
 
-_budget = _Budget()
+_rate_limiter = _EventRateLimiter()
 
 
 def log(event: str, *, level: str = "info", **fields: object) -> None:
     """Log an event.
 
     :param event: stable dotted name such as ``config.applied``.
-    :param fields: further members; ``code`` and ``request_id`` where known.
+    :param level: name of a standard logging level.
+    :param fields: additional fields; ``code`` and ``request_id`` where known.
     """
     number = logging.getLevelName(level.upper())
-    if _LOGGER.isEnabledFor(number) and _budget.allows(event, time.monotonic()):
+    if _LOGGER.isEnabledFor(number) and _rate_limiter.allows(event, time.monotonic()):
         _LOGGER.log(number, event, extra=fields)
 
 
 def flush_logs() -> None:
-    """Hand on what a reader that stalled did not take, and say what it missed.
+    """Write buffered output and report the lines that were dropped.
 
-    To be called now and then: with nothing to log, nothing else would do it.
+    Must be called periodically, since otherwise only the next logged line writes
+    what a stalled reader did not accept.
     """
     if _stream is None:
         return
     _stream.flush()
-    unread = _stream.take_left_out()
+    unread = _stream.take_dropped_count()
     if unread:
         _LOGGER.warning("log.left_out", extra={"lines": {"unread": unread}})
