--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -8,7 +8,7 @@
 
 from firhook._principal import principal
 from firhook._web import json_response, read_json
-from firhook.decide.place import Need, Room
+from firhook.decide.place import ResourceNeed, WorkerCapacity
 from firhook.errors import (
     FirhookError,
     JobConflictError,
@@ -16,7 +16,7 @@
     JobUnknownError,
     NotPermittedError,
 )
-from firhook.events import Append, AskPeer, InstancesListed, ServePeer
+from firhook.events import Append, AskPeer, InstancesListed, RegisterPeerHandler
 from firhook.kernel import Role, register_role
 from firhook.model import (
     Endpoint,
@@ -39,7 +39,7 @@
 class Cell(Role):
     """Accepts jobs anywhere; its zone's lead places them."""
 
-    def wire(self) -> None:
+    def register_handlers(self) -> None:
         """Offer the jobs' routes."""
         self._workers: tuple[Endpoint, ...] = ()
         self._lead = ZoneLead(self.kernel)
@@ -58,7 +58,7 @@
 
     async def on_start(self) -> None:
         """Answer peers that ask for jobs of this zone."""
-        self.bus.publish(ServePeer(JobInquiry, self._on_inquiry))
+        self.bus.publish(RegisterPeerHandler(JobInquiry, self._on_inquiry))
 
     def _on_instances(self, event: InstancesListed) -> None:
         self._workers = tuple(e for e in event.instances if e.kind == "worker")
@@ -67,7 +67,7 @@
 
     async def _post_job(self, req: web.Request) -> web.Response:
         who = await principal(self.bus, req)
-        if who.operator:
+        if who.is_operator:
             raise NotPermittedError("submit a job with its team's key")
         await self.bus.ask(CheckFresh(idempotent=False))
         spec = check_job(await read_json(req), who.team)
@@ -89,7 +89,7 @@
     async def _visible(self, req: web.Request) -> str:
         who = await principal(self.bus, req)
         team = req.query.get("team", who.team)
-        if not who.operator and team != who.team:
+        if not who.is_operator and team != who.team:
             raise NotPermittedError(f"the key is not of team {team!r}")
         return team
 
@@ -187,11 +187,11 @@
         is known, so that a job is taken and held rather than refused.
     :raises JobImpossibleError: if no zone's workers could ever run it.
     """
-    need = Need.of(spec)
+    need = ResourceNeed.of(spec)
     slots: dict[str, int] = {}
     for e in workers:
-        room = Room(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
-        slots[e.zone] = slots.get(e.zone, 0) + room.slots(need)
+        capacity = WorkerCapacity(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
+        slots[e.zone] = slots.get(e.zone, 0) + capacity.count_fitting(need)
     wanted = spec.tasks if spec.gang else 1
     if not workers or slots.get(own, 0) >= wanted:
         return own
