--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -145,10 +145,10 @@
             now = self._kernel.clock()
             if now >= next_full:
                 self._pending_teams.clear()
-                done = await self._try_request(self.teams())
+                lent = await self._try_request(self.teams())
                 # A request that times out after a second leaves time for another
                 # before the grants expire.
-                next_full = now + (ttl_s / 2 if done else _RETRY_S)
+                next_full = now + (ttl_s / 2 if lent else _RETRY_S)
             elif self._pending_teams:
                 teams = sorted(self._pending_teams)
                 self._pending_teams.clear()
@@ -181,9 +181,9 @@
         self._seq += 1
         echo = self._make_promise(epoch)
         sent_at = self._kernel.clock()
-        rooms = self.holdings(teams)
+        demands = self.holdings(teams)
         ask = GrantAsk(
-            self._kernel.lane, self._seq, epoch, echo, rooms, leaving, self._guests()
+            self._kernel.lane, self._seq, epoch, echo, demands, leaving, self._guests()
         )
         if lead == self._kernel.lane:
             answer = await self._lend(ask)
@@ -212,18 +212,18 @@
             return
         account = self._kernel.account
         granted = {grant.team: grant.granted for grant in answer.teams}
-        for room in ask.teams:
-            amount = min(granted.get(room.team, room.wanted), room.wanted)
+        for demand in ask.teams:
+            amount = min(granted.get(demand.team, demand.wanted), demand.wanted)
             # The lead counts the lifetime from its answer, this instance from before
             # its request, so the grant expires here before it does at the lead.
-            grown = amount > account.current_capacity(room.team)
-            account.set_capacity(room.team, amount, sent_at + answer.ttl_s)
-            if amount < room.wanted:
-                self._retry_at[room.team] = now + _RETRY_S
+            grown = amount > account.current_capacity(demand.team)
+            account.set_capacity(demand.team, amount, sent_at + answer.ttl_s)
+            if amount < demand.wanted:
+                self._retry_at[demand.team] = now + _RETRY_S
             else:
-                self._retry_at.pop(room.team, None)
+                self._retry_at.pop(demand.team, None)
             if grown:
-                self._kernel.bus.publish(CapacityChanged(room.team))
+                self._kernel.bus.publish(CapacityChanged(demand.team))
 
     def stop(self) -> None:
         """Stop requesting capacity."""
--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -51,9 +51,9 @@
     failed_at: float
 
 
-def _held_by_team(rooms: Iterable[TeamRoom]) -> dict[str, int]:
+def _held_by_team(entries: Iterable[TeamRoom]) -> dict[str, int]:
     """Return the held capacity by team."""
-    return {room.team: room.held for room in rooms}
+    return {entry.team: entry.held for entry in entries}
 
 
 class CapacityLender:
@@ -175,7 +175,7 @@
         self, epoch: int, lanes: frozenset[str]
     ) -> list[Holdings]:
         me = self._kernel.lane
-        asks = [
+        requests = [
             self._kernel.bus.ask(
                 AskPeer(
                     instance_name(lane),
@@ -185,7 +185,7 @@
             )
             for lane in sorted(lanes)
         ]
-        answers = await asyncio.gather(*asks, return_exceptions=True)
+        answers = await asyncio.gather(*requests, return_exceptions=True)
         return [a for a in answers if isinstance(a, Holdings) and a.instance in lanes]
 
     def _record_guests(
@@ -240,16 +240,16 @@
         self._grants.holders = max(
             len(lead.state.roster), len(self._holders_with_joiners())
         )
-        grants = (self._grant(ask.instance, room, now) for room in ask.teams)
+        grants = (self._grant(ask.instance, demand, now) for demand in ask.teams)
         changed = tuple(grant for grant in grants if grant is not None)
         return GrantAnswer(ask.epoch, now, self._grants.ttl_s, True, changed)
 
-    def _grant(self, holder: str, room: TeamRoom, now: float) -> TeamGrant | None:
+    def _grant(self, holder: str, demand: TeamRoom, now: float) -> TeamGrant | None:
         """Lend a team's capacity; return the grant if it differs from the request."""
-        wanted, held = max(room.wanted, 0), max(room.held, 0)
-        limit = self.zone_limit(room.team)
-        granted = self._grants.grant(room.team, holder, wanted, held, limit, now)
-        return None if granted == room.wanted else TeamGrant(room.team, granted)
+        wanted, held = max(demand.wanted, 0), max(demand.held, 0)
+        limit = self.zone_limit(demand.team)
+        granted = self._grants.grant(demand.team, holder, wanted, held, limit, now)
+        return None if granted == demand.wanted else TeamGrant(demand.team, granted)
 
     # -- transfers between zones -----------------------------------------
 
@@ -338,8 +338,8 @@
     def _shortages(self, own: dict[str, int], now: float) -> dict[str, dict[str, int]]:
         """Return the shortages by team and zone, for teams short in another zone."""
         result: dict[str, dict[str, int]] = {}
-        for zone, (at, message) in self._zone_shortages.items():
-            if now - at > _SHORTAGE_TTL_S:
+        for zone, (received_at, message) in self._zone_shortages.items():
+            if now - received_at > _SHORTAGE_TTL_S:
                 continue
             for short in message.teams:
                 result.setdefault(short.team, {})[zone] = short.amount
@@ -351,7 +351,7 @@
         message = ZoneShort(
             self._kernel.cfg.zone, tuple(TeamShort(t, n) for t, n in own.items())
         )
-        asks = [
+        requests = [
             self._kernel.bus.ask(
                 AskPeer(instance_name(lead.instance), message, _ANNOUNCE_TIMEOUT_S)
             )
@@ -359,7 +359,7 @@
             if zone != self._kernel.cfg.zone and lead.instance and not lead.released
         ]
         # A lead that misses the announcement transfers nothing; it is sent again.
-        await asyncio.gather(*asks, return_exceptions=True)
+        await asyncio.gather(*requests, return_exceptions=True)
 
     async def _append_transfer(self, transfer: LimitMoved) -> None:
         try:
