--- a/src/firhook/decide/_admit.py
+++ b/src/firhook/decide/_admit.py
@@ -1,4 +1,4 @@
-"""Admission and dispatch: which request goes where, which waits, which never will."""
+"""Admission control, queueing and dispatch of requests to runners."""
 
 import math
 from collections.abc import Collection, Mapping
@@ -29,53 +29,53 @@
 )
 from firhook.model import Endpoint
 
-#: A request that holds a slot for so many times as long as the mean request
-#: counts as long: the others would feel it if it were before them.
+#: A request counts as long if it is expected to hold its slot for this many
+#: times the mean, since shorter requests behind it would be visibly delayed.
 _LONG_RATIO = 3.0
-#: But none does that is shorter than this, which nobody on a page notices.
-_LONG_LEAST_S = 0.02
-#: Long work leaves free as many slots as this many standard deviations of the
-#: slots that short work uses, were it to come one by one.  One would do then;
-#: pages ask for several things at once, which spreads it more.
-_SHORT_SPREAD = 3.0
-#: But never more than this part.
-_SHORT_MOST = 0.4
-#: Long work may hold this part of the slots however much short work there is;
-#: beside a fleet full of short work it would else never find that many free.
-_LONG_LEAST = 0.3
-#: Without a short request for so long, long work may have every slot.
-_SHORT_GONE_S = 10.0
-#: Expected times are rough: half of all requests take longer.  A queue that is
-#: let grow until the expected end meets the deadline is full of requests that
-#: end just too late, each having used a slot for nobody.
+#: Requests shorter than this never count as long: users do not notice the delay.
+_MIN_LONG_S = 0.02
+#: Long requests leave this many standard deviations of the slots used by short
+#: requests free, for Poisson arrivals.  One would suffice for those; pages send
+#: several requests at once, which increases the variance.
+_SHORT_STDDEVS = 3.0
+#: Largest fraction of the slots that is kept free for short requests.
+_MAX_SHORT_FRACTION = 0.4
+#: Long requests may always hold this fraction of the slots.  Otherwise they
+#: would never find enough free slots on a fleet that is full of short requests.
+_MIN_LONG_FRACTION = 0.3
+#: Long requests may use every slot after this long without a short request.
+_SHORT_IDLE_S = 10.0
+#: Expected times are rough: half of all requests take longer.  If the queue could
+#: grow until the expected end meets the deadline, it would be full of requests
+#: that end just too late and waste their slots.
 _WAIT_MARGIN = 1.25
 _SERVICE_MARGIN = 1.5
-#: A waiting request is given up once its expected end is past its deadline by
-#: this part of its whole time; expectations are rough, and giving up at the
-#: first doubt would refuse requests that could have been served.
-_GIVE_UP_SLACK = 0.1
-#: The lead answers within milliseconds.  A team that got no room for so long
-#: is at its limit elsewhere, or the lead is away, and its requests are told.
+#: A waiting request is refused once its expected end is past its deadline by this
+#: fraction of its total time.  Expected times are rough, so refusing earlier
+#: would hit requests that could have been served.
+_REFUSAL_SLACK = 0.1
+#: The lead answers within milliseconds.  A team without capacity for this long is
+#: at its limit elsewhere, or the lead is unreachable, and its requests are refused.
 CAPACITY_WAIT_S = 2.0
-#: How often the parts are worked out anew, in seconds.
+#: Interval at which the slot parts are recomputed.
 REBALANCE_S = 0.1
-#: Parts that must agree before a slot that moved here is used: two rounds, or
-#: 0.2 s, of which a gossip between zones takes a few ms.
-_PARTS_AGREE = 3
-#: Demand is followed over about eight seconds.  Followed at once, the noise of
-#: single requests moves slots at every round, and a moving slot is idle until
-#: its parts agree.
-_DEMAND_S = 8.0
-_RETRY_MOST_S = 30.0
-_RETRY_LEAST_S = 0.1
+#: Consecutive results that must agree before a slot that moved here is used.
+#: They span two rounds, or 0.2 s; gossip between zones takes a few ms.
+_STABLE_ROUNDS = 3
+#: Time constant of the smoothed demand.  Without smoothing, the noise of single
+#: requests would move slots in every round, and a slot that moves is idle until
+#: consecutive results agree.
+_DEMAND_SMOOTHING_S = 8.0
+_MAX_RETRY_AFTER_S = 30.0
+_MIN_RETRY_AFTER_S = 0.1
 
 
 @attrs.frozen(slots=True)
 class QueueLimits:
     """Bounds of the queue.
 
-    :param waiting: most requests waiting at this instance.
-    :param team_waiting: most of one team.
+    :param waiting: maximum number of requests waiting at this instance.
+    :param team_waiting: maximum number of one team's requests waiting here.
     """
 
     waiting: int
@@ -84,10 +84,10 @@
 
 @attrs.define(slots=True, eq=False)
 class DispatchedRequest:
-    """A request that got a slot.
+    """A request that holds a slot.
 
-    :param view: the runner it goes to.
-    :param started: when, in seconds.
+    :param view: the runner that serves it.
+    :param started: time of dispatch, in seconds.
     """
 
     item: QueuedRequest
@@ -97,23 +97,23 @@
 
 @attrs.frozen(slots=True)
 class RefusedRequest:
-    """A waiting request that is to be refused now."""
+    """A waiting request that must be refused now, and the error for its caller."""
 
     item: QueuedRequest
     exc: FirhookError
 
 
 class Dispatcher:
-    """Admits, queues and sends the requests of one service.
+    """Admits, queues and dispatches the requests of one service.
 
-    Made for a full fleet with far more work than it can do.  The harm it
-    prevents: requests that wait only to be refused at their deadline, or that
-    take a slot though their caller can no longer use the answer.  Both turn an
-    overload into an outage, since work is done for nobody.
+    Designed for overload, when far more work arrives than the fleet can serve.
+    Requests that wait only to be refused at their deadline, or that take a slot
+    although their caller can no longer use the answer, waste capacity and turn
+    the overload into an outage.
 
-    :param name: this instance, as it is called in its gossip.
-    :param zone: its zone.
-    :param account: room under the teams' limits, shared by all services.
+    :param name: this instance's name in its gossip.
+    :param zone: this instance's zone.
+    :param account: capacity under the teams' limits, shared by all services.
     """
 
     def __init__(
@@ -129,38 +129,38 @@
         self.running = 0
         self.weights: dict[str, float] = {}
         self._long_running = 0
-        self._placed: dict[tuple[str, ...], dict[DispatchedRequest, None]] = {}
+        self._dispatched: dict[tuple[str, ...], dict[DispatchedRequest, None]] = {}
         self._capacity = 0
-        self._short_seen = -math.inf
+        self._short_seen_at = -math.inf
         self._short_load = 0.0
-        self._short_at = 0.0
-        self._row: list[str] = []
+        self._short_decayed_at = 0.0
+        self._slot_row: list[str] = []
         self._use: FleetUse | None = None
         self._parts: list[dict[str, int]] = []
         self._no_capacity_since: dict[str, float] = {}
 
-    # -- what is known of the runners and of the fleet --------------------
+    # -- runners and fleet usage -------------------------------------------
 
     def update(self, endpoints: Collection[Endpoint], now: float) -> None:
-        """Take over a fresh list of the service's runners."""
+        """Replace the list of the service's runners."""
         self.router.update(endpoints)
-        self._row = slot_row(self.router.slots())
+        self._slot_row = slot_row(self.router.slots())
         self._capacity = self.router.capacity(now)
 
     def rebalance(self, use: FleetUse, shares: Mapping[str, float], now: float) -> None:
-        """Take over the fleet's use: this instance's slots and its teams' weights.
+        """Recompute this instance's slots and team weights from the fleet's use.
 
-        Called every ``REBALANCE_S``.
+        Called every :data:`REBALANCE_S`.
         """
-        use = use.smoothed(self._use or use, REBALANCE_S / _DEMAND_S)
+        use = use.smoothed(self._use or use, REBALANCE_S / _DEMAND_SMOOTHING_S)
         self._use = use
-        total = len(self._row)
+        total = len(self._slot_row)
         shares = corrected_shares(total, use, shares)
         parts = instance_parts(total, use, shares)
-        mine = runner_parts(self._name, parts, self._row)
+        own = runner_parts(self._name, parts, self._slot_row)
         if not self._parts or len(use.demand) == 1:
-            self._parts = [mine] * _PARTS_AGREE
-        self._parts = [*self._parts[1 - _PARTS_AGREE :], mine]
+            self._parts = [own] * _STABLE_ROUNDS
+        self._parts = [*self._parts[1 - _STABLE_ROUNDS :], own]
         self.router.set_parts(usable_parts(self._parts), len(use.demand), now)
         self.weights = local_weights(self._name, use, shares)
         self._capacity = self.router.capacity(now)
@@ -168,67 +168,71 @@
     # -- admission --------------------------------------------------------
 
     def admit(self, item: QueuedRequest, now: float, jitter: float) -> None:
-        """Queue a request, or refuse it at once if waiting cannot help it.
+        """Queue a request, or refuse it at once if it cannot be served in time.
 
-        :param jitter: 0 to 1, at random, so that callers refused together do
-            not come back together.
+        :param jitter: random number from 0 to 1 that spreads the retries of
+            callers that are refused together.
         :raises NoEndpointError: if the service has no runner.
         :raises OverloadedError: if the queue is full.
-        :raises TeamQueueFullError: if the team's part of it is full.
-        :raises DeadlineUnmeetableError: if its turn would come too late.
+        :raises TeamQueueFullError: if the team's share of the queue is full.
+        :raises DeadlineUnmeetableError: if it would be dispatched too late.
         """
-        self._expire_short(now)
+        self._decay_short_load(now)
         if not item.long:
-            self._note_short(item, now)
+            self._count_short(item, now)
         wait_s = self.expected_wait_s(item, now)
-        back_s = _come_back(self._drain_s(item.team), jitter)
+        retry_after_s = _retry_after_s(self._backlog_s(item.team), jitter)
         if not self.router.has_untried(()):
-            raise NoEndpointError("no runner is known", retry_after_s=back_s)
+            raise NoEndpointError(
+                "the service has no known runner", retry_after_s=retry_after_s
+            )
         if len(self.queue) >= self._limits.waiting:
-            raise OverloadedError("too many requests wait", retry_after_s=back_s)
+            raise OverloadedError(
+                "too many requests are waiting", retry_after_s=retry_after_s
+            )
         if self.queue.waiting(item.team) >= self._limits.team_waiting:
             raise TeamQueueFullError(
-                f"{self._limits.team_waiting} requests of the team wait",
-                retry_after_s=back_s,
+                f"{self._limits.team_waiting} requests of the team are waiting",
+                retry_after_s=retry_after_s,
             )
         need_s = _WAIT_MARGIN * wait_s + _SERVICE_MARGIN * item.min_service_s
-        need_s = max(need_s, wait_s + self._keep_s(item, now))
+        need_s = max(need_s, wait_s + self._min_remaining_s(item, now))
         if now + need_s > item.deadline:
             raise DeadlineUnmeetableError(
-                f"it would wait {wait_s:.2f} s and run {item.min_service_s:.2f} s",
-                retry_after_s=back_s,
+                f"expected to wait {wait_s:.2f} s and run {item.min_service_s:.2f} s",
+                retry_after_s=retry_after_s,
             )
         self.queue.push(item)
 
-    def _keep_s(self, item: QueuedRequest, now: float) -> float:
+    def _min_remaining_s(self, item: QueuedRequest, now: float) -> float:
         if not item.allowed_s:
             return 0.0
-        running = self._placed.get(item.kind)
+        running = self._dispatched.get(item.kind)
         running_s = now - next(iter(running)).started if running else 0.0
         return self.times.min_remaining_s(item.kind, item.allowed_s, running_s, now)
 
     def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
-        """Return how long a new request would wait for its turn."""
+        """Return how long a new request is expected to wait for a slot."""
         if not len(self.queue) and self.running < self._capacity:
             return 0.0
         ahead_s = self.queue.work_ahead_s(item.team, item.klass) + self.times.mean_s
         return ahead_s / self._rate(item.team)
 
     def _rate(self, team: str) -> float:
-        """Return how many slots serve a team while others wait as well."""
+        """Return how many slots serve a team, given the other teams that wait."""
         busy = set(self.queue.teams()) | {team}
         total = sum(self.weights.get(t, 1.0) for t in busy)
-        # An instance whose part is none yet gets one once its peers have heard
+        # An instance without slots gets some once its peers have received gossip
         # that it has requests.
         slots = max(self._capacity, 1)
         rate = slots * self.weights.get(team, 1.0) / total
-        room = self._account.capacity.get(team, 0)
-        # Room not lent yet is asked for when the request is queued; until it
-        # is known, only the slots bound the rate.
-        return min(rate, room) if room > 0 else rate
+        capacity = self._account.capacity.get(team, 0)
+        # Capacity that is not lent yet is requested when the request is queued;
+        # until the lead answers, only the slots bound the rate.
+        return min(rate, capacity) if capacity > 0 else rate
 
-    def _drain_s(self, team: str) -> float:
-        """Return how long the team's backlog takes."""
+    def _backlog_s(self, team: str) -> float:
+        """Return how long it takes to serve the team's backlog."""
         work_s = self.queue.work_ahead_s(team, "bulk") + self.times.mean_s
         return work_s / self._rate(team)
 
@@ -237,19 +241,19 @@
     def dispatch_next(
         self, now: float, jitter: float = 0.5
     ) -> DispatchedRequest | RefusedRequest | None:
-        """Give the next request a slot, or give it up if its turn came too late.
+        """Dispatch the next request, or refuse it if too little time is left.
 
-        :return: ``None`` if none can have a slot.
+        :return: ``None`` if no request can get a slot.
         """
         blocked: set[str] = set()
         while len(self.queue):
             item = self.queue.pop(self.weights, blocked, self._long_allowed(now))
             if item is None:
                 return None
-            if now + self._keep_s(item, now) > item.deadline:
+            if now + self._min_remaining_s(item, now) > item.deadline:
                 self._put_back(item)
                 self.queue.remove(item)
-                return RefusedRequest(item, self._too_late(item, jitter))
+                return RefusedRequest(item, self._deadline_error(item, jitter))
             if not self._account.acquire(item.team):
                 self._put_back(item)
                 blocked.add(item.team)
@@ -262,144 +266,151 @@
                 self._put_back(item)
                 if not item.tried:
                     return None
-                # Only runners that failed this one have room; others may use
-                # them meanwhile.
+                # Only runners that failed this request have free slots; requests
+                # of other teams may use them.
                 blocked.add(item.team)
                 continue
             self.running += 1
             self._long_running += item.long
-            placed = DispatchedRequest(item, view, now)
-            # In order of their start: the first is the oldest.
-            self._placed.setdefault(item.kind, {})[placed] = None
-            return placed
+            dispatched = DispatchedRequest(item, view, now)
+            # Ordered by start time: the first is the oldest.
+            self._dispatched.setdefault(item.kind, {})[dispatched] = None
+            return dispatched
         return None
 
     def _put_back(self, item: QueuedRequest) -> None:
         self.queue.put_back(item, self.weights)
 
     def has_untried(self, tried: Collection[str]) -> bool:
-        """Return whether a runner is left that did not fail a request yet."""
+        """Return whether any runner has not yet failed a request."""
         return self.router.has_untried(tried)
 
     def teams_awaiting_capacity(self) -> list[str]:
-        """Return the teams that wait for room under their limit."""
+        """Return the teams that wait for capacity under their limit."""
         return list(self._no_capacity_since)
 
     def _long_allowed(self, now: float) -> bool:
         """Return whether a long request may take a slot.
 
-        Without this, a few teams' long work fills every slot and a quote that
-        comes next waits until one of them ends, however urgent its class.
+        Without this check, the long requests of a few teams fill every slot, and
+        a quote that arrives next waits for one of them to end, however urgent its
+        class is.
         """
-        if now - self._short_seen > _SHORT_GONE_S:
+        if now - self._short_seen_at > _SHORT_IDLE_S:
             return True
-        if self._long_running < _LONG_LEAST * self._capacity:
+        if self._long_running < _MIN_LONG_FRACTION * self._capacity:
             return True
         keep = min(
-            math.ceil(_SHORT_SPREAD * math.sqrt(self._short_load)),
-            int(_SHORT_MOST * self._capacity),
+            math.ceil(_SHORT_STDDEVS * math.sqrt(self._short_load)),
+            int(_MAX_SHORT_FRACTION * self._capacity),
         )
         return self._capacity - self.running > keep
 
-    def _note_short(self, item: QueuedRequest, now: float) -> None:
-        """Follow how many slots short work uses, over about a second."""
+    def _count_short(self, item: QueuedRequest, now: float) -> None:
+        """Track the slots that short requests use, averaged over about a second."""
         self._short_load += item.expected_s
-        self._short_seen = now
+        self._short_seen_at = now
 
-    def _expire_short(self, now: float) -> None:
-        self._short_load *= math.exp(min(self._short_at - now, 0.0))
-        self._short_at = now
+    def _decay_short_load(self, now: float) -> None:
+        self._short_load *= math.exp(min(self._short_decayed_at - now, 0.0))
+        self._short_decayed_at = now
 
-    def end(self, placed: DispatchedRequest, now: float) -> None:
-        """Count a request as ended for certain, or as past the bound."""
+    def end(self, dispatched: DispatchedRequest, now: float) -> None:
+        """Release a request's slot once it has certainly ended or timed out."""
         self.running -= 1
-        self._long_running -= placed.item.long
-        of_kind = self._placed[placed.item.kind]
-        del of_kind[placed]
+        self._long_running -= dispatched.item.long
+        of_kind = self._dispatched[dispatched.item.kind]
+        del of_kind[dispatched]
         if not of_kind:
-            del self._placed[placed.item.kind]
-        self.router.release(placed.view)
-        self._account.release(placed.item.team)
-        self.queue.settle(placed.item, now - placed.started, self.weights)
+            del self._dispatched[dispatched.item.kind]
+        self.router.release(dispatched.view)
+        self._account.release(dispatched.item.team)
+        self.queue.settle(dispatched.item, now - dispatched.started, self.weights)
 
-    # -- giving up --------------------------------------------------------
+    # -- refusal of waiting requests ---------------------------------------
 
     def refuse_hopeless(self, now: float, jitter: float) -> list[RefusedRequest]:
-        """Take out the requests whose deadline can no longer be met.
+        """Remove and return the requests that can no longer meet their deadline.
 
-        A runner that dies, or a large team's return, makes the queue slower
-        than it was when they were admitted.  Told now, their callers can still
-        do something; told at the deadline, they cannot.
+        The queue becomes slower than it was at their admission when a runner dies
+        or a large team sends requests again.  Callers that are refused before the
+        deadline still have time to react.
         """
         self._capacity = self.router.capacity(now)
-        given_up = []
+        refused = []
         for team in self.queue.teams():
-            outlook = _Outlook(self._rate(team), self._has_no_room(team, now))
+            outlook = _TeamOutlook(self._rate(team), self._lacks_capacity(team, now))
             for item in self.queue.items(team):
-                exc = self._hopeless(item, outlook, now, jitter)
+                exc = self._refusal(item, outlook, now, jitter)
                 if exc is None:
                     outlook.ahead_s += item.expected_s
                 else:
                     self.queue.remove(item)
-                    given_up.append(RefusedRequest(item, exc))
+                    refused.append(RefusedRequest(item, exc))
         for team in self.teams_awaiting_capacity():
             if not self.queue.waiting(team):
                 del self._no_capacity_since[team]
-        return given_up
+        return refused
 
-    def _has_no_room(self, team: str, now: float) -> bool:
-        """Return whether a team waits for room that does not come.
+    def _lacks_capacity(self, team: str, now: float) -> bool:
+        """Return whether a team has waited too long for capacity.
 
-        While some of its requests run here, their ends make room for others.
+        While some of its requests run here, their ends free capacity for others.
         """
-        waited_s = now - self._no_capacity_since.get(team, now)
+        waiting_s = now - self._no_capacity_since.get(team, now)
         held = self._account.capacity.get(team, 0) + self._account.running.get(team, 0)
-        return waited_s > CAPACITY_WAIT_S and held == 0
+        return waiting_s > CAPACITY_WAIT_S and held == 0
 
-    def _hopeless(
-        self, item: QueuedRequest, outlook: "_Outlook", now: float, jitter: float
+    def _refusal(
+        self, item: QueuedRequest, outlook: "_TeamOutlook", now: float, jitter: float
     ) -> FirhookError | None:
-        """Return why a waiting request is to be refused now, if it is."""
-        if outlook.no_room:
-            back_s = max(_come_back(self._drain_s(item.team), jitter), CAPACITY_WAIT_S)
+        """Return the error to refuse a waiting request with, or ``None``."""
+        if outlook.lacks_capacity:
+            retry_after_s = max(
+                _retry_after_s(self._backlog_s(item.team), jitter), CAPACITY_WAIT_S
+            )
             return TeamQueueFullError(
-                f"the team had no room under its limit for {CAPACITY_WAIT_S:g} s",
-                retry_after_s=back_s,
+                f"the team had no capacity under its limit for {CAPACITY_WAIT_S:g} s",
+                retry_after_s=retry_after_s,
             )
         if not self.has_untried(item.tried):
-            back_s = _come_back(self._drain_s(item.team), jitter)
-            return NoEndpointError("no runner is left", retry_after_s=back_s)
+            retry_after_s = _retry_after_s(self._backlog_s(item.team), jitter)
+            return NoEndpointError(
+                "no runner is left that has not failed the request",
+                retry_after_s=retry_after_s,
+            )
         service_s = _SERVICE_MARGIN * item.min_service_s
         end = now + outlook.ahead_s / outlook.rate + service_s
-        slack = _GIVE_UP_SLACK * (item.deadline - item.arrived)
-        least_s = max(service_s, self._keep_s(item, now))
+        slack = _REFUSAL_SLACK * (item.deadline - item.arrived)
+        least_s = max(service_s, self._min_remaining_s(item, now))
         if now + least_s <= item.deadline and end <= item.deadline + slack:
             return None
-        return self._too_late(item, jitter)
+        return self._deadline_error(item, jitter)
 
-    def _too_late(self, item: QueuedRequest, jitter: float) -> FirhookError:
-        back_s = _come_back(self._drain_s(item.team), jitter)
+    def _deadline_error(self, item: QueuedRequest, jitter: float) -> FirhookError:
+        retry_after_s = _retry_after_s(self._backlog_s(item.team), jitter)
         return DeadlineUnmeetableError(
-            "its turn would come too late", retry_after_s=back_s
+            "the request would be dispatched too late", retry_after_s=retry_after_s
         )
 
 
 @attrs.define(slots=True)
-class _Outlook:
-    """What a team's waiting requests can expect.
+class _TeamOutlook:
+    """Estimates for a team's waiting requests.
 
     :ivar rate: slots that serve the team.
-    :ivar ahead_s: slot seconds of its requests that go first.
+    :ivar lacks_capacity: whether the team waits in vain for capacity.
+    :ivar ahead_s: slot seconds of its requests that are dispatched first.
     """
 
     rate: float
-    no_room: bool
+    lacks_capacity: bool
     ahead_s: float = 0.0
 
 
-def _come_back(drain_s: float, jitter: float) -> float:
-    """Return when a refused caller should come back, in seconds."""
-    bounded = min(max(drain_s, _RETRY_LEAST_S), _RETRY_MOST_S)
+def _retry_after_s(backlog_s: float, jitter: float) -> float:
+    """Return after how many seconds a refused caller should retry."""
+    bounded = min(max(backlog_s, _MIN_RETRY_AFTER_S), _MAX_RETRY_AFTER_S)
     return bounded * (0.75 + 0.5 * jitter)
 
 
@@ -412,10 +423,10 @@
     deadline: float,
     token: Any = None,
 ) -> QueuedRequest:
-    """Return a request to queue, with what is expected of it."""
+    """Return a request to queue, with its expected and minimum service times."""
     expected_s = times.expected_s(kind)
-    long = expected_s > max(_LONG_RATIO * times.mean_s, _LONG_LEAST_S)
-    # Bulk work of a kind not seen yet is likelier long than not.
+    long = expected_s > max(_LONG_RATIO * times.mean_s, _MIN_LONG_S)
+    # Bulk requests of an unknown kind are probably long.
     long = long or (klass == "bulk" and not times.has_seen(kind))
     min_service_s = times.min_service_s(kind, now)
     return QueuedRequest(
--- a/src/firhook/decide/_claims.py
+++ b/src/firhook/decide/_claims.py
@@ -1,19 +1,19 @@
-"""What this instance knows of the claims it made itself."""
+"""State of the claims that this instance made."""
 
 import enum
 
 import attrs
 
-#: Claims with an unknown outcome that are remembered one by one.
+#: Maximum number of claims with an unknown outcome that are kept individually.
 MAX_UNKNOWN_CLAIMS = 5000
-#: Claims whose outcome was read back lately.  A peer that reads the log later
-#: than the holder still asks; "never sent" would be safe, since the outcome
-#: stands before any give-back in the log, but it would puzzle the caller.
+#: Maximum number of recently settled claims that are kept.  A peer that reads the
+#: log later than the holder still asks about them.  Answering "never sent" would
+#: be safe, since the outcome precedes any release in the log, but misleading.
 MAX_SETTLED_CLAIMS = 1000
 
 
 class Phase(enum.Enum):
-    """How far a claimed request has come at its holder."""
+    """Progress of a claimed request at its holder."""
 
     CLAIMING = "claiming"
     HELD = "held"
@@ -31,70 +31,75 @@
     UNKNOWN = "unknown"
 
 
-_SAID = {Phase.OUTCOME_UNKNOWN: SendStatus.UNKNOWN, Phase.DONE: SendStatus.DONE}
+_STATUS_BY_PHASE = {
+    Phase.OUTCOME_UNKNOWN: SendStatus.UNKNOWN,
+    Phase.DONE: SendStatus.DONE,
+}
 
 
 @attrs.define(slots=True)
 class Claim:
-    """A claim of this instance; ``nonce`` tells it from its others."""
+    """A claim of this instance, identified by its nonce."""
 
     nonce: int
     phase: Phase = Phase.CLAIMING
 
 
 class ClaimTable:
-    """Claims of this run of this instance that are not settled in the log.
+    """Claims of this incarnation that are not yet settled in the log.
 
-    Load: every keyed charge, a few thousand open at once.
+    Every keyed charge has an entry; a few thousand are open at once.
 
-    What goes wrong: the append of a claim times out, its caller is refused,
-    and the claim lands afterwards.  The key would then be held for good by an
-    instance that never ran it.  Or a peer asks whether the request was sent at
-    the very moment at which it is about to be.  Hence a claim is in this book
-    from before its record is sent until its end has been *read back* from the
-    log, and only of one that is not in it may be said that it was never sent:
-    none gets in a second time, since no nonce is used twice.
+    The append of a claim may time out and land after its caller was refused; the
+    key would then be held forever by an instance that never ran the request.  Or a
+    peer may ask whether the request was sent at the moment when it is about to be.
+    Therefore a claim is in this table from before its record is sent until its
+    outcome has been *read back* from the log.  Only a claim that is not in the
+    table may be reported as never sent.  It cannot be entered again, since nonces
+    are never reused.
     """
 
     def __init__(self) -> None:
-        self._count = 0
+        self._last_nonce = 0
         self._claims: dict[str, Claim] = {}
-        self._lost: dict[str, int] = {}
+        self._unknown: dict[str, int] = {}
         self._settled: dict[str, int] = {}
-        self._lost_upto = 0
+        self._max_evicted_nonce = 0
 
     def find(self, key: str) -> Claim | None:
-        """Return this instance's claim on a key, if it has one."""
+        """Return this instance's claim on a key, or ``None``."""
         return self._claims.get(key)
 
     def begin(self, key: str) -> int:
-        """Enter a new claim and return its nonce; the key must have none."""
+        """Add a claim and return its nonce; the key must not be claimed yet."""
         assert key not in self._claims
-        self._count += 1
-        self._claims[key] = Claim(self._count)
-        return self._count
+        self._last_nonce += 1
+        self._claims[key] = Claim(self._last_nonce)
+        return self._last_nonce
 
     def set_phase(self, key: str, phase: Phase) -> None:
-        """Note how far a claimed request has come."""
+        """Set the phase of a claimed request, if the key is still claimed."""
         claim = self._claims.get(key)
         if claim is None:
             return
         claim.phase = phase
         if phase is Phase.OUTCOME_UNKNOWN:
-            self._bound_lost(key, claim.nonce)
-
-    def _bound_lost(self, key: str, nonce: int) -> None:
-        self._lost[key] = nonce
-        if len(self._lost) > MAX_UNKNOWN_CLAIMS:
-            oldest = next(iter(self._lost))
-            # Forgotten one by one, but still never said to be "never sent".
-            self._lost_upto = max(self._lost_upto, self._lost.pop(oldest))
+            self._limit_unknown(key, claim.nonce)
+
+    def _limit_unknown(self, key: str, nonce: int) -> None:
+        self._unknown[key] = nonce
+        if len(self._unknown) > MAX_UNKNOWN_CLAIMS:
+            oldest = next(iter(self._unknown))
+            # Evicted claims are still never reported as "never sent".
+            self._max_evicted_nonce = max(
+                self._max_evicted_nonce, self._unknown.pop(oldest)
+            )
             self._claims.pop(oldest, None)
 
     def settle(self, key: str) -> None:
-        """Note that the outcome of a claim was read back from the log."""
+        """Record that the outcome of a claim was read back from the log."""
         claim = self._claims.pop(key, None)
-        self._lost.pop(key, None)
+        self._unknown.pop(key, None)
         if claim is None:
             return
         self._settled[key] = claim.nonce
@@ -102,19 +107,23 @@
             del self._settled[next(iter(self._settled))]
 
     def remove(self, key: str) -> None:
-        """Forget a claim whose request was certainly never sent."""
+        """Remove a claim whose request was certainly never sent."""
         self._claims.pop(key, None)
-        self._lost.pop(key, None)
+        self._unknown.pop(key, None)
 
     def send_status(self, key: str, nonce: int) -> SendStatus:
         """Return whether the request of a claim of this instance was sent.
 
-        Once this has said "never", it stays so: whoever asked may give the
-        claim back in this instance's name.
+        The answer ``NEVER`` is final, since the asking peer may then release the
+        claim on behalf of this instance.
         """
         claim = self._claims.get(key)
         if self._settled.get(key) == nonce:
             return SendStatus.DONE
         if claim is None or claim.nonce != nonce:
-            return SendStatus.UNKNOWN if nonce <= self._lost_upto else SendStatus.NEVER
-        return _SAID.get(claim.phase, SendStatus.RUNNING)
+            return (
+                SendStatus.UNKNOWN
+                if nonce <= self._max_evicted_nonce
+                else SendStatus.NEVER
+            )
+        return _STATUS_BY_PHASE.get(claim.phase, SendStatus.RUNNING)
--- a/src/firhook/decide/_endings.py
+++ b/src/firhook/decide/_endings.py
@@ -1,4 +1,4 @@
-"""Ends of attempts and jobs: what they say of workers, and when to forget them."""
+"""Consequences of ended attempts: worker quarantine, job ends and retention."""
 
 from firhook.decide._failure_tracker import FailureTracker, outcome_of
 from firhook.model import Ending, JobEnd, WorkerMarked
@@ -6,16 +6,16 @@
 
 QUARANTINED = "quarantined"
 
-#: Attempts of ended jobs stay on show for so long, ...
+#: How long the attempts of an ended job stay visible, ...
 CLOSE_AFTER_S = 300.0
-#: ... unless there are more of them than this, about 1 MB.
+#: ... unless there are more than this many, about 1 MB.
 MAX_SHOWN_TASKS = 4000
 
 
 class Endings:
-    """Follows the ends that a zone's log holds.
+    """Processes the ended attempts in a zone's log.
 
-    :param ledger: failures by worker and by job, shared with placing.
+    :param failures: failures by worker and by job, shared with placement.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._ended_at: dict[str, float] = {}
 
     def record(self, endings: tuple[Ending, ...], now: float) -> None:
-        """Note ends that the log holds by now."""
+        """Record ends that are now in the log."""
         for ending in endings:
             task = self._zone.tasks.get(ending.job_id, {}).get(ending.index)
             if task is not None:
@@ -36,7 +36,7 @@
     def worker_marks(
         self, endings: tuple[Ending, ...], now: float
     ) -> list[WorkerMarked]:
-        """Return the workers to quarantine and to take back."""
+        """Return the workers to quarantine or to release from quarantine."""
         marks = [
             WorkerMarked(worker, QUARANTINED, reason)
             for worker, reason in self._failures.workers_to_quarantine(self._zone, now)
@@ -51,7 +51,7 @@
         return marks
 
     def ended_jobs(self) -> tuple[JobEnd, ...]:
-        """Return the jobs that have ended and are not yet recorded so."""
+        """Return the jobs that have ended without a record of their end."""
         ended = []
         for entry in self._cell.open_jobs(self._zone.zone):
             key = entry.job.key
@@ -65,23 +65,26 @@
         return tuple(ended)
 
     def closable_jobs(self, now: float) -> tuple[str, ...]:
-        """Return the jobs whose attempts need no longer be remembered."""
-        over = []
+        """Return the jobs whose attempts may be deleted."""
+        finished = []
         for key in self._zone.tasks:
             entry = self._cell.jobs.get(key)
-            here = entry is not None and entry.zone == self._zone.zone
-            if here and entry is not None and not entry.ended:
+            owned = entry is not None and entry.zone == self._zone.zone
+            if owned and entry is not None and not entry.ended:
                 continue
             if not self._zone.live_tasks.get(key):
-                over.append(key)
-        for key in over:
+                finished.append(key)
+        for key in finished:
             self._ended_at.setdefault(key, now)
-        shown = sum(len(self._zone.tasks[key]) for key in over)
+        shown_tasks = sum(len(self._zone.tasks[key]) for key in finished)
         closed = []
-        for key in sorted(over, key=lambda k: self._ended_at[k]):
-            if shown <= MAX_SHOWN_TASKS and now < self._ended_at[key] + CLOSE_AFTER_S:
+        for key in sorted(finished, key=lambda k: self._ended_at[k]):
+            if (
+                shown_tasks <= MAX_SHOWN_TASKS
+                and now < self._ended_at[key] + CLOSE_AFTER_S
+            ):
                 break
-            shown -= len(self._zone.tasks[key])
+            shown_tasks -= len(self._zone.tasks[key])
             closed.append(key)
         for key in closed:
             del self._ended_at[key]
--- a/src/firhook/decide/_grants.py
+++ b/src/firhook/decide/_grants.py
@@ -1,4 +1,4 @@
-"""The lead's book of what it lent within its zone's part of each limit."""
+"""The capacity that a zone's lead lends within its part of each team's limit."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -9,47 +9,48 @@
 @attrs.define(slots=True)
 class _Loan:
     amount: int
-    #: When the holder may at the latest have stopped everything under it.
-    counted_until: float
+    #: Latest time at which requests started under the loan may still run.
+    counts_until: float
 
 
 def holder_cap(part: int, holders: int) -> int:
-    """Return the most of a part that one instance is lent.
+    """Return the largest share of a part that one instance may hold.
 
-    A lead that dies takes its book with it.  What an instance that does not
-    answer might hold must then count as lent until it has certainly lapsed,
-    and without a cap that would be the whole part.  The cap is twice an even
-    share of one holder more: the platform's balancer spreads requests evenly,
-    so it is rarely felt, and with three instances of which one dies half of
-    the part can be lent again at once.
+    The table of grants is lost with the lead.  Whatever an unreachable instance
+    may hold must then count as lent until it has certainly expired; without a cap
+    that would be the whole part.  The cap is twice an even share among one more
+    holder.  The platform's load balancer spreads requests evenly, so the cap rarely
+    matters, and if one of three instances dies, half of the part can be lent again
+    at once.
 
-    :param holders: instances that may be lent to.
+    :param holders: number of instances that may receive grants.
     """
     return math.ceil(part * 2 / (max(holders, 1) + 1))
 
 
 def guest_holder_of(holder: str) -> str:
-    """Return the name under which a former lead's guests are counted."""
+    """Return the holder name for the loans of a former lead's guests."""
     return f"guests of {holder}"
 
 
 class GrantTable:
-    """Lends room under each team's limit to the instances of one zone.
-
-    Made for many small requests, so room is lent ahead and not asked for one
-    by one.  The harm it prevents is more running than the limit when holders
-    die, pause or are cut off: a holder that goes silent may still run what it
-    started just before its grant lapsed, so its loan is counted for
-    ``linger_s`` beyond the lapse, the longest that a request may run.
-
-    An instance that no record names as a holder yet, since it started while
-    the log was out, is a guest: it borrows under the lead's own cap, lead and
-    guests together.  The next lead counts a silent lead by that cap, and so
-    counts its guests without knowing of them.
-
-    :param ttl_s: how long a grant lasts without being renewed.
-    :param linger_s: the longest that a request may run.
-    :ivar host: the lead's own name among the holders.
+    """Lends capacity under each team's limit to the instances of one zone.
+
+    Capacity is lent in advance rather than per request, since requests are many
+    and small.  The limit must hold even when holders die, pause or are
+    partitioned: an unreachable holder may still run what it started just before
+    its grant expired.  Its loan therefore counts for another ``linger_s``, the
+    longest that a request may run.
+
+    An instance that started during an outage of the log is not yet named as a
+    holder by any record.  It is a guest: the lead and its guests share the lead's
+    cap.  The next lead counts an unreachable lead by that cap and so covers its
+    guests without knowing of them.
+
+    :param ttl_s: lifetime of a grant that is not renewed, in seconds.
+    :param linger_s: longest time that a request may run, in seconds.
+    :ivar lead_name: the lead's own holder name.
+    :ivar in_transfer: capacity by team that is being transferred to other zones.
     """
 
     def __init__(self, ttl_s: float, linger_s: float) -> None:
@@ -59,26 +60,26 @@
         self._linger_s = linger_s
         self._loans: dict[str, dict[str, _Loan]] = {}
         self._seqs: dict[str, int] = {}
-        self._asked_at: dict[str, float] = {}
-        self._wants: dict[str, dict[str, tuple[int, float]]] = {}
+        self._last_ask_at: dict[str, float] = {}
+        self._unmet: dict[str, dict[str, tuple[int, float]]] = {}
         self._opened = False
-        self._silent: set[str] = set()
-        self._silent_until = float("inf")
-        self._silent_caps: dict[str, int] = {}
-        self._silent_holders = 1
+        self._unaccounted: set[str] = set()
+        self._unaccounted_until = float("inf")
+        self._unaccounted_caps: dict[str, int] = {}
+        self._unaccounted_cap_holders = 1
         self._holders = 1
         self._tasks: dict[str, int] = {}
-        self._promised: dict[str, int] = {}
+        self._set_aside: dict[str, int] = {}
         self.in_transfer: dict[str, int] = {}
 
     @property
     def ttl_s(self) -> float:
-        """How long a grant lasts, in seconds."""
+        """Lifetime of a grant, in seconds."""
         return self._ttl_s
 
     @property
     def holders(self) -> int:
-        """How many instances may be lent to."""
+        """Number of instances that may receive grants."""
         return self._holders
 
     @holders.setter
@@ -87,14 +88,14 @@
 
     @property
     def tasks(self) -> dict[str, int]:
-        """Tasks of each team that the zone's log holds as running."""
+        """Running tasks of each team according to the zone's log."""
         return self._tasks
 
     @tasks.setter
     def tasks(self, counts: dict[str, int]) -> None:
-        # A new count includes the tasks that the room was promised for.
+        # The new counts include the tasks for which capacity was set aside.
         self._tasks = counts
-        self._promised = {}
+        self._set_aside = {}
 
     def open(
         self,
@@ -107,118 +108,118 @@
     ) -> None:
         """Start lending as a new lead.
 
-        :param known: what each holder that answered holds, by team, and what
-            guests of theirs may have, under names made by :func:`guests_of`.
-        :param silent: instances that the lead before may have lent to and that
-            have not answered.
-        :param silent_until: when whatever those hold has certainly ended.
-        :param silent_holders: the number of holders by which those were capped.
-        :param holders: instances that may be lent to.
+        :param known: amounts by team for each holder that answered, and for its
+            guests under the names returned by :func:`guest_holder_of`.
+        :param silent: instances that have not answered and that the previous
+            lead may have lent to.
+        :param silent_until: when their loans have certainly expired.
+        :param silent_holders: number of holders that determined their cap.
+        :param holders: number of instances that may receive grants.
         """
         self._loans.clear()
         self._guests = {guest_holder_of(self.lead_name)}
         self._seqs.clear()
-        self._wants.clear()
-        self._asked_at = dict.fromkeys((*known, *silent), now)
+        self._unmet.clear()
+        self._last_ask_at = dict.fromkeys((*known, *silent), now)
         self._opened = True
         self._holders = holders
         for holder, teams in known.items():
             for team, held in teams.items():
                 self._count(team, holder, held, now)
-        self._silent = set(silent)
-        self._silent_until = silent_until
-        self._silent_caps.clear()
-        self._silent_holders = silent_holders
+        self._unaccounted = set(silent)
+        self._unaccounted_until = silent_until
+        self._unaccounted_caps.clear()
+        self._unaccounted_cap_holders = silent_holders
 
     @property
     def is_open(self) -> bool:
-        """Whether this instance lends."""
+        """Whether this instance lends capacity."""
         return self._opened
 
     def close(self) -> None:
-        """Stop lending, having lost the lead."""
+        """Stop lending after the loss of the lead."""
         self._opened = False
         self.in_transfer.clear()
 
     def note_late_answer(
         self, holder: str, teams: Mapping[str, int], now: float
     ) -> None:
-        """Note what a silent holder said that it holds, when it answers late."""
-        if holder in self._silent:
-            self._silent.discard(holder)
+        """Record the holdings of a holder that did not answer in time."""
+        if holder in self._unaccounted:
+            self._unaccounted.discard(holder)
             for team, held in teams.items():
                 self._count(team, holder, held, now)
 
     def record_guest_loans(
         self, holder: str, teams: Mapping[str, int], now: float
     ) -> None:
-        """Note what a former lead says that it lent to guests.
+        """Record what a former lead reports as lent to its guests.
 
-        They ask for room themselves sooner or later and are then counted
-        twice, until this entry lapses; the one error would break the limit,
-        the other holds a little room back for half a minute.
+        Guests that then ask for capacity themselves count twice until this entry
+        expires.  Counting them twice withholds some capacity for half a minute;
+        not counting them would break the limit.
         """
         for team, amount in teams.items():
             self._count(team, guest_holder_of(holder), amount, now)
 
     def remove_holder(self, holder: str) -> None:
-        """Forget a holder that said that it holds nothing and takes no more."""
-        self._silent.discard(holder)
-        self._asked_at.pop(holder, None)
+        """Remove a holder that reported no holdings and will not ask again."""
+        self._unaccounted.discard(holder)
+        self._last_ask_at.pop(holder, None)
         for loans in self._loans.values():
             loans.pop(holder, None)
 
     def unaccounted(self, now: float) -> frozenset[str]:
         """Return the instances whose holdings are unknown."""
-        return frozenset(self._silent if now < self._silent_until else ())
+        return frozenset(self._unaccounted if now < self._unaccounted_until else ())
 
     def has_expired(self, holder: str, now: float) -> bool:
-        """Return whether nothing is counted for a holder any more."""
+        """Return whether no loan of a holder counts any longer."""
         if holder in self.unaccounted(now):
             return False
         loans = (by_holder.get(holder) for by_holder in self._loans.values())
-        return all(loan is None or loan.counted_until < now for loan in loans)
+        return all(loan is None or loan.counts_until < now for loan in loans)
 
     def fits_caps(self, holders: int, part_of: Callable[[str], int]) -> bool:
         """Return whether every loan is within the cap for a number of holders.
 
-        The cap falls when an instance joins.  Were the larger number published
-        first, the next lead would count a silent holder of the old, larger cap
-        as holding less than it does.
+        The cap falls when an instance joins.  If the larger number of holders were
+        published first, the next lead could underestimate an unreachable holder
+        that still has a loan up to the old, larger cap.
         """
         return all(
-            self._largest(team) <= holder_cap(part_of(team), holders)
+            self._largest_loan(team) <= holder_cap(part_of(team), holders)
             for team in self._loans
         )
 
-    def _with_host(self, team: str) -> dict[str, int]:
-        """Return the loans of the lead and of its guests, by holder."""
+    def _lead_loans(self, team: str) -> dict[str, int]:
+        """Return the loans of the lead and its guests, by holder."""
         return {
             holder: loan.amount
             for holder, loan in self._loans.get(team, {}).items()
             if holder == self.lead_name or holder in self._guests
         }
 
-    def _largest(self, team: str) -> int:
-        """Return the largest loan, the lead's and its guests' taken as one."""
-        others = self._loans.get(team, {}).keys() - self._with_host(team).keys()
+    def _largest_loan(self, team: str) -> int:
+        """Return the largest loan, counting the lead and its guests as one holder."""
+        others = self._loans.get(team, {}).keys() - self._lead_loans(team).keys()
         amounts = [self._loans[team][holder].amount for holder in others]
-        return max([sum(self._with_host(team).values()), *amounts])
+        return max([sum(self._lead_loans(team).values()), *amounts])
 
     def add_guest(self, holder: str) -> None:
-        """Lend to a holder as a guest from now on."""
+        """Treat a holder as a guest from now on."""
         self._guests.add(holder)
 
     def remove_guest(self, holder: str) -> None:
-        """Lend to a holder under a cap of its own, now that a record names it."""
+        """Give a holder its own cap, now that a record names it."""
         self._guests.discard(holder)
 
     def lent_to_guests(self, now: float) -> dict[str, int]:
-        """Return what guests may still have, by team, also after the lead's end."""
+        """Return what guests may still hold, by team, also after the term has ended."""
         result: dict[str, int] = {}
         for team, loans in self._loans.items():
             for holder in self._guests & loans.keys():
-                if loans[holder].counted_until >= now:
+                if loans[holder].counts_until >= now:
                     result[team] = result.get(team, 0) + loans[holder].amount
         return result
 
@@ -230,69 +231,78 @@
             loans[holder] = _Loan(amount, now + self._ttl_s + self._linger_s)
 
     def lent(self, team: str, now: float, without: str = "") -> int:
-        """Return what is counted as lent to a team's holders."""
+        """Return the total of a team's loans that still count.
+
+        :param without: a holder whose loan is left out.
+        """
         loans = self._loans.get(team, {})
-        for holder in [h for h, loan in loans.items() if loan.counted_until < now]:
+        for holder in [h for h, loan in loans.items() if loan.counts_until < now]:
             del loans[holder]
         return sum(loan.amount for h, loan in loans.items() if h != without)
 
     def free(self, team: str, part: int, now: float, without: str = "") -> int:
-        """Return what of a part is certainly not in use; negative if over.
+        """Return how much of a part is certainly unused; negative if exceeded.
 
-        :param without: a holder whose own loan is not counted.
+        :param without: a holder whose own loan is left out.
         """
-        unknown = len(self.unaccounted(now) - {without}) * self._silent_cap(team, part)
+        unknown = len(self.unaccounted(now) - {without}) * self._unaccounted_cap(
+            team, part
+        )
         return (
             part
             - self.lent(team, now, without)
             - self._tasks.get(team, 0)
-            - self._promised.get(team, 0)
+            - self._set_aside.get(team, 0)
             - self.in_transfer.get(team, 0)
             - unknown
         )
 
-    def _silent_cap(self, team: str, part: int) -> int:
-        # Fixed when first asked for: room that is given to the zone later was
-        # never the old lead's to lend, and counting a silent holder as having
-        # some of it would keep the zone from ever using it.
-        return self._silent_caps.setdefault(
-            team, holder_cap(part, self._silent_holders)
+    def _unaccounted_cap(self, team: str, part: int) -> int:
+        # The cap is fixed at first use.  Capacity that the zone receives later was
+        # never lent by the previous lead, and counting a share of it for an
+        # unreachable holder would keep the zone from ever using it.
+        return self._unaccounted_caps.setdefault(
+            team, holder_cap(part, self._unaccounted_cap_holders)
         )
 
     def cap_holders(self, now: float, holders: int) -> int:
-        """Return the number of holders by which every loan is capped.
+        """Return the number of holders that determines the cap of every loan.
 
-        :param holders: the number by which loans of this lead are capped.
+        :param holders: the number that determines the cap of this lead's loans.
         """
-        return min(holders, self._silent_holders) if self.unaccounted(now) else holders
+        return (
+            min(holders, self._unaccounted_cap_holders)
+            if self.unaccounted(now)
+            else holders
+        )
 
     def asked_recently(self, holder: str, now: float) -> bool:
-        """Return whether a holder has asked within three times a grant's time."""
-        asked_at = self._asked_at.get(holder, float("-inf"))
+        """Return whether a holder has asked within three grant lifetimes."""
+        asked_at = self._last_ask_at.get(holder, float("-inf"))
         return now - asked_at <= 3 * self._ttl_s
 
     def is_outdated(self, holder: str, seq: int, now: float) -> bool:
-        """Return whether an ask came after a later one of the same holder.
+        """Return whether a request arrived after a newer one of the same holder.
 
-        Its holder may by then hold what the later one was granted, which this
-        one does not count.
+        The holder may already hold what the newer request was granted, which the
+        older request does not count.
         """
         if seq <= self._seqs.get(holder, 0):
             return True
         self._seqs[holder] = seq
-        self._asked_at[holder] = now
+        self._last_ask_at[holder] = now
         return False
 
     def grant(
         self, team: str, holder: str, wanted: int, held: int, part: int, now: float
     ) -> int:
-        """Grant a holder up to what it wants and return its grant.
+        """Grant a holder up to the amount it wants and return the grant.
 
-        :param held: what it holds already and has not let lapse, or still has
-            running: the least that must be counted.
+        :param held: unexpired or still running amount of the holder, the minimum
+            that must be counted.
         :param part: the zone's part of the team's limit.
         """
-        self._silent.discard(holder)
+        self._unaccounted.discard(holder)
         ceiling = 0
         if self._opened:
             ceiling = min(
@@ -301,79 +311,79 @@
             )
         granted = max(min(wanted, ceiling), 0)
         if wanted > granted:
-            self._wants.setdefault(team, {})[holder] = (wanted - granted, now)
+            self._unmet.setdefault(team, {})[holder] = (wanted - granted, now)
         else:
-            self._wants.get(team, {}).pop(holder, None)
+            self._unmet.get(team, {}).pop(holder, None)
         self._count(team, holder, max(granted, held), now)
         return granted
 
     def unmet_demand(self, now: float) -> dict[str, int]:
-        """Return what each team wanted lately and was not lent."""
+        """Return the recent demand of each team that was not granted."""
         result: dict[str, int] = {}
-        for team, wants in list(self._wants.items()):
+        for team, wants in list(self._unmet.items()):
             for holder in [h for h, (_, at) in wants.items() if now - at > self._ttl_s]:
                 del wants[holder]
             if wants:
                 result[team] = sum(amount for amount, _ in wants.values())
             else:
-                del self._wants[team]
+                del self._unmet[team]
         return result
 
     def _cap(self, team: str, holder: str, part: int) -> int:
         cap = holder_cap(part, self._holders)
-        shared = self._with_host(team)
+        shared = self._lead_loans(team)
         if holder != self.lead_name and holder not in self._guests:
             return cap
         return cap - sum(shared.values()) + shared.get(holder, 0)
 
     def set_aside_for_tasks(self, team: str, part: int, now: float) -> int:
-        """Return how many more tasks a team may start in this zone.
+        """Set capacity aside for tasks and return how many a team may start.
 
-        The answer stays set aside until :meth:`promise` says how much of it was
-        taken, or :attr:`tasks` is next set.  Between
-        the decision to start a task and the log's word that it is assigned,
-        the same room would otherwise be lent for requests.
+        The amount stays set aside until :meth:`keep_set_aside` reduces it to what
+        was used, or :attr:`tasks` is next set.  Otherwise the same capacity could
+        be lent for requests between the decision to start a task and the record
+        of its assignment.
         """
         if not self._opened:
             return 0
-        promised = self._promised.pop(team, 0)
-        room = max(self.free(team, part, now), 0)
-        # Asked again before the next count, it is the same room once more.
-        self._promised[team] = max(room, promised)
-        return room
+        earlier = self._set_aside.pop(team, 0)
+        capacity = max(self.free(team, part, now), 0)
+        # A second call before the next count sets the same capacity aside.
+        self._set_aside[team] = max(capacity, earlier)
+        return capacity
 
     def keep_set_aside(self, counts: Mapping[str, int]) -> None:
-        """Keep aside only the room of the tasks that were chosen, by team.
+        """Keep only the capacity of the chosen tasks set aside, by team.
 
-        Called between :meth:`room_for_tasks` and the append, without a wait in
-        between; room that was not chosen may be lent for requests meanwhile.
+        Called between :meth:`set_aside_for_tasks` and the append without awaiting
+        in between.  The remaining capacity may be lent for requests again.
         """
-        self._promised = dict(counts)
+        self._set_aside = dict(counts)
 
     def transferable(self, team: str, part: int, now: float) -> int:
-        """Return how much of a part may be moved to another zone.
+        """Return how much of a part may be transferred to another zone.
 
-        What is left must still have every loan under the cap, by which the
-        next lead judges what a silent holder may have.
+        Every loan must stay within the cap of the remaining part, since the next
+        lead estimates the holdings of an unreachable holder by that cap.
         """
         if not self._opened:
             return 0
-        spare = max(self.free(team, part, now), 0)
-        most = self._largest(team)
-        while spare and holder_cap(part - spare, self._holders) < most:
-            spare -= 1
-        return spare
+        amount = max(self.free(team, part, now), 0)
+        largest = self._largest_loan(team)
+        while amount and holder_cap(part - amount, self._holders) < largest:
+            amount -= 1
+        return amount
 
 
 class CapacityDemand:
-    """What an instance wants to hold for each team.
+    """The capacity that an instance wants to hold for each team.
 
-    A burst raises it at once; afterwards it falls by half every
-    ``half_life_s`` to what is running.  Without the fall an instance that
-    once saw a burst would keep the room from its peers until a restart; with
-    an immediate fall it would have to ask again for every request.
+    A burst raises the demand at once; afterwards it halves every ``half_life_s``
+    until it reaches what is running.  Without this decay an instance would
+    withhold capacity from its peers until a restart after a single burst; with an
+    immediate drop it would have to ask the lead for every request.
 
-    :param half_life_s: in seconds.
+    :param half_life_s: half-life of the demand, in seconds.
     """
 
     def __init__(self, half_life_s: float) -> None:
@@ -381,20 +391,20 @@
         self._peaks: dict[str, tuple[int, float]] = {}
 
     def raise_to(self, team: str, wanted: int, now: float) -> None:
-        """Note that work waits which could use so much room in all."""
+        """Raise the demand to the total amount that waiting work could use."""
         self._peaks[team] = (max(wanted, self.wanted(team, 0, now)), now)
 
     def wanted(self, team: str, least: int, now: float) -> int:
-        """Return how much room the team could use now.
+        """Return how much capacity the team could use now.
 
-        :param least: what it uses or could use now in any case.
+        :param least: lower bound, the amount in use or needed right now.
         """
         peak, at = self._peaks.get(team, (0, now))
         fallen = peak * 0.5 ** ((now - at) / self._half_life_s)
         return max(least, round(fallen))
 
     def teams(self, now: float) -> list[str]:
-        """Return the teams with demand, and forget those without."""
+        """Return the teams with demand and remove those without."""
         for team in list(self._peaks):
             if self.wanted(team, 0, now) == 0:
                 del self._peaks[team]
--- a/src/firhook/decide/_lead.py
+++ b/src/firhook/decide/_lead.py
@@ -1,11 +1,11 @@
-"""When an instance may claim its zone's lead, and when a lead may lend.
-
-Two clocks of a lead matter.  By the log its lease lasts ``lease_s`` from
-before its last renewal was sent; that is what placing tasks relies on.
-Lending room for requests must go on when the log is out, which happens for
-long stretches, or every zone would stop serving together.  So a lead that
-cannot renew may go on lending as long as every other instance on its roster
-has lately promised not to claim the lead; nobody else may hold room.
+"""When an instance may claim its zone's lead, and when a lead may lend capacity.
+
+A lead has two lifetimes.  Its lease in the log lasts ``lease_s`` from before its
+last renewal was sent; task placement relies on it.  Lending capacity for requests
+must continue during an outage of the log, which can be long; otherwise all zones
+would stop serving at once.  A lead that cannot renew may therefore keep lending
+while every other instance on its roster, the only ones that may hold capacity,
+has recently promised not to claim the lead.
 """
 
 from collections.abc import Iterable
@@ -17,13 +17,13 @@
 
 @attrs.frozen(slots=True)
 class LeadTimes:
-    """Spans of time that all instances of a cell have alike, in seconds.
+    """Durations that are the same at all instances of a cell, in seconds.
 
-    :param lease_s: the lead's lease by the log.
-    :param margin_s: what others wait beyond it.
-    :param ttl_s: how long a promise not to claim lasts, and a grant.
-    :param linger_s: the longest that a request may run.
-    :param outage_s: longest that a lead lends without the log.
+    :param lease_s: the lead's lease in the log.
+    :param margin_s: how long others wait after its expiry.
+    :param ttl_s: lifetime of a promise not to claim, and of a grant.
+    :param linger_s: longest time that a request may run.
+    :param outage_s: longest time that a lead lends without the log.
     """
 
     lease_s: float
@@ -35,12 +35,12 @@
 
 @attrs.frozen(slots=True)
 class LeadObservation:
-    """What a would-be lead knows of the present one, on its own clock.
+    """What a candidate knows about the current lead, on the candidate's clock.
 
-    :param released: whether the lead was handed back.
-    :param lapsed: whether its lease by the log has certainly ended.
-    :param log_age_s: since the end of the log was last seen.
-    :param promised_at: when the stamp was read that was last sent back as a
+    :param released: whether the lead was released.
+    :param lease_expired: whether its lease in the log has certainly expired.
+    :param log_age_s: seconds since the end of the log was last read.
+    :param promised_at: when the stamp was read that was last returned as a
         promise not to claim.
     """
 
@@ -51,34 +51,34 @@
 
 
 def may_claim(
-    sight: LeadObservation, times: LeadTimes, now: float, max_age_s: float
+    observation: LeadObservation, times: LeadTimes, now: float, max_age_s: float
 ) -> bool:
     """Return whether to claim the lead.
 
-    Without a fresh sight of the log a claim would be judged on a lead that
-    has renewed meanwhile; it would lose, but only after having been in the
-    way of the others.  The promise given with the last ask must have ended,
-    since the lead may still rely on it.
+    Without a recent read of the log a claim might target a lead that has renewed
+    in the meantime; it would lose, but only after delaying others.  The promise
+    given with the last request for capacity must have expired, since the lead may
+    still rely on it.
 
-    :param max_age_s: oldest sight of the log's end that will do.
+    :param max_age_s: maximum age of the last read of the log's end.
     """
-    if sight.log_age_s > max_age_s:
+    if observation.log_age_s > max_age_s:
         return False
-    if sight.released:
+    if observation.released:
         return True
-    promised_until = sight.promised_at + times.ttl_s * (1 + MAX_CLOCK_DRIFT)
-    return sight.lease_expired and now > promised_until
+    promised_until = observation.promised_at + times.ttl_s * (1 + MAX_CLOCK_DRIFT)
+    return observation.lease_expired and now > promised_until
 
 
 def may_lend(
     held_until: float, outage_until: float, promises: Iterable[float], now: float
 ) -> bool:
-    """Return whether a lead may lend at this moment.
+    """Return whether a lead may lend now.
 
-    :param held_until: when its lease by the log ends.
-    :param outage_until: when it must stop lending without the log at last.
-    :param promises: until when each other instance on the roster has promised
-        not to claim; counted from before the promise was made.
+    :param held_until: when its lease in the log expires.
+    :param outage_until: when it must stop lending without the log.
+    :param promises: when the promise of each other instance on the roster
+        expires, counted from before the promise was made.
     """
     if now < held_until:
         return True
@@ -87,13 +87,14 @@
 
 @attrs.frozen(slots=True)
 class PreviousLead:
-    """What a new lead knows of the one before it.
+    """What a new lead knows about the previous one.
 
-    :param released: whether that one handed the lead back and so holds nothing.
+    :param released: whether the previous lead released the lead and so holds
+        nothing.
     :param roster: instances that it may have lent to.
-    :param me: the new lead.
-    :param answered: those that have answered the new lead, and so take no
-        more room from an older lead and promise it nothing more.
+    :param new_lead: name of the new lead.
+    :param answered: instances that have answered the new lead, and so accept no
+        more capacity from an older lead and give it no more promises.
     :param lead_read_at: when its last claim or renewal was read.
     """
 
@@ -104,21 +105,21 @@
     lead_read_at: float
 
 
-def holdings_end_at(seen: PreviousLead, times: LeadTimes, now: float) -> float:
-    """Return when whatever silent instances hold has certainly ended.
+def holdings_end_at(previous: PreviousLead, times: LeadTimes, now: float) -> float:
+    """Return when the loans of unreachable instances have certainly expired.
 
-    The lead before may be cut off and lending still.  It cannot be if it was
-    released, if this instance is on its roster and so has let its promise
-    lapse before claiming, or if another on its roster has answered and so
-    promises it nothing more.  Otherwise, which takes a zone whose instances
-    were all lost at once, only its limit of lending without the log is sure.
+    The previous lead may be partitioned and still lending.  It cannot be if it was
+    released, if this instance is on its roster and so let its promise expire before
+    it claimed, or if another instance on its roster has answered and gives it no
+    more promises.  Otherwise, which requires that all instances of the zone were
+    lost at once, only the limit on lending without the log is certain.
     """
-    lapse_s = times.ttl_s + times.linger_s
-    if seen.released or seen.new_lead in seen.roster:
-        return now + lapse_s
-    if seen.roster & seen.answered:
-        return now + times.ttl_s * (1 + MAX_CLOCK_DRIFT) + lapse_s
-    stopped = (
-        seen.lead_read_at + times.outage_s * (1 + MAX_CLOCK_DRIFT) + times.margin_s
+    expiry_s = times.ttl_s + times.linger_s
+    if previous.released or previous.new_lead in previous.roster:
+        return now + expiry_s
+    if previous.roster & previous.answered:
+        return now + times.ttl_s * (1 + MAX_CLOCK_DRIFT) + expiry_s
+    lending_ends = (
+        previous.lead_read_at + times.outage_s * (1 + MAX_CLOCK_DRIFT) + times.margin_s
     )
-    return max(stopped, now) + lapse_s
+    return max(lending_ends, now) + expiry_s
--- a/src/firhook/decide/_limits.py
+++ b/src/firhook/decide/_limits.py
@@ -1,4 +1,4 @@
-"""The count of what a team has running here, against the room it has."""
+"""Running requests and available capacity of each team at one instance."""
 
 from collections.abc import Callable
 
@@ -8,18 +8,21 @@
 
 
 class Account:
-    """What each team has running here, against the room this holder has.
+    """Counts what each team runs here against the capacity lent to this instance.
 
-    Counted at dispatch and given back only on a known end: an attempt whose
-    end is unknown may still be running, and counting it as ended would let
-    the team exceed its limit just when things go wrong.
+    A request counts from its dispatch until it has certainly ended.  A request
+    with an unknown end may still be running, and not counting it would let the
+    team exceed its limit during faults.
 
-    Room ends by time, and the time is looked at whenever room is taken.  A
-    process that was paused and goes on may run any coroutine first; were
-    lapsed room only swept away by a task of its own, a request dispatched
-    before the sweep would run on room that a peer has been lent meanwhile.
+    Capacity expires, and every acquisition checks the expiry.  A paused process
+    may resume with any coroutine.  If a background task alone removed expired
+    capacity, a request dispatched before that task ran would use capacity that
+    has been lent to a peer in the meantime.
 
-    :param clock: the holder's monotonic clock, in seconds.
+    :param clock: this instance's monotonic clock, in seconds.
+    :ivar capacity: lent capacity by team, expired or not.
+    :ivar expires_at: expiry of the capacity by team, on the clock.
+    :ivar running: running requests by team.
     """
 
     def __init__(self, clock: Callable[[], float] = _no_time) -> None:
@@ -29,13 +32,13 @@
         self.running: dict[str, int] = {}
 
     def current_capacity(self, team: str) -> int:
-        """Return the room of a team that has not lapsed."""
+        """Return the unexpired capacity of a team."""
         if self._clock() >= self.expires_at.get(team, float("inf")):
             return 0
         return self.capacity.get(team, 0)
 
     def set_capacity(self, team: str, amount: int, expires_at: float) -> None:
-        """Set the room of a team until a time on the clock."""
+        """Set a team's capacity and its expiry on the clock."""
         if amount > 0:
             self.capacity[team] = amount
             self.expires_at[team] = expires_at
@@ -44,11 +47,11 @@
             self.expires_at.pop(team, None)
 
     def max_in_use(self, team: str) -> int:
-        """Return the most that may run here before room is next lent."""
+        """Return how much may run here at most until capacity is lent again."""
         return max(self.current_capacity(team), self.running.get(team, 0))
 
     def acquire(self, team: str, amount: int = 1) -> bool:
-        """Count ``amount`` more as running if there is room for all of it."""
+        """Count ``amount`` more as running if the capacity allows all of it."""
         used = self.running.get(team, 0)
         if used + amount > self.current_capacity(team):
             return False
@@ -57,8 +60,8 @@
 
     def release(self, team: str, amount: int = 1) -> None:
         """Count ``amount`` less as running."""
-        left = self.running.get(team, 0) - amount
-        if left > 0:
-            self.running[team] = left
+        remaining = self.running.get(team, 0) - amount
+        if remaining > 0:
+            self.running[team] = remaining
         else:
             self.running.pop(team, None)
--- a/src/firhook/decide/adopt.py
+++ b/src/firhook/decide/adopt.py
@@ -1,4 +1,4 @@
-"""When a zone counts as lost, and which other zone adopts its jobs."""
+"""When a zone counts as lost, and which zone adopts its jobs."""
 
 from firhook.decide._adopt import (
     MAX_LOG_AGE_S,
--- a/src/firhook/decide/claims.py
+++ b/src/firhook/decide/claims.py
@@ -1,4 +1,4 @@
-"""Claims of keyed non-idempotent requests, as their holder knows them."""
+"""State of the claims that this instance made."""
 
 from firhook.decide._claims import Claim, ClaimTable, Phase, SendStatus
 
--- a/src/firhook/decide/gossip.py
+++ b/src/firhook/decide/gossip.py
@@ -1,4 +1,4 @@
-"""How often an instance tells its peers of itself."""
+"""Gossip interval of an instance."""
 
 from firhook.decide._gossip import gossip_interval_s
 
--- a/src/firhook/decide/lead.py
+++ b/src/firhook/decide/lead.py
@@ -1,4 +1,4 @@
-"""When to claim a zone's lead, and when its holder may lend room."""
+"""When to claim a zone's lead, and when a lead may lend capacity."""
 
 from firhook.decide._lead import (
     LeadObservation,
--- a/src/firhook/decide/lease.py
+++ b/src/firhook/decide/lease.py
@@ -1,4 +1,4 @@
-"""Leases and clocks."""
+"""Leases on monotonic clocks that may drift."""
 
 from firhook.decide._lease import (
     MAX_CLOCK_DRIFT,
--- a/src/firhook/decide/limit_transfers.py
+++ b/src/firhook/decide/limit_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of room under a team's limit between zones."""
+"""Transfers of capacity under a team's limit between zones."""
 
 from firhook.decide._limit_transfers import TeamCapacity, choose_transfer
 
--- a/src/firhook/decide/limits.py
+++ b/src/firhook/decide/limits.py
@@ -1,4 +1,4 @@
-"""Parts of the teams' upper limits, and the count of what runs under them."""
+"""Parts of the teams' limits, and the count of what runs under them."""
 
 from firhook.decide._limits import Account
 from firhook.decide._tokens import MAX_SPANS, Span, move_tokens, split, zone_parts
--- a/src/firhook/decide/outbox.py
+++ b/src/firhook/decide/outbox.py
@@ -1,4 +1,4 @@
-"""Group commit, and the settling of appends whose answer was lost."""
+"""Group commit of records to the log."""
 
 from firhook.decide._outbox import MAX_BATCH, Outbox, OutgoingRecord
 
--- a/src/firhook/decide/snapshot_timing.py
+++ b/src/firhook/decide/snapshot_timing.py
@@ -1,4 +1,4 @@
-"""Snapshots carried forward before their records expire."""
+"""When snapshots are made, before the records that they cover expire."""
 
 from firhook.decide._snapshot_timing import (
     INITIAL_AGE_FRACTION,
