--- a/src/firhook/decide/_failure_tracker.py
+++ b/src/firhook/decide/_failure_tracker.py
@@ -1,9 +1,9 @@
-"""What failed where: retries, poison jobs and sick workers.
+"""Task failures by job and worker: retries and quarantine.
 
-Made for a night in which nobody watches: a worker that fails everything it
-starts, beside a job that fails wherever it starts.  The first, left alone,
-would fail the whole fleet's work, since it always has room; the second would
-have worker after worker blamed for it.
+Nobody may be watching when a worker fails everything it starts, or a job fails
+wherever it starts.  Such a worker would fail the work of the whole fleet, since it
+always has free capacity; such a job would cause one worker after another to be
+quarantined.
 """
 
 from collections.abc import Callable
@@ -13,98 +13,98 @@
 from firhook.model import Ending
 from firhook.state import JobEntry, ZoneState
 
-#: A failed task is tried again after so long, doubled with each failure, ...
-RETRY_S = 1.0
-#: ... but at least this often: what it depends on may be back by dawn.
+#: Delay before a failed task is retried, doubled with each failure, ...
+INITIAL_RETRY_S = 1.0
+#: ... up to this maximum, since a failed dependency may recover at any time.
 MAX_RETRY_S = 300.0
-#: Jobs that must have failed at a worker, ...
-SICK_JOBS = 3
-#: ... and how many of them must run elsewhere, before the worker is blamed.
-RUN_ELSEWHERE = 2
-#: Failures longer ago than this say little about a worker's present state.
-SICK_WINDOW_S = 900.0
-#: A quarantined worker gets one task to show that it is well, after so long,
-#: doubled with each that fails.
-PROBE_S = 30.0
+#: Number of jobs that must have failed at a worker before it is quarantined, ...
+QUARANTINE_MIN_JOBS = 3
+#: ... and how many of these must run elsewhere.
+QUARANTINE_MIN_HEALTHY_JOBS = 2
+#: Older failures say little about a worker's current state.
+FAILURE_WINDOW_S = 900.0
+#: Delay before a quarantined worker gets one task as a probe, doubled with each
+#: failed probe.
+INITIAL_PROBE_S = 30.0
 MAX_PROBE_S = 600.0
 
 
 def retry_delay_s(failures: int) -> float:
-    """Return how long a task waits after its last failure."""
-    return min(RETRY_S * 2.0 ** max(min(failures, 30) - 1, 0), MAX_RETRY_S)
+    """Return the delay before a task is retried, in seconds."""
+    return min(INITIAL_RETRY_S * 2.0 ** max(min(failures, 30) - 1, 0), MAX_RETRY_S)
 
 
 @attrs.define(slots=True)
 class _Probe:
-    """When a quarantined worker may next show that it is well."""
+    """When a quarantined worker may next be probed."""
 
     at: float
-    delay_s: float = PROBE_S
+    delay_s: float = INITIAL_PROBE_S
 
 
 class FailureTracker:
-    """What this lead saw fail, and where.
+    """Failures that this lead observed, by job and worker.
 
-    It is kept in memory only.  A new lead starts it empty, and so at worst
-    retries a task early, or takes a sick worker's next failures to blame it;
-    the quarantine itself is on the log.
+    Kept in memory only.  A new lead starts empty, so at worst it retries a task
+    early or needs a few more failures to quarantine a faulty worker.  The
+    quarantine itself is in the log.
     """
 
     def __init__(self) -> None:
         self._failed_at: dict[tuple[str, int], float] = {}
-        self._by_worker: dict[str, dict[str, float]] = {}
-        self._by_job: dict[str, dict[str, float]] = {}
+        self._failures_by_worker: dict[str, dict[str, float]] = {}
+        self._failures_by_job: dict[str, dict[str, float]] = {}
         self._probes: dict[str, _Probe] = {}
 
     def record(self, ending: Ending, worker: str, now: float) -> None:
-        """Note an end that the log holds."""
+        """Record an end that is in the log."""
         if ending.outcome == "done":
-            self._by_worker.pop(worker, None)
+            self._failures_by_worker.pop(worker, None)
             return
         if ending.outcome not in ("failed", "refused"):
             return
         self._failed_at[(ending.job_id, ending.index)] = now
-        self._by_worker.setdefault(worker, {})[ending.job_id] = now
-        self._by_job.setdefault(ending.job_id, {})[worker] = now
+        self._failures_by_worker.setdefault(worker, {})[ending.job_id] = now
+        self._failures_by_job.setdefault(ending.job_id, {})[worker] = now
         probe = self._probes.get(worker)
         if probe is not None:
             probe.delay_s = min(2 * probe.delay_s, MAX_PROBE_S)
             probe.at = now + probe.delay_s
 
     def remove_job(self, job_id: str) -> None:
-        """Drop what is known of a job that has ended."""
-        self._by_job.pop(job_id, None)
+        """Delete the failures of a job that has ended."""
+        self._failures_by_job.pop(job_id, None)
         for key in [k for k in self._failed_at if k[0] == job_id]:
             del self._failed_at[key]
 
     def may_retry(self, job_id: str, index: int, failures: int, now: float) -> bool:
-        """Return whether a failed task has waited long enough."""
+        """Return whether the retry delay of a failed task has passed."""
         failed_at = self._failed_at.get((job_id, index))
         return failed_at is None or now >= failed_at + retry_delay_s(failures)
 
     def workers_to_avoid(self, job_id: str, now: float) -> frozenset[str]:
-        """Return the workers that a job just failed on, unless it fails everywhere."""
-        failed = self._by_job.get(job_id, {})
+        """Return the workers where a job recently failed, if they are few."""
+        failed = self._failures_by_job.get(job_id, {})
         recent = {w for w, at in failed.items() if now - at < MAX_RETRY_S}
-        return frozenset(recent) if len(recent) < SICK_JOBS else frozenset()
+        return frozenset(recent) if len(recent) < QUARANTINE_MIN_JOBS else frozenset()
 
     def workers_to_quarantine(
         self, zone: ZoneState, now: float
     ) -> list[tuple[str, str]]:
-        """Return the workers to quarantine, and why.
+        """Return the workers to quarantine, with the reason.
 
-        A job that fails at several workers proves nothing against any.  Only
-        jobs that run elsewhere tell that it is the worker that fails them.
+        A job that fails on several workers is no evidence against any of them.
+        Only jobs that run elsewhere show that the worker is at fault.
         """
         found = []
-        for worker, failed in self._by_worker.items():
+        for worker, failed in self._failures_by_worker.items():
             if worker in zone.marks:
                 continue
-            recent = [j for j, at in failed.items() if now - at < SICK_WINDOW_S]
-            if len(recent) < SICK_JOBS:
+            recent = [j for j, at in failed.items() if now - at < FAILURE_WINDOW_S]
+            if len(recent) < QUARANTINE_MIN_JOBS:
                 continue
             elsewhere = [j for j in recent if _runs_elsewhere(zone, j, worker)]
-            if len(elsewhere) >= RUN_ELSEWHERE:
+            if len(elsewhere) >= QUARANTINE_MIN_HEALTHY_JOBS:
                 reason = (
                     f"{len(recent)} jobs failed here lately, "
                     f"of which {len(elsewhere)} run elsewhere"
@@ -113,14 +113,14 @@
         return found
 
     def may_probe(self, worker: str, now: float) -> bool:
-        """Return whether a quarantined worker may be given one task."""
-        probe = self._probes.setdefault(worker, _Probe(now + PROBE_S))
+        """Return whether a quarantined worker may get one task as a probe."""
+        probe = self._probes.setdefault(worker, _Probe(now + INITIAL_PROBE_S))
         return now >= probe.at
 
     def note_recovered(self, worker: str) -> None:
-        """Note that a worker's quarantine has ended."""
+        """Record that a worker's quarantine has ended."""
         self._probes.pop(worker, None)
-        self._by_worker.pop(worker, None)
+        self._failures_by_worker.pop(worker, None)
 
 
 def _runs_elsewhere(zone: ZoneState, job_id: str, worker: str) -> bool:
@@ -131,9 +131,9 @@
 def pending_tasks(
     entry: JobEntry, zone: ZoneState, may_retry: Callable[[str, int, int], bool]
 ) -> tuple[int, ...]:
-    """Return the tasks of a job that are to be placed now.
+    """Return the tasks of a job that must be placed now.
 
-    A gang waits until none of its tasks runs, since it starts all at once.
+    A gang waits until none of its tasks runs, since they start together.
     """
     job = entry.job
     if entry.cancelled or entry.ended:
@@ -141,26 +141,26 @@
     tasks = zone.tasks.get(job.key)
     if tasks is None:
         return tuple(range(job.tasks))
-    wanted = []
+    indexes = []
     for index in range(job.tasks):
         task = tasks.get(index)
         if task is None:
-            wanted.append(index)
+            indexes.append(index)
         elif task.live:
             if job.gang:
                 return ()
         elif task.outcome in ("failed", "refused"):
             if may_retry(job.key, index, task.failures):
-                wanted.append(index)
+                indexes.append(index)
             elif job.gang:
                 return ()
         elif task.outcome != "done" or job.priority == "service":
-            wanted.append(index)
-    return tuple(wanted)
+            indexes.append(index)
+    return tuple(indexes)
 
 
 def outcome_of(entry: JobEntry, zone: ZoneState) -> str:
-    """Return how a job has ended, or nothing if it has not."""
+    """Return how a job has ended, or an empty string if it has not."""
     tasks = zone.tasks.get(entry.job.key, {})
     if zone.live_tasks.get(entry.job.key):
         return ""
--- a/src/firhook/decide/_fair_share.py
+++ b/src/firhook/decide/_fair_share.py
@@ -1,4 +1,4 @@
-"""Whose task is placed next, and on which worker, when the zone is full."""
+"""Order of task placement: fair shares of teams within each priority."""
 
 import heapq
 from collections.abc import Mapping, Sequence
@@ -8,33 +8,32 @@
 from firhook.decide._place import CapacityIndex, ResourceNeed
 from firhook.model import JobSpec
 
-#: Order of the kinds of work.  Urgent work has a few seconds, a service has
-#: users waiting, and a batch run joins the services once its deadline nears.
+#: Placement order of the priorities.  Urgent work must start within seconds and a
+#: service has users waiting; a batch job ranks with services near its deadline.
 _RANKS = {"urgent": 0, "service": 1, "batch": 2}
 _NEAR_DEADLINE_RANK = 1
 
-#: A batch run goes before others once the time left is less than this many
-#: times what its remaining work takes as declared, since declared run times
-#: are often far off, ...
+#: A batch job is near its deadline once the remaining time is less than this many
+#: times its declared run time, since declared run times are often far off, ...
 RUN_TIME_MARGIN = 2.0
-#: ... and in any case in the last minutes before its deadline.
+#: ... and in any case this long before its deadline.
 NEAR_DEADLINE_S = 900.0
 
-#: A gang that has waited so long gets room set aside for it.  Before that,
-#: room that comes free may serve others at once; after it, a steady flow of
-#: small tasks would take each piece before the gang's last piece is free.
+#: Workers are reserved for a gang that has waited this long.  Before, freed
+#: resources may serve other tasks at once.  Without a reservation, a steady flow of
+#: small tasks would take every freed worker before the gang finds all it needs.
 GANG_RESERVE_AFTER_S = 30.0
 
 
 @attrs.frozen(slots=True)
 class TaskRequest:
-    """Tasks of one job that wait for a place.
+    """Tasks of one job that must be placed.
 
-    :param indexes: the tasks.
-    :param waited_s: how long the job has waited.
+    :param indexes: task indexes.
+    :param waited_s: how long the job has waited, in seconds.
     :param time_left_s: time until its deadline, ``inf`` if it has none.
-    :param avoid: workers that it shall not go to.
-    :param racks: its replicas by rack, for a service.
+    :param avoid: workers that must not get its tasks.
+    :param racks: number of replicas by rack, for a service.
     """
 
     job: JobSpec
@@ -46,7 +45,7 @@
 
     @property
     def rank(self) -> int:
-        """Return its place in the order of kinds, smallest first."""
+        """Return its rank in the placement order, smallest first."""
         rank = _RANKS[self.job.priority]
         if rank > _NEAR_DEADLINE_RANK and self.near_deadline:
             return _NEAR_DEADLINE_RANK
@@ -54,16 +53,17 @@
 
     @property
     def near_deadline(self) -> bool:
-        """Return whether its deadline is near."""
+        """Return whether the job is near its deadline."""
         return self.time_left_s < max(RUN_TIME_MARGIN * self.job.run_s, NEAR_DEADLINE_S)
 
 
 @attrs.frozen(slots=True)
 class Reservation:
-    """Workers set aside for a gang.
+    """Workers reserved for a gang.
 
-    :param free_in_s: when they will be free, by declared run times; a task
-        that would certainly be gone by then may still use them.
+    :param job_id: the gang's job.
+    :param free_in_s: time until they are free according to declared run times; a
+        task that will certainly have ended by then may still use them.
     """
 
     job_id: str
@@ -71,7 +71,7 @@
     free_in_s: float = 0.0
 
     def admits(self, job: JobSpec) -> bool:
-        """Return whether a job's tasks may use the workers meanwhile."""
+        """Return whether a job's tasks may use the reserved workers."""
         if job.key == self.job_id or job.priority == "urgent":
             return True
         return 0 < job.run_s * RUN_TIME_MARGIN <= self.free_in_s
@@ -79,7 +79,7 @@
 
 @attrs.frozen(slots=True)
 class Placement:
-    """A task and its worker."""
+    """A task and the worker chosen for it."""
 
     job_id: str
     index: int
@@ -88,10 +88,10 @@
 
 @attrs.define(slots=True)
 class PlacementPlan:
-    """What was decided in one round.
+    """The decisions of one round.
 
-    :ivar placements: in the order decided.
-    :ivar held: jobs that still wait, and why.
+    :ivar placements: placements in the order of decision.
+    :ivar held: jobs that still wait, with the reason.
     """
 
     placements: list[Placement] = attrs.field(factory=list)
@@ -100,17 +100,20 @@
 
 @attrs.define(slots=True)
 class _Round:
-    """The working state of one round of placing."""
+    """Working state of one placement round.
+
+    :ivar unplaceable: needs that no worker can take in this rank.
+    """
 
     capacities: CapacityIndex
     left: dict[str, int]
     reservation: Reservation | None
     plan: PlacementPlan = attrs.field(factory=PlacementPlan)
-    full: list[ResourceNeed] = attrs.field(factory=list)
+    unplaceable: list[ResourceNeed] = attrs.field(factory=list)
 
 
 def dominant_share(need: ResourceNeed, total: ResourceNeed) -> float:
-    """Return the largest part of the zone that a task takes of any resource."""
+    """Return the largest fraction of any of the zone's resources that a task takes."""
     return max(
         need.cpus / total.cpus if total.cpus else 0.0,
         need.memory_mb / total.memory_mb if total.memory_mb else 0.0,
@@ -127,17 +130,16 @@
     total: ResourceNeed,
     reservation: Reservation | None = None,
 ) -> PlacementPlan:
-    """Return which waiting tasks start where.
+    """Choose workers for waiting tasks by weighted dominant-resource fairness.
 
-    Made for a zone that is full at dawn, with a few large teams and many
-    small ones waiting: tasks are taken one at a time from the team that has
-    the least running for its share, so that a small team's only job never
-    stands behind a large team's thousand.
+    Tasks are taken one at a time from the team with the least running for its
+    share.  In a full zone with a few large and many small teams, a small team's
+    only job therefore never waits behind a large team's thousand.
 
-    :param used: dominant share that each team has running.
+    :param used: dominant share of each team's running tasks.
     :param shares: each team's weight.
     :param left: how many more tasks each team may start under its limit.
-    :param total: what the zone has in all.
+    :param total: the zone's total resources.
     """
     state = _Round(capacities, dict(left), reservation)
     queues: dict[tuple[int, str], list[TaskRequest]] = {}
@@ -150,23 +152,23 @@
     for rank, team in queues:
         by_rank.setdefault(rank, []).append(team)
     for rank in sorted(by_rank):
-        state.full.clear()
-        heap = [(_weighted(usage, shares, team), team) for team in by_rank[rank]]
+        state.unplaceable.clear()
+        heap = [(_weighted_usage(usage, shares, team), team) for team in by_rank[rank]]
         heapq.heapify(heap)
         cursors = {team: _Cursor(queues[(rank, team)]) for team in by_rank[rank]}
         while heap:
             _, team = heapq.heappop(heap)
-            taken = _turn(state, cursors[team], team)
+            taken = _place_next(state, cursors[team], team)
             if taken is None:
                 continue
             need, count = taken
             cost = count * dominant_share(need, total)
             usage[team] = usage.get(team, 0.0) + cost
-            heapq.heappush(heap, (_weighted(usage, shares, team), team))
+            heapq.heappush(heap, (_weighted_usage(usage, shares, team), team))
     return state.plan
 
 
-def _weighted(
+def _weighted_usage(
     usage: Mapping[str, float], shares: Mapping[str, float], team: str
 ) -> float:
     return usage.get(team, 0.0) / max(shares.get(team, 1.0), 1e-9)
@@ -174,40 +176,42 @@
 
 @attrs.define(slots=True)
 class _Cursor:
-    """Where a team stands in its own queue."""
+    """A team's position in its own queue."""
 
     requests: list[TaskRequest]
     at: int = 0
     placed: int = 0
     racks: dict[str, int] | None = None
 
-    def next_want(self) -> None:
-        """Go on to the next job."""
+    def advance(self) -> None:
+        """Advance to the next job."""
         self.at += 1
         self.placed = 0
         self.racks = None
 
 
-def _turn(state: _Round, cursor: _Cursor, team: str) -> tuple[ResourceNeed, int] | None:
-    """Place a team's next task, or gang; return ``None`` if nothing fits."""
+def _place_next(
+    state: _Round, cursor: _Cursor, team: str
+) -> tuple[ResourceNeed, int] | None:
+    """Place a team's next task or gang; return ``None`` if nothing fits."""
     while cursor.at < len(cursor.requests):
         request = cursor.requests[cursor.at]
         need = ResourceNeed.of(request.job)
         count = len(request.indexes) if request.job.gang else 1
         if cursor.placed >= len(request.indexes):
-            cursor.next_want()
+            cursor.advance()
             continue
-        reason = _blocked(state, request, need, count, team)
-        chosen = [] if reason else _find(state, cursor, request, need, count)
+        reason = _blocking_reason(state, request, need, count, team)
+        chosen = [] if reason else _choose_workers(state, cursor, request, need, count)
         if not chosen:
             state.plan.held[request.job.key] = reason or "no worker has room for it now"
-            kept = state.reservation
-            barred = bool(request.avoid) or (
-                kept is not None and not kept.admits(request.job)
+            reservation = state.reservation
+            restricted = bool(request.avoid) or (
+                reservation is not None and not reservation.admits(request.job)
             )
-            if not reason and not barred and not request.job.gang:
-                state.full.append(need)
-            cursor.next_want()
+            if not reason and not restricted and not request.job.gang:
+                state.unplaceable.append(need)
+            cursor.advance()
             continue
         for worker in chosen:
             index = request.indexes[cursor.placed]
@@ -218,23 +222,23 @@
     return None
 
 
-def _blocked(
+def _blocking_reason(
     state: _Round, request: TaskRequest, need: ResourceNeed, count: int, team: str
 ) -> str:
     if state.left.get(team, 0) < count:
         return "its team is at its limit"
-    if any(need.covers(other) for other in state.full):
+    if any(need.covers(other) for other in state.unplaceable):
         return "no worker has room for it now"
     return ""
 
 
-def _find(
+def _choose_workers(
     state: _Round, cursor: _Cursor, request: TaskRequest, need: ResourceNeed, count: int
 ) -> list[str]:
     avoid = request.avoid
-    kept = state.reservation
-    if kept is not None and not kept.admits(request.job):
-        avoid = avoid | kept.workers
+    reservation = state.reservation
+    if reservation is not None and not reservation.admits(request.job):
+        avoid = avoid | reservation.workers
     capacities = state.capacities
     if request.job.gang:
         return capacities.reserve_gang(need, count, avoid) or []
--- a/src/firhook/decide/_grants.py
+++ b/src/firhook/decide/_grants.py
@@ -101,35 +101,35 @@
         self,
         now: float,
         known: Mapping[str, Mapping[str, int]],
-        silent: Iterable[str],
-        silent_until: float,
-        silent_holders: int,
+        unanswered: Iterable[str],
+        unanswered_until: float,
+        unanswered_cap_holders: int,
         holders: int,
     ) -> None:
         """Start lending as a new lead.
 
         :param known: amounts by team for each holder that answered, and for its
             guests under the names returned by :func:`guest_holder_of`.
-        :param silent: instances that have not answered and that the previous
+        :param unanswered: instances that have not answered and that the previous
             lead may have lent to.
-        :param silent_until: when their loans have certainly expired.
-        :param silent_holders: number of holders that determined their cap.
+        :param unanswered_until: when their loans have certainly expired.
+        :param unanswered_cap_holders: number of holders that determined their cap.
         :param holders: number of instances that may receive grants.
         """
         self._loans.clear()
         self._guests = {guest_holder_of(self.lead_name)}
         self._seqs.clear()
         self._unmet.clear()
-        self._last_ask_at = dict.fromkeys((*known, *silent), now)
+        self._last_ask_at = dict.fromkeys((*known, *unanswered), now)
         self._opened = True
         self._holders = holders
         for holder, teams in known.items():
             for team, held in teams.items():
                 self._count(team, holder, held, now)
-        self._unaccounted = set(silent)
-        self._unaccounted_until = silent_until
+        self._unaccounted = set(unanswered)
+        self._unaccounted_until = unanswered_until
         self._unaccounted_caps.clear()
-        self._unaccounted_cap_holders = silent_holders
+        self._unaccounted_cap_holders = unanswered_cap_holders
 
     @property
     def is_open(self) -> bool:
--- a/src/firhook/decide/_orders.py
+++ b/src/firhook/decide/_orders.py
@@ -1,22 +1,21 @@
-"""What a zone's lead orders of its workers, and which attempts have ended.
-
-Everything here serves one rule: an attempt is recorded as ended only when no
-process can still run it, and is started only by the lead that recorded it.
-What goes wrong otherwise is a blend plan that runs twice: an order that a
-paused or cut-off lead sent earlier arrives late, or a worker that nobody
-reaches goes on with a task that was given to another.  One would notice two
-workers that report the same task.  The limits that prevent it:
-
-* each order names the lead's epoch, the worker's run and, on the worker's own
-  clock, the moment after which it is refused;
-* a start is ordered only while the lease is held for certain, and its order
-  ends with that lease, so that none of an older lead's starts is acceptable
-  once another lead can have claimed;
-* an attempt that its worker does not report is taken as not running only if
-  the worker has seen this lead's epoch, which bars older leads' orders, and
-  if no start of this lead's own for it can still arrive;
-* an attempt at a worker that does not answer is taken as over only when every
-  order that could have renewed it, by any lead, has lapsed at the worker.
+"""A zone lead's orders to its workers, and the detection of ended attempts.
+
+An attempt is recorded as ended only when no process can still run it, and is
+started only by the lead that recorded its assignment.  Otherwise a blend plan
+could run twice: an order of a paused or partitioned lead may arrive late, or an
+unreachable worker may keep running a task that was reassigned.  The symptom would
+be two workers that report the same task.  The following rules prevent it:
+
+* Every order carries the lead's epoch, the worker's incarnation and an expiry on
+  the worker's own clock, after which the worker refuses it.
+* A start is ordered only while the lease is certainly held, and its order expires
+  with that lease, so no start of an older lead is acceptable once another lead can
+  have claimed.
+* An attempt that its worker does not report counts as not running only if the
+  worker has seen this lead's epoch, which bars older leads' orders, and if no
+  start of the attempt by this lead can still arrive.
+* An attempt on an unreachable worker counts as ended only when every order of any
+  lead that could have renewed it has expired at the worker.
 """
 
 from collections.abc import Iterable
@@ -35,25 +34,25 @@
 )
 from firhook.state import CellState, JobEntry, Ref, TaskState, ZoneState
 
-#: An order that is still on its way after so long is refused by its worker.
-#: Long enough for a slow answer of the worker before it, short enough that
-#: the tasks of a silent worker come back soon.
+#: A worker refuses an order that arrives after this time.  Long enough for a slow
+#: answer of the worker, short enough that the tasks of an unreachable worker are
+#: soon reassigned.
 ORDER_TTL_S = 5.0
 
-#: A worker that runs just what it should is asked for its whole inventory this
-#: often, for the progress of its tasks; in between, a digest does.  In full, a
-#: lead's talk with 130 workers takes six times the bytes a node may spend.
+#: How often a worker that runs exactly the expected tasks reports all of them, for
+#: their progress.  A digest is enough in between: full reports of 130 workers take
+#: six times the bandwidth that a node may use.
 FULL_REPORT_INTERVAL_S = 60.0
 
 
 @attrs.frozen(slots=True)
 class Timing:
-    """The spans of time that a lead works with, in seconds.
+    """Durations used by a zone's lead, in seconds.
 
-    :param lease_s: how long a task goes on at its worker without an order.
-    :param hold_s: how long a lead that is cut off goes on renewing.
-    :param margin_s: added to every wait for another's lease.
-    :param sync_s: how often each worker gets an order.
+    :param lease_s: how long a task keeps running at its worker without an order.
+    :param hold_s: how long a partitioned lead keeps renewing tasks.
+    :param margin_s: added to every wait for the expiry of a lease.
+    :param sync_s: interval between orders to a worker.
     """
 
     lease_s: float
@@ -64,11 +63,11 @@
 
 @attrs.frozen(slots=True)
 class LeaseStatus:
-    """What the lead may rely on at this moment.
+    """The lead's current rights under its lease.
 
-    :param held: whether it holds the lease for certain.
-    :param lease_left_s: how long it will hold it at least.
-    :param hold_left_s: how long it may go on renewing tasks.
+    :param held: whether the lease is certainly held.
+    :param lease_left_s: remaining time of the lease, in seconds.
+    :param hold_left_s: remaining time in which tasks may be renewed, in seconds.
     """
 
     held: bool
@@ -77,8 +76,8 @@
 
 
 @attrs.define(slots=True)
-class _Sent:
-    """The latest start of an attempt that this lead has sent."""
+class _SentStart:
+    """The latest start order of an attempt that this lead has sent."""
 
     boot: str
     not_after: float
@@ -86,16 +85,17 @@
 
 @attrs.define(slots=True)
 class WorkerView:
-    """What the zone's lead knows of a worker.
-
-    :ivar endpoint: where it is listed; ``None`` once it is not.
-    :ivar report: its last report; ``None`` while it does not answer.
-    :ivar read_at: when that was read, on this instance's clock.
-    :ivar full_at: when its last report in full was read.
-    :ivar until: when the last of this lead's orders lapses at the latest, on
-        this instance's clock.
-    :ivar sent: starts sent, by attempt.
-    :ivar seen: progress of the attempts it has ever reported as running.
+    """What the zone's lead knows about a worker.
+
+    :ivar endpoint: its entry in the platform's list; ``None`` if it has none.
+    :ivar report: its last report; ``None`` while it is unreachable.
+    :ivar read_at: when that report was read, on this instance's clock.
+    :ivar full_at: when its last full report was read.
+    :ivar orders_expire_at: latest expiry of this lead's orders, on this
+        instance's clock.
+    :ivar starts_sent: start orders sent, by attempt.
+    :ivar reported_progress: progress of the attempts that it has ever reported
+        as running.
     """
 
     name: str
@@ -104,32 +104,35 @@
     read_at: float = float("-inf")
     full_at: float = float("-inf")
     orders_expire_at: float = float("-inf")
-    starts_sent: dict[Ref, _Sent] = attrs.field(factory=dict)
+    starts_sent: dict[Ref, _SentStart] = attrs.field(factory=dict)
     reported_progress: dict[Ref, float] = attrs.field(factory=dict)
 
     def start_may_arrive(self, ref: Ref) -> bool:
-        """Return whether a start of this lead's may yet reach the worker."""
-        sent = self.starts_sent.get(ref)
-        if sent is None:
+        """Return whether a start sent by this lead may still reach the worker."""
+        start_sent = self.starts_sent.get(ref)
+        if start_sent is None:
             return False
         if self.report is None:
             return True
-        return sent.boot == self.report.boot and self.report.stamp <= sent.not_after
+        return (
+            start_sent.boot == self.report.boot
+            and self.report.stamp <= start_sent.not_after
+        )
 
 
 class LeadTerm:
     """One epoch of a zone's lead: its view of the workers and its decisions.
 
-    It holds through a lapse and renewal of the lease within the epoch, so
-    that orders sent before are not forgotten while they may still arrive.
+    The term outlives an expiry and renewal of the lease within the epoch, so that
+    earlier orders stay known while they may still arrive.
 
-    :param before: when the last record of an earlier lead was read at the
-        latest, on this instance's clock.  That lead counted its hold from
-        before it sent that record.
-    :ivar settled: whether the lead's first record has been read back and no
-        later append has an unknown outcome; nothing is placed before.
-    :ivar fleet: changes whenever a worker is listed otherwise than before.
-    :ivar stopping: attempts to checkpoint and stop, and why.
+    :param previous_lead_read_at: latest time at which the last record of an
+        earlier lead was read, on this instance's clock.  That lead counted its
+        hold from before it sent that record.
+    :ivar settled: whether the lead's first record has been read back and no later
+        append has an unknown outcome; nothing is placed before.
+    :ivar fleet_version: changes whenever the list of workers changes.
+    :ivar stopping: attempts to checkpoint and stop, with the reason.
     """
 
     def __init__(
@@ -138,7 +141,7 @@
         zone: ZoneState,
         cell: CellState,
         timing: Timing,
-        before: float,
+        previous_lead_read_at: float,
     ) -> None:
         self.epoch = epoch
         self.settled = False
@@ -148,16 +151,16 @@
         self._zone = zone
         self._cell = cell
         self._timing = timing
-        self._before = before
+        self._previous_lead_read_at = previous_lead_read_at
         self._endings: dict[Ref, Ending] = {}
 
-    # -- what is known of the workers --------------------------------------
+    # -- worker state --------------------------------------------------------
 
     def update_workers(self, listed: Iterable[Endpoint]) -> None:
-        """Take over the platform's list, which lags.
+        """Update the workers from the platform's list, which lags.
 
-        A worker that has left the list may still run tasks, so it is kept
-        for as long as the log has attempts on it.
+        A worker that is no longer listed may still run tasks, so it is kept as
+        long as the log has live attempts on it.
         """
         by_name = {e.name: e for e in listed}
         for name in by_name.keys() | self._zone.live.keys():
@@ -169,13 +172,13 @@
             if endpoint != view.endpoint:
                 view.endpoint = endpoint
                 self.fleet_version += 1
-            gone = name not in by_name and name not in self._zone.live
-            if gone and not view.starts_sent:
+            unlisted = name not in by_name and name not in self._zone.live
+            if unlisted and not view.starts_sent:
                 del self.workers[name]
                 self.fleet_version += 1
 
     def note_report(self, name: str, report: Report, now: float) -> None:
-        """Note what a worker answered."""
+        """Record a worker's report."""
         view = self.workers.get(name)
         if view is None:
             return
@@ -202,11 +205,11 @@
             del view.starts_sent[ref]
 
     def note_unreachable(self, name: str) -> None:
-        """Note that a worker did not answer, or refused.
+        """Record that a worker did not answer, or refused an order.
 
-        It is only looked at from now on.  Each order renews what it runs, so
-        that orders sent blindly would put off the moment at which its tasks
-        are certainly over for as long as nobody hears from it.
+        From now on it is only polled.  Every order renews the worker's tasks, so
+        orders to an unreachable worker would keep postponing the time at which its
+        tasks have certainly ended.
         """
         view = self.workers.get(name)
         if view is not None:
@@ -214,11 +217,12 @@
 
     # -- orders --------------------------------------------------------------
 
-    def next_order(self, name: str, standing: LeaseStatus, now: float) -> Order | None:
-        """Return the order for a worker, noted as sent, or ``None``.
+    def next_order(self, name: str, lease: LeaseStatus, now: float) -> Order | None:
+        """Return the next order for a worker and record it as sent.
 
-        ``None`` means that nothing may be ordered: the worker is to be looked
-        at first, has seen a newer lead, or this lead's time is over.
+        :returns: ``None`` if no order may be sent: the worker must be polled
+            first, it has seen a newer lead, or this lead's lease and hold have
+            expired.
         """
         view = self.workers[name]
         report = view.report
@@ -226,29 +230,29 @@
             return None
         ttl_s = min(
             ORDER_TTL_S,
-            standing.lease_left_s if standing.held else ORDER_TTL_S,
+            lease.lease_left_s if lease.held else ORDER_TTL_S,
         )
-        held_back = not standing.held and standing.hold_left_s <= 0
-        if not standing.held and not held_back:
-            ttl_s = min(ttl_s, standing.hold_left_s)
+        hold_ended = not lease.held and lease.hold_left_s <= 0
+        if not lease.held and not hold_ended:
+            ttl_s = min(ttl_s, lease.hold_left_s)
         if ttl_s <= 0:
             return None
         order = attrs.evolve(
-            self._wanted(view, report, standing, held_back),
+            self._build_order(view, report, lease, hold_ended),
             not_after=to_worker_clock(report.stamp, view.read_at, now + ttl_s),
         )
         if report.brief and now < view.full_at + FULL_REPORT_INTERVAL_S:
-            order = _shortened(order, report)
+            order = _with_digest(order, report)
         view.orders_expire_at = max(view.orders_expire_at, now + ttl_s)
         for start in order.start:
             ref = (start.job_id, start.index, start.attempt)
-            view.starts_sent[ref] = _Sent(report.boot, order.not_after)
+            view.starts_sent[ref] = _SentStart(report.boot, order.not_after)
         return order
 
-    def _wanted(
-        self, view: WorkerView, report: Report, standing: LeaseStatus, held_back: bool
+    def _build_order(
+        self, view: WorkerView, report: Report, lease: LeaseStatus, hold_ended: bool
     ) -> Order:
-        known = {(t.job_id, t.index, t.attempt): t.state for t in report.tasks}
+        reported = {(t.job_id, t.index, t.attempt): t.state for t in report.tasks}
         live = self._zone.live.get(view.name, {})
         start: list[StartOrder] = []
         stop: list[StopOrder] = []
@@ -256,23 +260,23 @@
         for ref, task in live.items():
             if ref in self._endings:
                 continue
-            reason = self._unwanted(ref, standing)
-            if known.get(ref) == "running":
+            reason = self._stop_reason(ref, lease)
+            if reported.get(ref) == "running":
                 if reason:
                     stop.append(StopOrder(*ref, reason))
-                elif not held_back or not self._entry(ref).job.exclusive:
+                elif not hold_ended or not self._entry(ref).job.exclusive:
                     renew.append(ref)
-            elif standing.held and not reason and self._startable(view, ref, task):
+            elif lease.held and not reason and self._may_start(view, ref, task):
                 start.append(_start_order(self._entry(ref), ref, task))
         forget = []
-        for ref, state in known.items():
-            if ref in live or not standing.held:
+        for ref, state in reported.items():
+            if ref in live or not lease.held:
                 continue
             if state == "running":
                 stop.append(StopOrder(*ref, "it has been given up"))
             elif not view.start_may_arrive(ref):
-                # A worker that has forgotten an attempt would start it anew
-                # if a start of it were still on its way.
+                # A worker that has forgotten an attempt would start it again on
+                # a delayed start order.
                 forget.append(ref)
         return Order(
             epoch=self.epoch,
@@ -288,8 +292,8 @@
     def _entry(self, ref: Ref) -> JobEntry:
         return self._cell.jobs[ref[0]]
 
-    def _unwanted(self, ref: Ref, standing: LeaseStatus) -> str:
-        """Return why an attempt is to stop, or nothing if it is to go on."""
+    def _stop_reason(self, ref: Ref, lease: LeaseStatus) -> str:
+        """Return why an attempt must stop, or an empty string if it need not."""
         entry = self._cell.jobs.get(ref[0])
         if entry is None or entry.ended:
             return "its job has ended"
@@ -298,33 +302,33 @@
         if entry.zone != self._zone.zone:
             return f"zone {entry.zone} has adopted its job"
         last_chance_s = 2 * self._timing.sync_s
-        if not standing.held and entry.job.exclusive:
-            # Another zone may adopt it soon.  Stopping it now keeps its work
-            # up to here; letting its lease lapse would lose it.
-            if 0 < standing.hold_left_s <= last_chance_s:
+        if not lease.held and entry.job.exclusive:
+            # Another zone may adopt the task soon.  Stopping it now checkpoints its
+            # work, which would be lost if its lease expired instead.
+            if 0 < lease.hold_left_s <= last_chance_s:
                 return "its zone is cut off from the log"
             return ""
         return self.stopping.get(ref, "")
 
-    def _startable(self, view: WorkerView, ref: Ref, task: TaskState) -> bool:
-        """Return whether an attempt that is not at its worker may be started.
+    def _may_start(self, view: WorkerView, ref: Ref, task: TaskState) -> bool:
+        """Return whether an attempt that its worker does not have may be started.
 
-        Only by the lead that assigned it: what an earlier lead's start has
-        come to is not known, and its attempt is ended as lost instead.
+        Only the lead that assigned it may start it.  The outcome of an earlier
+        lead's start is unknown, so such an attempt is ended as lost.
         """
         if task.epoch != self.epoch or ref in view.reported_progress:
             return False
-        sent = view.starts_sent.get(ref)
-        return sent is None or sent.boot == view.report.boot  # type: ignore[union-attr]
+        start_sent = view.starts_sent.get(ref)
+        return start_sent is None or start_sent.boot == view.report.boot  # type: ignore[union-attr]
 
     # -- ends ------------------------------------------------------------------
 
     def endings(self, now: float) -> tuple[Ending, ...]:
-        """Return the attempts that have ended and whose end is not on the log.
+        """Return the attempts that have ended and whose end is not in the log yet.
 
-        A decision stands until the log holds it: meanwhile the attempt gets
-        no order, or its worker, back just then, would start what the log is
-        about to declare over.
+        A decision is final until it is in the log.  The attempt gets no orders in
+        the meantime; otherwise a worker that becomes reachable again could start
+        an attempt that the log is about to record as ended.
         """
         for ref in [r for r in self._endings if not self._zone.is_live(r)]:
             del self._endings[ref]
@@ -344,28 +348,30 @@
     ) -> Ending | None:
         report = view.report
         if report is None:
-            return self._lapsed(view, ref, now)
+            return self._ending_of_unreachable(view, ref, now)
         for t in report.tasks:
             if (t.job_id, t.index, t.attempt) == ref:
-                return None if t.state == "running" else self._told(ref, t)
+                return None if t.state == "running" else self._reported_ending(ref, t)
         if report.epoch != self.epoch or view.start_may_arrive(ref):
             return None
-        standing = LeaseStatus(held=True, lease_left_s=0.0, hold_left_s=0.0)
-        reason = self._unwanted(ref, standing)
+        lease = LeaseStatus(held=True, lease_left_s=0.0, hold_left_s=0.0)
+        reason = self._stop_reason(ref, lease)
         if reason and ref not in view.reported_progress and task.epoch == self.epoch:
             outcome = "cancelled" if reason == "cancelled" else "lost"
             return Ending(*ref, outcome, f"{reason}, before it was started")
-        if self._startable(view, ref, task):
+        if self._may_start(view, ref, task):
             return None
         progress = view.reported_progress.get(ref, 0.0)
         return Ending(*ref, "lost", "its worker no longer has it", progress)
 
-    def _lapsed(self, view: WorkerView, ref: Ref, now: float) -> Ending | None:
+    def _ending_of_unreachable(
+        self, view: WorkerView, ref: Ref, now: float
+    ) -> Ending | None:
         if self._zone.live[view.name][ref].epoch == self.epoch and not (
             ref in view.starts_sent or ref in view.reported_progress
         ):
             return Ending(*ref, "lost", "its worker fell silent before it was started")
-        hold_end = latest_end(self._before, self._timing.hold_s)
+        hold_end = latest_end(self._previous_lead_read_at, self._timing.hold_s)
         last_renewal = max(view.orders_expire_at, hold_end)
         lease_end = latest_end(last_renewal, self._timing.lease_s)
         if now <= lease_end + self._timing.margin_s:
@@ -373,7 +379,7 @@
         progress = view.reported_progress.get(ref, 0.0)
         return Ending(*ref, "lost", "its worker fell silent", progress)
 
-    def _told(self, ref: Ref, report: object) -> Ending:
+    def _reported_ending(self, ref: Ref, report: object) -> Ending:
         state = report.state  # type: ignore[attr-defined]
         reason = report.reason  # type: ignore[attr-defined]
         outcome = {"done": "done", "failed": "failed", "refused": "refused"}.get(state)
@@ -386,8 +392,8 @@
         return Ending(*ref, outcome, reason, report.progress)  # type: ignore[attr-defined]
 
 
-def _shortened(order: Order, report: Report) -> Order:
-    """Return an order that renews all by digest, if that says the same."""
+def _with_digest(order: Order, report: Report) -> Order:
+    """Return an equivalent order that renews all tasks by digest, if possible."""
     if not order.renew or order.start or order.stop or order.forget:
         return order
     if len(order.renew) != len(report.tasks):
--- a/src/firhook/decide/_preempt.py
+++ b/src/firhook/decide/_preempt.py
@@ -1,4 +1,4 @@
-"""Which running tasks give way: to urgent work, a lower limit, a leaving worker."""
+"""Choice of running tasks to stop: for urgent work, lower limits or draining."""
 
 from collections.abc import Callable, Mapping, Sequence, Set
 
@@ -8,21 +8,22 @@
 from firhook.decide._place import CapacityIndex, ResourceNeed
 from firhook.state import CellState, JobEntry, Ref, TaskState, ZoneState
 
-#: Preemptions a second, and how many may be saved up.  The burst frees the
-#: room for a wave of urgent work at once; the rate bounds what a team that
-#: submits nothing but urgent work can cost the others.
+#: Rate and burst size of preemptions.  The burst frees the capacity for a wave of
+#: urgent work at once; the rate limits what a team that submits only urgent work
+#: can cost the others.
 PREEMPT_PER_S = 5.0
 PREEMPT_BURST = 60.0
-#: Workers that are searched in one round for what costs least: all of a zone
-#: at the two-year size.  In a larger zone each round searches the next ones.
+#: Maximum number of workers that one round searches for the cheapest victims.  It
+#: covers a whole zone at the size planned for in two years; in a larger zone each
+#: round searches the next workers.
 MAX_SEARCHED = 130
-#: A task that gave way so often is left to finish.
+#: A task that was preempted this many times may finish.
 MAX_PREEMPTED = 3
 
 
 @attrs.define(slots=True)
 class PreemptBudget:
-    """A token bucket over preemptions."""
+    """Token bucket that limits preemptions."""
 
     tokens: float = PREEMPT_BURST
     at: float = float("-inf")
@@ -36,13 +37,13 @@
         return int(self.tokens)
 
     def spend(self, count: int) -> None:
-        """Note preemptions."""
+        """Take tokens for preemptions."""
         self.tokens -= count
 
 
 @attrs.frozen(slots=True)
 class _Victim:
-    """A task that may be preempted, and what that costs."""
+    """A task that may be preempted, and the work that is lost."""
 
     ref: Ref
     need: ResourceNeed
@@ -50,8 +51,8 @@
     cost: float
 
     @property
-    def order(self) -> tuple[bool, float, Ref]:
-        """Return the order of preemption: over their share first, then cheap."""
+    def sort_key(self) -> tuple[bool, float, Ref]:
+        """Sort key: tasks of teams over their share first, then the cheapest."""
         return (not self.over_share, self.cost, self.ref)
 
 
@@ -61,56 +62,63 @@
     zone: ZoneState,
     cell: CellState,
     over_share: Set[str],
-    lost_s: Callable[[Ref], float],
-    spared: Set[Ref],
+    lost_work_s: Callable[[Ref], float],
+    already_stopping: Set[Ref],
     budget: int,
-    turn: int = 0,
+    round_number: int = 0,
 ) -> dict[Ref, str]:
-    """Return the tasks that give way to urgent work, and why.
-
-    Made for urgent charges that arrive while batch planning fills every
-    worker: they must start within 5.6 s, at the least cost in work done.
-
-    :param rooms: what is left, with room that is being freed already.
-    :param lost_s: worker-seconds that a task would lose: what it has done
-        since its last checkpoint.
-    :param spared: tasks that are being stopped already.
-    :param turn: rises with each round, and moves the search on.
+    """Return the tasks to preempt for urgent work, with the reason.
+
+    Urgent charges that arrive while batch planning fills every worker must start
+    within 5.6 s, with the least loss of finished work.
+
+    :param capacities: free resources, including those that are being freed.
+    :param over_share: teams that use more than their share.
+    :param lost_work_s: returns the worker-seconds that a task would lose, its work
+        since the last checkpoint.
+    :param already_stopping: tasks that are already being stopped.
+    :param budget: maximum number of preemptions.
+    :param round_number: increases with each round and advances the search.
     """
-    workers = _searched(sorted(capacities.by_name), turn)
-    victims = _victims(workers, zone, cell, over_share, lost_s, spared)
-    chosen: dict[Ref, str] = {}
+    workers = _workers_to_search(sorted(capacities.by_name), round_number)
+    victims_by_worker = _victims(
+        workers, zone, cell, over_share, lost_work_s, already_stopping
+    )
+    reasons: dict[Ref, str] = {}
     for request in requests:
         need = ResourceNeed.of(request.job)
         reason = f"preempted: urgent job {request.job.key} needs its room"
-        taken: list[_Victim] = []
+        victims_taken: list[_Victim] = []
         for _ in request.indexes:
             capacity = capacities.best_fit(need, request.avoid)
             if capacity is not None:
                 capacities.reserve(capacity.worker, need)
                 continue
-            best = _cheapest(need, capacities, victims, request.avoid)
-            if best is None or len(chosen) + len(taken) + len(best[1]) > budget:
+            best = _cheapest(need, capacities, victims_by_worker, request.avoid)
+            if (
+                best is None
+                or len(reasons) + len(victims_taken) + len(best[1]) > budget
+            ):
                 break
             worker, group = best
             for victim in group:
-                victims[worker].remove(victim)
+                victims_by_worker[worker].remove(victim)
                 capacities.release(worker, victim.need)
             capacities.reserve(worker, need)
-            taken += group
+            victims_taken += group
         else:
-            chosen.update({v.ref: reason for v in taken})
+            reasons.update({v.ref: reason for v in victims_taken})
             continue
         if not request.job.gang:
-            chosen.update({v.ref: reason for v in taken})
-    return chosen
+            reasons.update({v.ref: reason for v in victims_taken})
+    return reasons
 
 
-def _searched(workers: list[str], turn: int) -> list[str]:
-    """Return the workers to search in a round."""
+def _workers_to_search(workers: list[str], round_number: int) -> list[str]:
+    """Return the workers to search in one round."""
     if len(workers) <= MAX_SEARCHED:
         return workers
-    start = turn * MAX_SEARCHED % len(workers)
+    start = round_number * MAX_SEARCHED % len(workers)
     return (workers + workers)[start : start + MAX_SEARCHED]
 
 
@@ -119,23 +127,27 @@
     zone: ZoneState,
     cell: CellState,
     over_share: Set[str],
-    lost_s: Callable[[Ref], float],
-    spared: Set[Ref],
+    lost_work_s: Callable[[Ref], float],
+    already_stopping: Set[Ref],
 ) -> dict[str, list[_Victim]]:
     found: dict[str, list[_Victim]] = {}
     for worker in workers:
         for ref, task in zone.live.get(worker, {}).items():
             entry = cell.jobs.get(ref[0])
-            if entry is None or ref in spared or not _may_preempt(entry, task):
+            if (
+                entry is None
+                or ref in already_stopping
+                or not _may_preempt(entry, task)
+            ):
                 continue
-            # A gang starts all at once, so that stopping one task stops all.
+            # Stopping one task of a gang stops all of them.
             size = entry.job.tasks if entry.job.gang else 1
-            cost = lost_s(ref) * size
-            over = entry.job.team in over_share
-            victim = _Victim(ref, ResourceNeed.of(entry.job), over, cost)
+            cost = lost_work_s(ref) * size
+            is_over_share = entry.job.team in over_share
+            victim = _Victim(ref, ResourceNeed.of(entry.job), is_over_share, cost)
             found.setdefault(worker, []).append(victim)
     for group in found.values():
-        group.sort(key=lambda v: v.order)
+        group.sort(key=lambda v: v.sort_key)
     return found
 
 
@@ -146,27 +158,32 @@
 def _cheapest(
     need: ResourceNeed,
     capacities: CapacityIndex,
-    victims: Mapping[str, list[_Victim]],
+    victims_by_worker: Mapping[str, list[_Victim]],
     avoid: Set[str],
 ) -> tuple[str, list[_Victim]] | None:
     best, best_key = None, (True, float("inf"), 0, "")
-    for worker, group in victims.items():
+    for worker, group in victims_by_worker.items():
         capacity = capacities.by_name.get(worker)
         if capacity is None or worker in avoid:
             continue
         trial = attrs.evolve(capacity)
-        taken: list[_Victim] = []
+        victims_taken: list[_Victim] = []
         for victim in group:
             if trial.fits(need):
                 break
             trial.release(victim.need)
-            taken.append(victim)
+            victims_taken.append(victim)
         if not trial.fits(need):
             continue
-        under = any(not v.over_share for v in taken)
-        key = (under, sum(v.cost for v in taken), len(taken), worker)
+        hits_team_within_share = any(not v.over_share for v in victims_taken)
+        key = (
+            hits_team_within_share,
+            sum(v.cost for v in victims_taken),
+            len(victims_taken),
+            worker,
+        )
         if best is None or key < best_key:
-            best, best_key = (worker, taken), key
+            best, best_key = (worker, victims_taken), key
     return best
 
 
@@ -175,50 +192,50 @@
 ) -> dict[Ref, str]:
     """Return the batch tasks to stop where a team's limit was lowered.
 
-    The newest job's tasks go first: what has run longest is nearest its end.
-    Services are left to their users; they only get no replacements.
+    Tasks of the newest job go first, since those that have run longest are closest
+    to their end.  Services keep running; they only get no replacements.
     """
-    chosen: dict[Ref, str] = {}
+    reasons: dict[Ref, str] = {}
     excess = {t: n - parts[t] for t, n in zone.running.items() if n > parts.get(t, n)}
     if not excess:
-        return chosen
+        return reasons
     refs = [ref for _, ref, _ in zone.live_attempts() if ref[0] in cell.jobs]
     refs.sort(key=lambda r: (cell.jobs[r[0]].offset, r[1]), reverse=True)
     for ref in refs:
         job = cell.jobs[ref[0]].job
         if excess.get(job.team, 0) > 0 and job.priority != "service":
             excess[job.team] -= 1
-            chosen[ref] = "preempted: its team's limit was lowered"
-    return chosen
+            reasons[ref] = "preempted: its team's limit was lowered"
+    return reasons
 
 
 def tasks_on_leaving_workers(
     zone: ZoneState, cell: CellState, workers: Set[str], seen: Set[Ref]
 ) -> dict[Ref, str]:
-    """Return the tasks to move off workers that are leaving.
+    """Return the tasks to move off workers that are being drained.
 
-    Batch work goes at once, by checkpoint.  A service moves one replica at a
-    time, and only while all others are seen running, so that it never loses
-    two at once.
+    Batch tasks are checkpointed and moved at once.  A service moves one replica at
+    a time, and only while all others are reported as running, so that it never
+    loses two at once.
 
     :param seen: attempts that their workers report as running.
     """
-    chosen: dict[Ref, str] = {}
-    moving: set[str] = set()
+    reasons: dict[Ref, str] = {}
+    moving_services: set[str] = set()
     for worker in sorted(workers):
         for ref in zone.live.get(worker, {}):
             entry = cell.jobs.get(ref[0])
             if entry is None:
                 continue
             if entry.job.priority == "service":
-                if ref[0] in moving or not _whole(entry, zone, seen):
+                if ref[0] in moving_services or not _all_running(entry, zone, seen):
                     continue
-                moving.add(ref[0])
-            chosen[ref] = "moved: its worker is leaving"
-    return chosen
+                moving_services.add(ref[0])
+            reasons[ref] = "moved: its worker is leaving"
+    return reasons
 
 
-def _whole(entry: JobEntry, zone: ZoneState, seen: Set[Ref]) -> bool:
+def _all_running(entry: JobEntry, zone: ZoneState, seen: Set[Ref]) -> bool:
     tasks = zone.tasks.get(entry.job.key, {})
     return len(tasks) == entry.job.tasks and all(
         t.live and (entry.job.key, i, t.attempt) in seen for i, t in tasks.items()
@@ -226,11 +243,12 @@
 
 
 def tasks_of_broken_gangs(zone: ZoneState, cell: CellState) -> dict[Ref, str]:
-    """Return what still runs of gangs that lost a task.
+    """Return the running tasks of gangs that lost a task.
 
-    A gang computes together: the rest would hold its room and get nowhere.
+    The tasks of a gang depend on each other: the others would hold their resources
+    without making progress.
     """
-    chosen: dict[Ref, str] = {}
+    reasons: dict[Ref, str] = {}
     for entry in cell.open_jobs(zone.zone):
         job = entry.job
         tasks = zone.tasks.get(job.key)
@@ -240,5 +258,5 @@
             continue
         for index, task in tasks.items():
             if task.live:
-                chosen[(job.key, index, task.attempt)] = "moved: its gang lost a task"
-    return chosen
+                reasons[(job.key, index, task.attempt)] = "moved: its gang lost a task"
+    return reasons
--- a/src/firhook/decide/_queue.py
+++ b/src/firhook/decide/_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue: teams take turns by share, classes by urgency."""
+"""Fair queue of requests: teams by weighted share, classes by urgency."""
 
 from collections import deque
 from collections.abc import Collection, Iterator, Mapping
@@ -8,27 +8,28 @@
 
 CLASSES = ("interactive", "standard", "bulk")
 
-#: One turn in so many of a team goes to the oldest of its less urgent classes.
-#: Without it a team's steady quotes would hold back its own bulk work for
-#: good; with more, its quotes would feel the bulk work.
-_LOWER_TURN = 8
+#: One of this many requests of a team is the oldest of its less urgent classes.
+#: Without it, a steady flow of quotes would starve the team's own bulk work; with
+#: more, the bulk work would delay the quotes.
+_LESS_URGENT_INTERVAL = 8
 
 
 @attrs.define(slots=True, eq=False)
 class QueuedRequest:
     """A request that waits for a slot.
 
-    :param arrived: when it came, in seconds.
+    :param klass: urgency, one of :data:`CLASSES`.
+    :param arrived: arrival time, in seconds.
     :param deadline: when its caller stops waiting, in seconds.
-    :param token: whatever the caller of the queue needs to go on with it.
+    :param token: opaque value of the queue's user.
     :param expected_s: how long it is expected to hold a slot.
-    :param needs_s: the least time it needs, for all that is known for certain.
-    :param long: whether it would hold a slot long enough for short requests
-        to feel it.
-    :param tried: keys of runners that failed it already.
-    :param kind: what requests that take about as long have in common.
-    :param allowed_s: how long it had when it came, if its caller cannot safely
-        repeat it; else 0.
+    :param min_service_s: the service time that is certain, as a lower bound.
+    :param long: whether it would visibly delay short requests.
+    :param tried: keys of the runners that failed the request.
+    :param kind: properties shared by requests that take about as long.
+    :param allowed_s: total time of the request at its arrival if its caller cannot
+        safely repeat it, else 0.
+    :param queued: whether it is in the queue.
     """
 
     team: str
@@ -47,60 +48,68 @@
 
 @attrs.define(slots=True, eq=False)
 class _TeamQueue:
-    """One team's requests, by class and by whether they are long."""
+    """One team's requests, by class and by whether they are long.
+
+    :ivar work_s: expected slot seconds of the waiting requests, by class.
+    :ivar dispatched: number of requests taken from the queue.
+    :ivar virtual_time: slot seconds used, divided by the team's weight.
+    """
 
     lanes: dict[tuple[str, bool], deque[QueuedRequest]] = attrs.field(factory=dict)
     work_s: dict[str, float] = attrs.field(factory=dict)
     count: int = 0
-    turns: int = 0
-    virtual: float = 0.0
+    dispatched: int = 0
+    virtual_time: float = 0.0
 
     def head(self, klass: str, long_allowed: bool) -> QueuedRequest | None:
-        """Return the oldest request of a class that may go now."""
+        """Return the oldest request of a class that may be dispatched now."""
         heads = [
             head
             for long in (False, True)
             if (long_allowed or not long)
-            and (head := _first(self.lanes.get((klass, long)))) is not None
+            and (head := _first_queued(self.lanes.get((klass, long)))) is not None
         ]
         return min(heads, key=lambda item: item.arrived, default=None)
 
     def choose(self, long_allowed: bool) -> QueuedRequest | None:
-        """Return the request whose turn it is within the team."""
+        """Return the team's next request."""
         heads = [h for c in CLASSES if (h := self.head(c, long_allowed)) is not None]
         if not heads:
             return None
-        if len(heads) > 1 and self.turns % _LOWER_TURN == _LOWER_TURN - 1:
+        if (
+            len(heads) > 1
+            and self.dispatched % _LESS_URGENT_INTERVAL == _LESS_URGENT_INTERVAL - 1
+        ):
             return min(heads[1:], key=lambda item: item.arrived)
         return heads[0]
 
 
-def _first(lane: deque[QueuedRequest] | None) -> QueuedRequest | None:
-    """Return the first that still waits, dropping those taken out."""
+def _first_queued(lane: deque[QueuedRequest] | None) -> QueuedRequest | None:
+    """Return the first queued request after dropping removed ones."""
     while lane and not lane[0].queued:
         lane.popleft()
     return lane[0] if lane else None
 
 
 class FairQueue:
-    """Waiting requests by team and class, taken by weighted fair turn.
+    """Waiting requests by team and class, scheduled by weighted fair queueing.
 
-    Made for a full fleet with teams of very unlike size and unlike requests.
+    Designed for a full fleet with teams and requests of very different sizes.
     Each team has a virtual time that advances by the slot seconds that its
-    requests use, over its weight; the team with the smallest goes next.  Turns
-    counted by request would give a team of long requests most of the fleet.
-    The expected time is charged when a request leaves the queue, so that a
-    team cannot take every slot before its first request ends, and is put
-    right by :meth:`settle` once the true time is known.
-
-    A team that was away starts at the present virtual time: it can neither
-    save up turns nor be starved by those who stayed, however large they are.
-    Taking a request costs one look at each team that waits.
+    requests use, divided by its weight; the team with the smallest virtual time
+    is next.  Counting requests instead would give a team of long requests most of
+    the fleet.  The expected time is charged when a request leaves the queue, so a
+    team cannot take every slot before its first request ends.  :meth:`settle`
+    corrects the charge once the actual time is known.
+
+    A team that was idle restarts at the current virtual time.  It can neither
+    accumulate credit nor be starved by active teams, however large they are.
+    Taking a request costs O(waiting teams).
     """
 
     def __init__(self) -> None:
         self._teams: dict[str, _TeamQueue] = {}
-        self._now = 0.0
+        self._virtual_time = 0.0
         self._count = 0
 
     def __len__(self) -> int:
@@ -112,7 +121,7 @@
             yield from self.items(team)
 
     def items(self, team: str) -> list[QueuedRequest]:
-        """Return a team's waiting requests in order of its turns."""
+        """Return a team's waiting requests by urgency and arrival."""
         entry = self._teams[team]
         ordered = []
         for klass in CLASSES:
@@ -131,7 +140,7 @@
         return [team for team, entry in self._teams.items() if entry.count]
 
     def work_ahead_s(self, team: str, klass: str) -> float:
-        """Return the slot seconds that go before a new request of the team."""
+        """Return the team's slot seconds that precede a new request of a class."""
         entry = self._teams.get(team)
         if entry is None:
             return 0.0
@@ -139,14 +148,14 @@
         return sum(entry.work_s.get(c, 0.0) for c in urgent)
 
     def work_s(self) -> float:
-        """Return the slot seconds of all that waits."""
+        """Return the expected slot seconds of all waiting requests."""
         return sum(sum(e.work_s.values()) for e in self._teams.values() if e.count)
 
     def push(self, item: QueuedRequest) -> None:
         """Add a request."""
         entry = self._teams.setdefault(item.team, _TeamQueue())
         if entry.count == 0:
-            entry.virtual = max(entry.virtual, self._now)
+            entry.virtual_time = max(entry.virtual_time, self._virtual_time)
         lane = entry.lanes.setdefault((item.klass, item.long), deque())
         lane.append(item)
         self._add(entry, item)
@@ -166,33 +175,33 @@
         """Take the next request.
 
         :param weights: weight of each team.
-        :param blocked: teams that have no room under their limit now.
-        :param long_ok: whether a long request may go now.
+        :param blocked: teams without capacity under their limit now.
+        :param long_allowed: whether a long request may be dispatched now.
         """
         best, best_item = None, None
         for team, entry in self._teams.items():
             if not entry.count or team in blocked:
                 continue
-            if best is not None and entry.virtual >= best.virtual:
+            if best is not None and entry.virtual_time >= best.virtual_time:
                 continue
             item = entry.choose(long_allowed)
             if item is not None:
                 best, best_item = entry, item
         if best is None or best_item is None:
             return None
-        self._now = max(self._now, best.virtual)
-        best.virtual += best_item.expected_s / weights.get(best_item.team, 1.0)
-        best.turns += 1
+        self._virtual_time = max(self._virtual_time, best.virtual_time)
+        best.virtual_time += best_item.expected_s / weights.get(best_item.team, 1.0)
+        best.dispatched += 1
         self.remove(best_item)
         return best_item
 
     def put_back(self, item: QueuedRequest, weights: Mapping[str, float]) -> None:
-        """Undo the taking of a request that could not go after all."""
+        """Return a request to the queue that could not be dispatched."""
         entry = self._teams[item.team]
-        entry.virtual -= item.expected_s / weights.get(item.team, 1.0)
-        entry.turns -= 1
+        entry.virtual_time -= item.expected_s / weights.get(item.team, 1.0)
+        entry.dispatched -= 1
         lane = entry.lanes.setdefault((item.klass, item.long), deque())
-        # Taken requests leave their lane lazily: it may still be at the front.
+        # Requests leave their lane lazily, so it may still be at the front.
         if not lane or lane[0] is not item:
             lane.appendleft(item)
         self._add(entry, item)
@@ -200,14 +209,14 @@
     def settle(
         self, item: QueuedRequest, used_s: float, weights: Mapping[str, float]
     ) -> None:
-        """Put a team's charge right, now that the slot seconds are known."""
+        """Correct a team's charge once the slot seconds used are known."""
         entry = self._teams.get(item.team)
         if entry is not None:
             weight = weights.get(item.team, 1.0)
-            entry.virtual += (used_s - item.expected_s) / weight
+            entry.virtual_time += (used_s - item.expected_s) / weight
 
     def remove(self, item: QueuedRequest) -> bool:
-        """Take out a request whose caller went away or whose time is up."""
+        """Remove a request, and return whether it was queued."""
         if not item.queued:
             return False
         item.queued = False
--- a/src/firhook/decide/_retry.py
+++ b/src/firhook/decide/_retry.py
@@ -1,35 +1,35 @@
-"""Retries: what may be sent again, and how much of it."""
+"""Retries of failed requests: which are safe, and how many are allowed."""
 
-#: Tries of one request in all.
+#: Maximum number of times that a request is sent.
 MAX_TRIES = 3
-#: Methods whose requests may run twice without harm.
+#: Methods whose requests may safely run twice.
 IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
 
 
 class RetryBudget:
-    """A token bucket that answers fill and retries empty.
+    """Token bucket that answers fill and retries drain.
 
-    Made for a fleet that fails under overload: retries that follow every
-    failure would multiply the load just when it is too high.  With a tenth of
-    a token for each answer, retries add at most a tenth to the load that the
-    runners bear, and none once nothing is answered any more.
+    If a fleet fails under overload, retrying every failure would multiply the load
+    just when it is too high.  With a tenth of a token per answer, retries add at
+    most a tenth to the load that the runners can serve, and nothing once there are
+    no more answers.
 
-    :param part: retries allowed for each answer.
-    :param burst: retries allowed at once, enough for the requests that one
-        runner's death cuts.
+    :param retries_per_answer: number of retries allowed per answer.
+    :param burst: number of retries allowed at once, enough for the requests that
+        fail when one runner dies.
     """
 
-    def __init__(self, part: float = 0.1, burst: float = 10.0) -> None:
-        self._part = part
+    def __init__(self, retries_per_answer: float = 0.1, burst: float = 10.0) -> None:
+        self._retries_per_answer = retries_per_answer
         self._burst = burst
         self._tokens = burst
 
     def note_answer(self) -> None:
-        """Count a whole answer."""
-        self._tokens = min(self._tokens + self._part, self._burst)
+        """Record a complete answer."""
+        self._tokens = min(self._tokens + self._retries_per_answer, self._burst)
 
     def try_spend(self) -> bool:
-        """Spend one retry if the budget has it."""
+        """Spend one retry and return whether the budget allowed it."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -40,10 +40,12 @@
     """Return whether a failed request may be sent again.
 
     A non-idempotent request, such as a renewal charge, is only sent again if
-    certainly no byte of it left: the runner may else have run it, and the
+    certainly no byte of it was sent.  Otherwise the runner may have run it, and the
     customer would be charged twice.
 
-    :param ran: whether the failed try was run: ``no``, ``unknown`` or ``yes``.
+    :param idempotent: whether the request may safely run twice.
+    :param ran: whether the failed attempt ran: ``no``, ``unknown`` or ``yes``.
+    :param tries: how many times the request was sent.
     """
     if ran == "yes" or tries >= MAX_TRIES:
         return False
--- a/src/firhook/decide/_rounds.py
+++ b/src/firhook/decide/_rounds.py
@@ -1,4 +1,4 @@
-"""One round of a zone's lead: what to stop, place, mark and close."""
+"""One scheduling round of a zone's lead: placement, preemption and stops."""
 
 from collections.abc import Mapping
 
@@ -30,16 +30,16 @@
 )
 from firhook.state import CellState, ConfigState, JobEntry, Ref, ZoneState
 
-#: A job is told why it waits at most so often: where the reason changes with
-#: every round, a record for each change would use up the appends of starts.
-TELL_S = 30.0
-#: Reasons in one record, about 20 kB; the rest follow in the next rounds.
-MAX_TOLD = 200
+#: Minimum interval between notes that tell why a job waits.  If the reason changes
+#: every round, a record per change would use up the append rate of task starts.
+NOTE_INTERVAL_S = 30.0
+#: Maximum number of notes in one record, about 20 kB; the rest follow later.
+MAX_NOTES_PER_ROUND = 200
 
 
 @attrs.frozen(slots=True)
 class _Reserved:
-    """What the log has placed on a worker, and each team's part of the zone."""
+    """Resources assigned on a worker, and the share of the zone by team."""
 
     cpus: float
     memory_mb: int
@@ -47,13 +47,13 @@
     by_team: Mapping[str, float]
 
 
-_NOTHING = _Reserved(0.0, 0, 0, {})
+_NO_RESERVATION = _Reserved(0.0, 0, 0, {})
 
 
 class Scheduler:
-    """Decides for one zone from the states and the lead's view of the workers.
+    """Schedules one zone from the states and the lead's view of the workers.
 
-    :ivar endings: what follows from attempts that have ended.
+    :ivar endings: processes ended attempts.
     """
 
     def __init__(self, zone: ZoneState, cell: CellState, config: ConfigState) -> None:
@@ -67,34 +67,34 @@
         self._used: dict[str, float] = {}
         self._total = ResourceNeed(0.0, 0, 0)
         self._waiting_since: dict[str, float] = {}
-        self._progressed: dict[Ref, tuple[float, float]] = {}
-        self._told: dict[str, tuple[str, float]] = {}
-        self._slots: dict[ResourceNeed, int] = {}
-        self._noted_at: dict[str, float] = {}
+        self._last_progress: dict[Ref, tuple[float, float]] = {}
+        self._last_notes: dict[str, tuple[str, float]] = {}
+        self._slots_by_need: dict[ResourceNeed, int] = {}
+        self._progress_read_at: dict[str, float] = {}
         self._seen_reports: dict[str, Report | None] = {}
         self._capacities = CapacityIndex(())
         self._rack_of: dict[str, str] = {}
-        self._fleet = (0, -1)
-        self._turn = 0
+        self._fleet_version = (0, -1)
+        self._preemption_round = 0
         self._fresh = False
 
     def invalidate(self) -> None:
-        """Forget what was derived from a state that has been replaced."""
+        """Discard everything derived from the states, after one was replaced."""
         self._fresh = False
 
-    # -- what is there -------------------------------------------------------
+    # -- free resources -------------------------------------------------------
 
     def _refresh(self, term: LeadTerm) -> None:
-        """Bring what is derived up to the log's state, by what changed."""
-        if self._fleet != (term.epoch, term.fleet_version) or not self._fresh:
-            self._fleet = (term.epoch, term.fleet_version)
-            self._measure(term)
+        """Update derived data incrementally from the log's state."""
+        if self._fleet_version != (term.epoch, term.fleet_version) or not self._fresh:
+            self._fleet_version = (term.epoch, term.fleet_version)
+            self._rebuild_totals(term)
         for worker in self._zone.changed_workers:
-            self._replace(worker)
+            self._refresh_worker(worker)
         self._zone.changed_workers.clear()
 
-    def _measure(self, term: LeadTerm) -> None:
-        """Start anew with what the fleet has in all."""
+    def _rebuild_totals(self, term: LeadTerm) -> None:
+        """Recompute the fleet's total resources and reset derived data."""
         endpoints = [v.endpoint for v in term.workers.values() if v.endpoint]
         self._total = ResourceNeed(
             sum(e.cpus for e in endpoints),
@@ -109,13 +109,13 @@
         self._seen_reports.clear()
         self._reserved.clear()
         self._used.clear()
-        self._slots.clear()
+        self._slots_by_need.clear()
         self._zone.changed_workers |= self._zone.live.keys()
         self._fresh = True
 
-    def _replace(self, worker: str) -> None:
+    def _refresh_worker(self, worker: str) -> None:
         self._seen_reports.pop(worker, None)
-        for team, share in self._reserved.pop(worker, _NOTHING).by_team.items():
+        for team, share in self._reserved.pop(worker, _NO_RESERVATION).by_team.items():
             self._used[team] -= share
         refs = self._zone.live.get(worker)
         if not refs:
@@ -137,10 +137,10 @@
             self._used[team] = self._used.get(team, 0.0) + share
 
     def _refresh_capacities(self, term: LeadTerm, now: float) -> None:
-        """Bring the rooms up to the log and the workers' last reports.
+        """Update the free resources from the log and the workers' last reports.
 
-        Only what changed is looked at again: at 910 workers a round that
-        began from nothing would take longer than its placements.
+        Only changed workers are recomputed: with 910 workers a full recomputation
+        would take longer than the placements of the round.
         """
         marks = self._zone.marks
         for name, view in term.workers.items():
@@ -149,34 +149,34 @@
                 continue
             self._seen_reports[name] = view.report
             if self._usable(view, now):
-                self._capacities.put(self._room(view))
+                self._capacities.put(self._free_capacity(view))
             else:
                 self._capacities.remove(name)
 
     def _usable(self, view: WorkerView, now: float) -> bool:
-        """Return whether a worker may be given tasks.
+        """Return whether a worker may get tasks.
 
-        One that has not answered may be gone; one that runs what the log has
-        as ended has less room than the log says.
+        A worker that does not answer may be dead, and one with orphaned runs has
+        less free capacity than the log says.
         """
         if view.endpoint is None or view.endpoint.leaving or view.report is None:
             return False
         if view.name in self._zone.marks:
             live = self._zone.live.get(view.name)
             return not live and self._failures.may_probe(view.name, now)
-        return not self._strays(view.name, view.report)
+        return not self._has_orphaned_runs(view.name, view.report)
 
-    def _strays(self, worker: str, report: Report) -> bool:
+    def _has_orphaned_runs(self, worker: str, report: Report) -> bool:
         live = self._zone.live.get(worker, {})
         return any(
             t.state == "running" and (t.job_id, t.index, t.attempt) not in live
             for t in report.tasks
         )
 
-    def _room(self, view: WorkerView) -> WorkerCapacity:
+    def _free_capacity(self, view: WorkerView) -> WorkerCapacity:
         e = view.endpoint
         assert e is not None
-        used = self._reserved.get(view.name, _NOTHING)
+        used = self._reserved.get(view.name, _NO_RESERVATION)
         return WorkerCapacity(
             view.name,
             e.rack,
@@ -185,9 +185,9 @@
             e.accelerators - used.accelerators,
         )
 
-    # -- what waits ------------------------------------------------------------
+    # -- pending work -----------------------------------------------------------
 
-    def _wants(self, now: float, wall: float) -> list[TaskRequest]:
+    def _pending_requests(self, now: float, wall: float) -> list[TaskRequest]:
         def may_retry(job_id: str, index: int, failures: int) -> bool:
             return self._failures.may_retry(job_id, index, failures, now)
 
@@ -199,24 +199,24 @@
                 continue
             indexes = pending_tasks(entry, self._zone, may_retry)
             if indexes:
-                requests.append(self._want(entry, indexes, now, wall))
+                requests.append(self._make_request(entry, indexes, now, wall))
             else:
                 self._waiting_since.pop(key, None)
         return requests
 
-    def _want(
+    def _make_request(
         self, entry: JobEntry, indexes: tuple[int, ...], now: float, wall: float
     ) -> TaskRequest:
         job = entry.job
         since = self._waiting_since.setdefault(job.key, now)
-        left = float("inf")
+        time_left_s = float("inf")
         if job.deadline_s is not None:
-            left = entry.accepted_at + job.deadline_s - wall
+            time_left_s = entry.accepted_at + job.deadline_s - wall
         return TaskRequest(
             job,
             indexes,
             waited_s=now - since,
-            time_left_s=left,
+            time_left_s=time_left_s,
             avoid=self._failures.workers_to_avoid(job.key, now),
             racks=self._racks(job.key) if job.priority == "service" else {},
         )
@@ -229,23 +229,23 @@
                 racks[rack] = racks.get(rack, 0) + 1
         return racks
 
-    # -- the round ---------------------------------------------------------------
+    # -- planning ---------------------------------------------------------------
 
     def plan(
         self, term: LeadTerm, left: Mapping[str, int], now: float, wall: float
     ) -> tuple[tuple[Assignment, ...], tuple[JobNote, ...]]:
-        """Return the assignments of this round, and why other jobs wait.
+        """Return the assignments of this round, and notes for jobs that wait.
 
         :param left: how many more tasks each team may start under its limit.
-        :param wall: wall-clock time, for deadlines.
+        :param wall: wall-clock time for deadlines, in seconds.
         """
         self._refresh(term)
         self._note_progress(term, now)
-        requests = self._wants(now, wall)
+        requests = self._pending_requests(now, wall)
         if not requests:
             return (), ()
         self._refresh_capacities(term, now)
-        reservation = self._reserve(requests, now)
+        reservation = self._reserve_for_gang(requests, now)
         shares = {w.job.team: self._share(w.job.team) for w in requests}
         plan = plan_placements(
             requests,
@@ -257,7 +257,7 @@
             reservation,
         )
         for placement in plan.placements:
-            # The log may yet refuse it, so the room is worked out again.
+            # The log may still reject the assignment, so recompute the worker.
             self._seen_reports.pop(placement.worker, None)
         self._preempt(term, requests, plan, left, now)
         plan.placements = self._one_probe_each(plan)
@@ -265,7 +265,7 @@
             Assignment(p.job_id, p.index, self._attempt(p.job_id, p.index), p.worker)
             for p in plan.placements
         )
-        return items, self._held_notes(plan, reservation, term, now)
+        return items, self._notes_for_held_jobs(plan, reservation, term, now)
 
     def _one_probe_each(self, plan: PlacementPlan) -> list:
         probed: set[str] = set()
@@ -289,33 +289,37 @@
 
     def _note_progress(self, term: LeadTerm, now: float) -> None:
         for view in term.workers.values():
-            if self._noted_at.get(view.name) == view.read_at:
+            if self._progress_read_at.get(view.name) == view.read_at:
                 continue
-            self._noted_at[view.name] = view.read_at
+            self._progress_read_at[view.name] = view.read_at
             for ref, progress in view.reported_progress.items():
-                last = self._progressed.get(ref)
+                last = self._last_progress.get(ref)
                 if last is None or progress > last[0]:
-                    self._progressed[ref] = (progress, now)
-        if len(self._progressed) > 2 * sum(self._zone.running.values()) + 100:
+                    self._last_progress[ref] = (progress, now)
+        if len(self._last_progress) > 2 * sum(self._zone.running.values()) + 100:
             live = self._zone.is_live
-            self._progressed = {r: p for r, p in self._progressed.items() if live(r)}
+            self._last_progress = {
+                r: p for r, p in self._last_progress.items() if live(r)
+            }
 
-    def _lost_s(self, ref: Ref, now: float) -> float:
-        """Return the processor-seconds a task has done since its checkpoint."""
-        last = self._progressed.get(ref)
+    def _unsaved_work_s(self, ref: Ref, now: float) -> float:
+        """Return the processor-seconds of a task since its last checkpoint."""
+        last = self._last_progress.get(ref)
         entry = self._cell.jobs[ref[0]]
         return (now - last[1]) * entry.job.cpus if last else 0.0
 
     def _remaining_s(self, ref: Ref, now: float) -> float:
         job = self._cell.jobs[ref[0]].job
-        progress, at = self._progressed.get(ref, (0.0, now))
+        progress, at = self._last_progress.get(ref, (0.0, now))
         return max(job.run_s * (1 - progress) - (now - at), 0.0)
 
-    def _reserve(self, requests: list[TaskRequest], now: float) -> Reservation | None:
-        """Set workers aside for the gang that has waited longest, if it is due.
+    def _reserve_for_gang(
+        self, requests: list[TaskRequest], now: float
+    ) -> Reservation | None:
+        """Reserve workers for the gang that has waited longest, if it is due.
 
-        One gang at a time: two that each held half of what they need would
-        wait for each other for good.
+        Only one gang has a reservation: two gangs that each hold half of what they
+        need would deadlock.
         """
         due = [w for w in requests if w.job.gang and w.waited_s >= GANG_RESERVE_AFTER_S]
         if not due:
@@ -355,7 +359,7 @@
         left: Mapping[str, int],
         now: float,
     ) -> None:
-        """Have batch tasks give way to urgent ones that found no room."""
+        """Preempt batch tasks for urgent ones that no worker can take."""
         placed = {(p.job_id, p.index) for p in plan.placements}
         urgent = []
         for request in requests:
@@ -385,54 +389,58 @@
             self._zone,
             self._cell,
             self._over_share(),
-            lambda ref: self._lost_s(ref, now),
+            lambda ref: self._unsaved_work_s(ref, now),
             term.stopping.keys(),
             self._budget.available(now),
-            self._turn,
+            self._preemption_round,
         )
-        self._turn += 1
+        self._preemption_round += 1
         self._budget.spend(len(chosen))
         term.stopping.update(chosen)
 
     def _over_share(self) -> set[str]:
-        """Return the teams that run more than their share of what is used."""
+        """Return the teams that use more than their share of the used resources."""
         shares = {team: self._share(team) for team in self._used}
-        whole = sum(shares.values()) or 1.0
+        total_share = sum(shares.values()) or 1.0
         used = sum(self._used.values())
-        return {t for t, u in self._used.items() if u > used * shares[t] / whole}
+        return {t for t, u in self._used.items() if u > used * shares[t] / total_share}
 
-    def _held_notes(
+    def _notes_for_held_jobs(
         self,
         plan: PlacementPlan,
         reservation: Reservation | None,
         term: LeadTerm,
         now: float,
     ) -> tuple[JobNote, ...]:
-        """Return why jobs wait, each reason told once until it changes."""
+        """Return notes on why jobs wait, one for each change of the reason."""
         notes = []
         for key, reason in plan.held.items():
             entry = self._cell.jobs[key]
-            text = self._impossible(entry, term) or reason
+            text = self._never_fits_reason(entry, term) or reason
             if reservation is not None and reservation.job_id == key:
                 text = f"waits for {len(reservation.workers)} workers set aside for it"
-            last, at = self._told.get(key, ("", float("-inf")))
-            if last == text or now < at + TELL_S or len(notes) >= MAX_TOLD:
+            last, at = self._last_notes.get(key, ("", float("-inf")))
+            if (
+                last == text
+                or now < at + NOTE_INTERVAL_S
+                or len(notes) >= MAX_NOTES_PER_ROUND
+            ):
                 continue
-            self._told[key] = (text, now)
+            self._last_notes[key] = (text, now)
             notes.append(JobNote(key, f"held: {text}"))
         return tuple(notes)
 
-    def _impossible(self, entry: JobEntry, term: LeadTerm) -> str:
+    def _never_fits_reason(self, entry: JobEntry, term: LeadTerm) -> str:
         need = ResourceNeed.of(entry.job)
-        if need not in self._slots:
+        if need not in self._slots_by_need:
             endpoints = [v.endpoint for v in term.workers.values() if v.endpoint]
-            self._slots[need] = sum(
+            self._slots_by_need[need] = sum(
                 WorkerCapacity(
                     e.name, "", e.cpus, e.memory_mb, e.accelerators
                 ).count_fitting(need)
                 for e in endpoints
             )
-        slots = self._slots[need]
+        slots = self._slots_by_need[need]
         if not slots:
             return "each task is larger than any worker of the zone"
         if entry.job.gang and slots < entry.job.tasks:
@@ -440,15 +448,15 @@
         return ""
 
     def mark_stops(self, term: LeadTerm, parts: Mapping[str, int], now: float) -> None:
-        """Note on the term which attempts are to be checkpointed and stopped."""
-        gone = {
+        """Mark the attempts in the term that must be checkpointed and stopped."""
+        leaving_workers = {
             v.name for v in term.workers.values() if v.endpoint and v.endpoint.leaving
         }
         seen = {ref for view in term.workers.values() for ref in view.reported_progress}
         for chosen in (
             tasks_of_broken_gangs(self._zone, self._cell),
-            tasks_on_leaving_workers(self._zone, self._cell, gone, seen)
-            if gone
+            tasks_on_leaving_workers(self._zone, self._cell, leaving_workers, seen)
+            if leaving_workers
             else {},
             tasks_over_limit(self._zone, self._cell, parts),
         ):
--- a/src/firhook/decide/_route.py
+++ b/src/firhook/decide/_route.py
@@ -1,4 +1,4 @@
-"""Routing: the runner with the least expected wait, own zone first."""
+"""Load balancing over runners: least expected wait, own zone preferred."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping
@@ -7,44 +7,45 @@
 
 from firhook.model import Endpoint
 
-#: Weight of the newest answer in a runner's moving slowness.
+#: Weight of the newest answer in the moving average of a runner's slowness.
 _ALPHA = 0.1
-#: A runner of another zone is taken once those of this zone look this much
-#: worse: the way there costs about as much as a short request's wait.
-_OTHER_ZONE = 1.25
-#: Failures in a row that eject a runner.  One or two happen with every restart.
-_FAILURES = 3
-#: A runner is ejected once it takes this many times as long as its peers do
-#: for the same requests, seen over at least ``_SAMPLES`` of them.
-_SLOW_RATIO = 4.0
-_SAMPLES = 10
-#: At most this part of a zone's runners of a service is ejected at a time.
-#: When more look bad the cause is likelier the load or the network than the
-#: runners, and the rest would fall over under the work of those ejected.
-_EJECT_PART = 1 / 3
-_EJECT_S = 1.0
-_EJECT_MAX_S = 30.0
-#: A slot that moved here is doubtful for so long: by then its old holder has
-#: said by gossip if it still uses it.
+#: Cost factor of runners in other zones.  The network latency to them is about as
+#: long as the wait of a short request.
+_CROSS_ZONE_FACTOR = 1.25
+#: Consecutive failures that eject a runner.  Every restart causes one or two.
+_MAX_CONSECUTIVE_FAILURES = 3
+#: A runner is ejected once it takes this many times as long as its peers for the
+#: same requests, over at least ``_MIN_SAMPLES`` of them.
+_OUTLIER_RATIO = 4.0
+_MIN_SAMPLES = 10
+#: Maximum fraction of a zone's runners of a service that is ejected at a time.  If
+#: more look bad, the cause is probably the load or the network, and the remaining
+#: runners would collapse under the additional work.
+_MAX_EJECTED_FRACTION = 1 / 3
+_INITIAL_EJECTION_S = 1.0
+_MAX_EJECTION_S = 30.0
+#: Time after which a slot that moved here is certainly free: by then its old holder
+#: has announced by gossip whether it still uses it.
 _SETTLE_S = 2.0
-#: Requests at once that a new or returned runner gets at first; each answer
-#: adds one.  A cold runner given its full part at once would time out.
+#: Initial number of concurrent requests for a new or returned runner; each answer
+#: adds one.  A cold runner would time out under its full part at once.
 _SLOW_START = 2
 
 
 @attrs.define(slots=True, eq=False)
 class RunnerView:
-    """What this instance knows of a runner at one address.
+    """State of a runner at one address, as this instance sees it.
 
+    :ivar part: slots of the runner that this instance may use.
     :ivar settled: slots of the part that no peer can still be using.
-    :ivar in_flight: requests this instance has there.
-    :ivar elsewhere: requests its peers say they have there beyond their parts.
-    :ivar key: name and address; one that comes back elsewhere is a new runner.
-    :ivar part: slots of it that this instance may use.
-    :ivar slowness: moving ratio of the time its answers took to the time that
-        such requests take elsewhere.
-    :ivar ramp: requests at once that it may have while it starts slowly.
-    :ivar ejected_until: gets no work before, in seconds.
+    :ivar gained_at: when the part last grew, in seconds.
+    :ivar in_flight: requests of this instance at the runner.
+    :ivar peer_excess: requests that its peers report there beyond their parts.
+    :ivar slowness: moving average of the ratio of the runner's answer times to the
+        usual times of such requests.
+    :ivar ejected_until: time before which it gets no work, in seconds.
+    :ivar ramp_limit: maximum number of concurrent requests during slow start.
+    :ivar key: name and address; at a new address it counts as a new runner.
     """
 
     endpoint: Endpoint
@@ -68,15 +69,15 @@
         self.key = f"{self.endpoint.name}@{self.endpoint.address}"
 
     def headroom(self, now: float) -> int:
-        """Return how many more requests it may get from here."""
+        """Return how many more requests this instance may send to it."""
         if self.leaving or now < self.ejected_until:
             return 0
-        # A slot that moved here lately may still be in use by its old holder.
+        # The old holder may still use a slot that recently moved here.
         doubtful = min(self.peer_excess, self.part - self.settled)
         return max(min(self.part - doubtful, self.ramp_limit) - self.in_flight, 0)
 
     def set_part(self, part: int, now: float) -> None:
-        """Take over this instance's part."""
+        """Set this instance's part."""
         if part > self.part:
             self.gained_at = now
         self.part = part
@@ -86,17 +87,16 @@
             self.settled = part
 
     def cost(self, zone: str) -> float:
-        """Return the expected wait there, in units of a usual request."""
+        """Return the expected wait, in units of the usual request time."""
         load = self.in_flight / max(self.part, 1)
-        away = 1.0 if self.endpoint.zone == zone else _OTHER_ZONE
-        return self.slowness * (1.0 + load) * away
+        zone_factor = 1.0 if self.endpoint.zone == zone else _CROSS_ZONE_FACTOR
+        return self.slowness * (1.0 + load) * zone_factor
 
 
 class Router:
     """Chooses among the runners of one service.
 
-    Made for a service with one slow, one failing and one leaving runner among
-    good ones, at any load.
+    Handles slow, failing and leaving runners among healthy ones at any load.
 
     :param zone: this instance's zone.
     """
@@ -106,41 +106,42 @@
         self.views: dict[str, RunnerView] = {}
 
     def update(self, endpoints: Collection[Endpoint]) -> None:
-        """Take over a fresh list of runners."""
+        """Replace the list of runners."""
         listed = {}
         for endpoint in endpoints:
-            # On the first list the runners are not new, only this instance is.
+            # Runners on the first list are not new; only this instance is.
             ramp_limit = _SLOW_START if self.views else endpoint.slots
             fresh = RunnerView(endpoint, ramp_limit=ramp_limit)
             view = self.views.get(fresh.key, fresh)
             view.endpoint = endpoint
-            # A runner said to be leaving stays so at its address: the list
-            # lags, and may still show it as it was before it said so.
+            # A runner that announced that it is leaving stays so at its address:
+            # the list lags and may not show it yet.
             view.leaving = view.leaving or endpoint.leaving
             listed[view.key] = view
         self.views = listed
 
     def slots(self) -> dict[str, int]:
-        """Return the slots of each runner that takes new work."""
+        """Return the slots of each runner that accepts new work."""
         return {k: v.endpoint.slots for k, v in self.views.items() if not v.leaving}
 
     def has_untried(self, tried: Collection[str]) -> bool:
-        """Return whether a runner takes new work that is not among those tried."""
+        """Return whether a runner that was not tried accepts new work."""
         return any(not v.leaving and k not in tried for k, v in self.views.items())
 
     def set_parts(
-        self, parts: Mapping[str, int], connection_part: int, now: float
+        self, parts: Mapping[str, int], sharing_instances: int, now: float
     ) -> None:
-        """Take over this instance's part of each runner's slots.
+        """Set this instance's part of each runner's slots.
 
-        :param connection_part: how many instances share a runner's connections.
+        :param sharing_instances: number of instances that share a runner's
+            connections.
         """
         for key, view in self.views.items():
-            conns = max(view.endpoint.connections // max(connection_part, 1), 1)
+            conns = max(view.endpoint.connections // max(sharing_instances, 1), 1)
             view.set_part(min(parts.get(key, 0), conns), now)
 
     def capacity(self, now: float) -> int:
-        """Return how many slots this instance may use in all."""
+        """Return how many slots this instance may use in total."""
         return sum(
             min(v.part, v.ramp_limit)
             for v in self.views.values()
@@ -150,12 +151,12 @@
     def pick(self, now: float, tried: Collection[str] = ()) -> RunnerView | None:
         """Return the runner to send to and count the request there.
 
-        :param tried: keys of runners that failed this request already.
-        :return: ``None`` if no runner has room.
+        :param tried: keys of the runners that failed this request.
+        :return: ``None`` if no runner has a free slot.
         """
         best, best_cost = None, float("inf")
         for view in self.views.values():
-            # Most have no part here at the two-year size; ask that first.
+            # In a large fleet most runners have no part here, so check this first.
             if view.in_flight >= view.part or view.key in tried:
                 continue
             if view.headroom(now) <= 0:
@@ -168,33 +169,33 @@
         return best
 
     def release(self, view: RunnerView) -> None:
-        """Count a request as ended at its runner."""
+        """Record that a request at a runner has ended."""
         view.in_flight -= 1
 
     def note_answer(
         self, view: RunnerView, took_s: float, expected_s: float, now: float
     ) -> None:
-        """Learn from an answer.
+        """Update a runner's slowness and slow start after an answer.
 
-        :param expected_s: how long such a request usually takes.
+        :param expected_s: usual time of such a request, in seconds.
         """
         view.failures = 0
         view.ramp_limit = min(view.ramp_limit + 1, view.endpoint.slots)
         ratio = min(took_s / max(expected_s, 1e-4), 100.0)
         view.samples += 1
         view.slowness += max(_ALPHA, 1 / view.samples) * (ratio - view.slowness)
-        if view.samples < _SAMPLES:
+        if view.samples < _MIN_SAMPLES:
             return
-        if view.slowness > _SLOW_RATIO and self._is_outlier(view):
+        if view.slowness > _OUTLIER_RATIO and self._is_outlier(view):
             self._eject(view, now)
         else:
             view.ejections = 0
 
     def note_failure(self, view: RunnerView, now: float) -> None:
-        """Learn from an exchange that was refused, cut or too late."""
+        """Record an exchange that was refused, interrupted or too late."""
         view.failures += 1
-        # Back from an ejection, its first failure tells that it is not well.
-        if view.failures >= (1 if view.ejections else _FAILURES):
+        # After an ejection the first failure ejects it again.
+        if view.failures >= (1 if view.ejections else _MAX_CONSECUTIVE_FAILURES):
             self._eject(view, now)
 
     def _peers(self, view: RunnerView) -> list[RunnerView]:
@@ -203,29 +204,31 @@
 
     def _is_outlier(self, view: RunnerView) -> bool:
         others = sorted(v.slowness for v in self.views.values() if v is not view)
-        return bool(others) and view.slowness > _SLOW_RATIO * others[len(others) // 2]
+        return (
+            bool(others) and view.slowness > _OUTLIER_RATIO * others[len(others) // 2]
+        )
 
     def _eject(self, view: RunnerView, now: float) -> None:
         peers = self._peers(view)
-        out = sum(1 for v in peers if v is not view and now < v.ejected_until)
-        if out + 1 > len(peers) * _EJECT_PART:
+        ejected = sum(1 for v in peers if v is not view and now < v.ejected_until)
+        if ejected + 1 > len(peers) * _MAX_EJECTED_FRACTION:
             return
-        pause_s = min(_EJECT_S * 2**view.ejections, _EJECT_MAX_S)
+        pause_s = min(_INITIAL_EJECTION_S * 2**view.ejections, _MAX_EJECTION_S)
         view.ejections += 1
         view.ejected_until = now + pause_s
-        # It comes back with one request at a time, judged afresh.
+        # It returns with one request at a time and without history.
         view.ramp_limit = 1
         view.samples = 0
         view.slowness = 1.0
         view.failures = 0
 
     def set_peer_excess(self, counts: Mapping[str, int]) -> None:
-        """Take over what the peers have at each runner beyond their parts."""
+        """Set what the peers have at each runner beyond their parts."""
         for key, view in self.views.items():
             view.peer_excess = counts.get(key, 0)
 
     def set_leaving(self, keys: Collection[str]) -> None:
-        """Take over which runners told a peer that they are leaving."""
+        """Mark the runners that announced to a peer that they are leaving."""
         for key in keys:
             if key in self.views:
                 self.views[key].leaving = True
@@ -233,9 +236,9 @@
     def excess_by_runner(self) -> Counter[str]:
         """Return what this instance has in flight beyond its part, by runner.
 
-        Peers work out its parts by themselves, and what is within them takes
-        nothing from theirs.  Telling the rest alone keeps gossip small however
-        many runners there are.
+        Peers compute this instance's parts themselves, and requests within them
+        take nothing from theirs.  Sending only the excess keeps gossip small
+        regardless of the number of runners.
         """
         return Counter(
             {
--- a/src/firhook/decide/_staleness.py
+++ b/src/firhook/decide/_staleness.py
@@ -1,4 +1,4 @@
-"""What may be served on the keys known, by how old the view of them is."""
+"""What may be served on the known keys, by the age of their view."""
 
 import enum
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 class ServiceLevel(enum.IntEnum):
-    """What is served; each includes those below it."""
+    """What may be served; each level includes the lower ones."""
 
     NOTHING = 0
     IDEMPOTENT = 1
@@ -16,9 +16,9 @@
 
 @attrs.frozen(slots=True)
 class StalenessPolicy:
-    """The operators' choice between serving on and not serving withdrawn keys.
+    """Operators' choice between availability and refusing withdrawn keys.
 
-    :param strict: whether to refuse all as soon as the view is stale.
+    :param strict: whether to refuse everything once the view is stale.
     :param stale_s: age of the view in seconds from which it is stale.
     :param max_s: age from which nothing is served, strict or not.
     """
@@ -30,11 +30,11 @@
 
 @attrs.frozen(slots=True)
 class PeerLogView:
-    """A peer's view of the log as its last gossip told it.
+    """A peer's view of the log according to its last gossip.
 
-    :param age_s: seconds since that gossip came.
-    :param log_age_s: how old the peer's view of the log was then.
-    :param offset: how far it had read the configuration.
+    :param age_s: seconds since that gossip arrived.
+    :param log_age_s: age of the peer's view of the log at that time, in seconds.
+    :param offset: up to which offset the peer had read the configuration.
     """
 
     age_s: float
@@ -43,12 +43,12 @@
 
 
 def view_age_s(own_s: float, own_offset: int, peers: Iterable[PeerLogView]) -> float:
-    """Return how old this instance's view of lists and keys is, in seconds.
+    """Return the age of this instance's view of lists and keys, in seconds.
 
-    A peer's view counts as this instance's own once this instance has all
-    that the peer had read.  It went on ageing since the gossip was sent, so
-    the age of the gossip is added: without that, the last word of a peer
-    that then fell silent would look fresh for as long as it is remembered.
+    A peer's view counts as this instance's own once this instance has read
+    everything that the peer had read.  The view ages after the gossip was sent, so
+    the age of the gossip is added.  Otherwise the last gossip of a peer that then
+    became unreachable would look fresh as long as it is stored.
     """
     ages = [p.age_s + p.log_age_s for p in peers if p.offset <= own_offset]
     return min([own_s, *ages])
@@ -57,12 +57,12 @@
 def allowed_service(policy: StalenessPolicy, age_s: float) -> ServiceLevel:
     """Return what may be served on a view of this age.
 
-    Load: a zone cut off from the log and from every peer with a fresher view,
-    for minutes, with callers that hold good keys.  Harm prevented: a withdrawn
-    key that such a zone cannot have heard of.  Jobs and charges, which last,
-    are refused as soon as the view is stale.  Idempotent requests go on, since
-    to refuse them would turn each cut into an outage for every caller; only
-    past ``max_s`` is a leaked key the greater harm.
+    A zone may be partitioned for minutes from the log and from every peer with a
+    fresher view, while its callers hold valid keys.  Such a zone cannot know of a
+    withdrawn key.  Jobs and charges have lasting effects and are refused as soon as
+    the view is stale.  Idempotent requests are still served, since refusing them
+    would turn every partition into an outage for all callers; only beyond
+    ``max_s`` is a leaked key the greater harm.
     """
     if age_s < policy.stale_s:
         return ServiceLevel.ALL
--- a/src/firhook/decide/_tokens.py
+++ b/src/firhook/decide/_tokens.py
@@ -1,37 +1,37 @@
-"""Which zone owns which unit of a team's upper limit.
+"""Ownership of the units of a team's limit by zones.
 
-A limit of 30 is 30 numbered tokens.  Over n zones in order of name, token
-``i`` is at home in zone ``i mod n``; a transfer gives tokens of one zone to
+A limit of 30 consists of 30 numbered tokens.  With n zones in order of name,
+zone ``i mod n`` is the home of token ``i``; a transfer gives tokens of one zone to
 another.  A zone's part is the number of tokens below the limit that it owns.
 
-Two zones may have read the two streams up to different records: one knows a
-new limit that the other does not, or a transfer that the other has not read.
-Parts by token stay safe all the same.  At each offset a token has one owner,
-a giver knows of its gift before the receiver does, and a higher limit only
-adds tokens.  So the parts of all zones never add up to more than the largest
-limit that any of them still reads.  Net amounts per zone, which an earlier
-version kept, gave no such bound once a limit fell below what had been moved.
+Two zones may have read the two streams up to different records: one knows a new
+limit or a transfer that the other has not read.  Parts by token are still safe.
+At each offset a token has one owner, a giver knows of its transfer before the
+receiver does, and a higher limit only adds tokens.  The parts of all zones
+therefore never add up to more than the largest limit that any of them still uses.
+Net amounts per zone would give no such bound once a limit falls below what has
+been transferred.
 """
 
 from collections.abc import Iterable, Sequence
 
 import attrs
 
-#: Spans kept for one team.  Each instance holds and carries forward this state
-#: for every team, so a team whose tokens are scattered further may only move
-#: whole spans until it has gathered them again.
+#: Maximum number of spans per team.  Every instance stores this state for every
+#: team and includes it in snapshots.  A team whose tokens are more fragmented may
+#: only transfer whole spans until they are merged again.
 MAX_SPANS = 256
 
 
 @attrs.frozen(slots=True)
 class Span:
-    """Tokens that are away from home.
+    """A range of tokens that another zone than their home owns.
 
-    :param home: the zone whose tokens they are.
-    :param first: first row; row ``r`` of the zone at place ``p`` of n is
-        token ``r * n + p``.
-    :param last: the row after the last.
-    :param owner: the zone that owns them.
+    :param home: the home zone of the tokens.
+    :param first: first row; row ``r`` of the zone at position ``p`` of n is token
+        ``r * n + p``.
+    :param last: the row after the last one.
+    :param owner: the zone that owns the tokens.
     """
 
     home: str
@@ -43,17 +43,17 @@
         return max(self.last - self.first, 0)
 
     def below(self, rows: int) -> int:
-        """Return how many of its rows are below a row."""
+        """Return how many rows of the span are below a row."""
         return max(min(self.last, rows) - self.first, 0)
 
 
 def split(limit: int, holders: Sequence[str]) -> dict[str, int]:
     """Split a limit into whole parts that add up to it.
 
-    :param limit: the team's upper limit over the fleet.
-    :param holders: who gets a part; the order does not matter.
-    :return: each holder's part.  The remainder goes to the first by name, so
-        that every instance computes the same parts from the same lists.
+    :param limit: the team's limit over the fleet.
+    :param holders: names that get a part, in any order.
+    :return: each holder's part.  The remainder goes to the first holders by name,
+        so every instance computes the same parts from the same lists.
     """
     ordered = sorted(holders)
     if not ordered:
@@ -67,7 +67,7 @@
 ) -> dict[str, int]:
     """Return each zone's part of a limit after transfers between zones.
 
-    :param moved: the team's tokens that are away from home.
+    :param moved: the team's spans.
     """
     rows = split(limit, zones)
     parts = dict(rows)
@@ -79,31 +79,31 @@
     return parts
 
 
-def _owned(
-    moved: Sequence[Span], rows: dict[str, int], owner: str, favoured: str
+def _tokens_to_give(
+    moved: Sequence[Span], rows: dict[str, int], owner: str, receiver: str
 ) -> list[Span]:
-    """Return an owner's tokens, those first that it should give first.
+    """Return an owner's tokens in the order in which it should give them away.
 
-    Tokens go back to the favoured zone's home first, then the smallest spans
-    of others, then own ones from the top: this undoes earlier transfers
-    instead of scattering the tokens ever further.
+    Tokens whose home is the receiver come first, then the smallest spans of other
+    zones, then the owner's own tokens from the top.  This reverses earlier
+    transfers instead of increasing the fragmentation.
     """
     away = [
         attrs.evolve(s, last=min(s.last, rows[s.home]))
         for s in moved
         if s.owner == owner and s.home in rows and s.below(rows[s.home])
     ]
-    away.sort(key=lambda s: (s.home != favoured, len(s), s.home, s.first))
-    gaps, first = [], 0
+    away.sort(key=lambda s: (s.home != receiver, len(s), s.home, s.first))
+    at_home, first = [], 0
     for span in sorted((s for s in moved if s.home == owner), key=lambda s: s.first):
-        gaps.append(Span(owner, first, min(span.first, rows[owner]), owner))
+        at_home.append(Span(owner, first, min(span.first, rows[owner]), owner))
         first = span.last
-    gaps.append(Span(owner, first, rows[owner], owner))
-    return away + [s for s in reversed(gaps) if len(s) > 0]
+    at_home.append(Span(owner, first, rows[owner], owner))
+    return away + [s for s in reversed(at_home) if len(s) > 0]
 
 
-def _assign(moved: Sequence[Span], piece: Span, owner: str) -> tuple[Span, ...]:
-    """Return the spans after a piece changed its owner."""
+def _reassign(moved: Sequence[Span], piece: Span, owner: str) -> tuple[Span, ...]:
+    """Return the spans after ``piece`` changed its owner."""
     result = []
     for span in moved:
         if span.home != piece.home:
@@ -137,21 +137,22 @@
     receiver: str,
     amount: int,
 ) -> tuple[Span, ...] | None:
-    """Return the spans after a transfer, or ``None`` if it is void.
+    """Return the spans after a transfer, or ``None`` if the transfer is void.
 
-    It is void if the giver owns too few tokens below the limit, or if the
-    tokens would be scattered over more than :data:`MAX_SPANS` spans.
+    It is void if the giver owns too few tokens below the limit, or if there would
+    be more than :data:`MAX_SPANS` spans.
 
-    :param limit: the limit that the giver knew; only tokens below it move.
+    :param moved: the team's spans before the transfer.
+    :param limit: the limit known to the giver; only tokens below it move.
     """
     rows = split(limit, zones)
     if giver not in rows or receiver not in rows or giver == receiver or amount < 1:
         return None
     result: tuple[Span, ...] = tuple(moved)
-    for piece in _owned(moved, rows, giver, receiver):
+    for piece in _tokens_to_give(moved, rows, giver, receiver):
         taken = min(amount, len(piece))
         top = attrs.evolve(piece, first=piece.last - taken)
-        result = _assign(result, top, receiver)
+        result = _reassign(result, top, receiver)
         amount -= taken
         if amount == 0:
             break
--- a/src/firhook/decide/fair_share.py
+++ b/src/firhook/decide/fair_share.py
@@ -1,4 +1,4 @@
-"""Whose task is placed next."""
+"""Order of task placement by fair shares."""
 
 from firhook.decide._fair_share import (
     GANG_RESERVE_AFTER_S,
--- a/src/firhook/decide/orders.py
+++ b/src/firhook/decide/orders.py
@@ -1,4 +1,4 @@
-"""What a zone's lead orders of its workers, and which attempts have ended."""
+"""A zone lead's orders to its workers, and the detection of ended attempts."""
 
 from firhook.decide._orders import (
     ORDER_TTL_S,
--- a/src/firhook/decide/place.py
+++ b/src/firhook/decide/place.py
@@ -1,4 +1,4 @@
-"""Which worker gets a task."""
+"""Placement of tasks on workers."""
 
 from firhook.decide._place import CapacityIndex, ResourceNeed, WorkerCapacity
 
--- a/src/firhook/decide/queue.py
+++ b/src/firhook/decide/queue.py
@@ -1,4 +1,4 @@
-"""Fair queueing of requests."""
+"""Fair queue of requests."""
 
 from firhook.decide._queue import CLASSES, FairQueue, QueuedRequest
 
--- a/src/firhook/decide/retry.py
+++ b/src/firhook/decide/retry.py
@@ -1,4 +1,4 @@
-"""Retries of requests to runners."""
+"""Retries of failed requests."""
 
 from firhook.decide._retry import IDEMPOTENT_METHODS, MAX_TRIES, RetryBudget, may_resend
 
--- a/src/firhook/decide/rounds.py
+++ b/src/firhook/decide/rounds.py
@@ -1,4 +1,4 @@
-"""One round of a zone's lead."""
+"""One scheduling round of a zone's lead."""
 
 from firhook.decide._endings import QUARANTINED
 from firhook.decide._rounds import Scheduler
--- a/src/firhook/decide/staleness.py
+++ b/src/firhook/decide/staleness.py
@@ -1,4 +1,4 @@
-"""What may be served on keys that may have been withdrawn unheard."""
+"""What may be served on keys whose withdrawal may not have arrived."""
 
 from firhook.decide._staleness import (
     PeerLogView,
