--- a/src/firhook/state/__init__.py
+++ b/src/firhook/state/__init__.py
@@ -1,4 +1,4 @@
-"""What instances know from the log: pure state, the same for every reader."""
+"""State derived from the log: pure functions of the records, equal at every reader."""
 
 from firhook.state._base import StreamState
 from firhook.state._cell import CellState, JobEntry, LeadState, job_digest
--- a/src/firhook/state/_base.py
+++ b/src/firhook/state/_base.py
@@ -1,4 +1,4 @@
-"""What the states of all streams have in common."""
+"""Base class of the states of all streams."""
 
 from abc import ABC, abstractmethod
 from typing import Any
@@ -12,13 +12,14 @@
 
 
 class StreamState(ABC):
-    """State of one stream: a function of its records and of nothing else.
-
-    :ivar next_offset: the offset of the record to apply next.
-    :ivar carried_upto: the offset of the last complete snapshot in the log.
-    :ivar carried_parts: how many chunks that one had.
-    :ivar fault: what the last record ran into that was ignored because
-        applying it failed; empty if none did.
+    """State of one stream: a function of its records alone.
+
+    :ivar next_offset: offset of the record to apply next.
+    :ivar lanes: last applied sequence number of each lane.
+    :ivar snapshot_offset: offset of the last complete snapshot in the log.
+    :ivar snapshot_parts: number of chunks of that snapshot.
+    :ivar fault: error of the last record that was ignored because applying it
+        failed; empty if there is none.
     """
 
     def __init__(self) -> None:
@@ -30,45 +31,43 @@
         self._chunks = ChunkAssembler(keep=False)
 
     def apply(self, offset: int, envelope: Envelope) -> Verdict:
-        """Apply a record and return the verdict that every reader reaches."""
+        """Apply a record and return the verdict, which is the same at every reader."""
         self.next_offset = offset + 1
         if not self.lanes.admit(envelope.lane, envelope.seq):
             return Verdict.REPEATED
         if isinstance(envelope.body, Marker):
             return Verdict.IGNORED
         if isinstance(envelope.body, SnapshotChunk):
-            self._note_chunk(envelope.lane, envelope.body)
+            self._record_chunk(envelope.lane, envelope.body)
             return Verdict.IGNORED
         try:
             return self.apply_body(offset, envelope.lane, envelope.body)
         except Exception as exc:
-            # One record that no check foresaw would otherwise end the
-            # follower of every instance at the same offset, again after each
-            # restart.  Every reader fails at it alike, so ignoring it keeps
-            # them the same.
+            # Otherwise one bad record would stop the follower of every instance
+            # at the same offset, again after each restart.  It fails the same way
+            # at every reader, so ignoring it keeps their states equal.
             self.fault = f"offset {offset}: {exc!r}"
             return Verdict.IGNORED
 
-    def _note_chunk(self, lane: str, chunk: SnapshotChunk) -> None:
+    def _record_chunk(self, lane: str, chunk: SnapshotChunk) -> None:
         snapshot = self._chunks.add(lane, chunk)
         if snapshot is not None and snapshot.upto >= self.snapshot_offset:
             self.snapshot_offset = snapshot.upto
             self.snapshot_parts = snapshot.parts
 
     def skip(self, offset: int) -> None:
-        """Pass over a record that cannot be understood."""
+        """Skip a record that cannot be decoded."""
         self.next_offset = offset + 1
 
     @abstractmethod
     def apply_body(self, offset: int, lane: str, body: Any) -> Verdict:
-        """Apply a record that is new."""
+        """Apply a new record."""
 
     def has_applied(self, lane: str, body: Any) -> bool:
-        """Return whether the state shows that a record of a lane was applied.
+        """Return whether the state proves that a record of a lane was applied.
 
-        Asked for a record that expired before its own sender read it.  A
-        state that cannot tell answers no, and the sender is told that the
-        outcome is unknown.
+        Used for a record that expired before its sender read it.  If the result is
+        ``False``, the sender receives an unknown outcome.
         """
         return False
 
@@ -81,7 +80,7 @@
         """Replace the state by dumped plain data."""
 
     def to_text(self) -> str:
-        """Return the whole state as JSON text, for a snapshot."""
+        """Return the full state as JSON text, for a snapshot."""
         data = {
             "lanes": self.lanes.dump(),
             "carried": [self.snapshot_offset, self.snapshot_parts],
@@ -90,14 +89,14 @@
         return msgspec.json.encode(data).decode()
 
     def from_text(self, offset: int, text: str) -> None:
-        """Replace the whole state by a snapshot as of an offset.
+        """Replace the full state by a snapshot as of an offset.
 
-        :raises RecordMalformedError: if the text is no dumped state, or is older
-            than what is known already, which must never go back.
+        :raises RecordMalformedError: if the text is not a dumped state, or if the
+            snapshot is older than this state, which must never go back.
         """
         if offset < self.next_offset:
             raise RecordMalformedError(
-                f"a snapshot as of {offset} is older than {self.next_offset}"
+                f"snapshot as of {offset} is older than the state at {self.next_offset}"
             )
         try:
             data = msgspec.json.decode(text)
--- a/src/firhook/state/_cell.py
+++ b/src/firhook/state/_cell.py
@@ -1,4 +1,4 @@
-"""Zone leads, limit transfers and jobs, as the log has them."""
+"""Zone leads, limit transfers and jobs according to the log."""
 
 import hashlib
 from typing import Any
@@ -22,16 +22,16 @@
 )
 from firhook.state._base import StreamState
 
-#: Ended jobs that are still listed in full.  4,900 jobs a day make this half
-#: a day, in about 2 MB.
+#: Maximum number of ended jobs that are kept in full: about half a day at 4,900
+#: jobs a day, in about 2 MB.
 MAX_ENDED = 2000
-#: Ended jobs whose ids are still known, so that a repeated submission starts
-#: nothing.  Four days at 4,900 a day, in about 3 MB.
-MAX_KNOWN = 20_000
+#: Maximum number of older ended jobs whose ids are kept, so that a repeated
+#: submission starts nothing: four days at 4,900 a day, in about 3 MB.
+MAX_PRUNED = 20_000
 
 
 def job_digest(job: JobSpec) -> str:
-    """Return a short digest of a job as declared, the same at every reader."""
+    """Return a short digest of a job's declaration, the same at every reader."""
     data = msgspec.json.encode(job)
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
@@ -40,12 +40,13 @@
 class LeadState:
     """The lead of a zone.
 
-    :param epoch: rises by one with each claim; 0 before the first.
-    :param offset: of the last claim or renewal.
-    :param released: whether the holder has handed it back.
-    :param roster: the instances that may hold room lent by it or its
+    :param epoch: incremented with each claim; 0 before the first.
+    :param instance: the instance that holds the lead.
+    :param offset: offset of the last claim or renewal.
+    :param released: whether the holder has released the lead.
+    :param roster: instances that may hold capacity lent by this lead or its
         predecessors.
-    :param holders: the number of holders by which that room is capped.
+    :param holders: number of holders that determines the cap of that capacity.
     """
 
     epoch: int = 0
@@ -60,6 +61,7 @@
 class JobEntry:
     """A job and the zone that places it.
 
+    :param offset: offset of its acceptance.
     :param accepted_at: wall-clock time of its acceptance, in seconds.
     :param ended: how it ended, ``done`` or ``cancelled``; empty before.
     """
@@ -76,6 +78,10 @@
     """The cell-wide state, the same at every instance.
 
     :param zones: all availability zones of the cell.
+    :ivar leads: the lead of each zone.
+    :ivar moved: each team's limit tokens that another zone than their home owns.
+    :ivar jobs: open jobs and recently ended ones, by key.
+    :ivar pruned_jobs: digests of older ended jobs, by key.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -85,23 +91,23 @@
         self.moved: dict[str, tuple[Span, ...]] = {}
         self.jobs: dict[str, JobEntry] = {}
         self.pruned_jobs: dict[str, str] = {}
-        self._open: dict[str, dict[str, JobEntry]] = {}
-        self._ended: dict[str, bool] = {}
+        self._open_by_zone: dict[str, dict[str, JobEntry]] = {}
+        self._ended_jobs: dict[str, bool] = {}
 
     def apply_body(self, offset: int, lane: str, body: Any) -> Verdict:
-        """Apply a claim of lead, a transfer or a job."""
+        """Apply a claim of a lead, a transfer or a job."""
         if isinstance(body, LeadClaimed):
             return self._apply_claim(offset, body)
         if isinstance(body, (LeadRenewed, LeadReleased)):
             return self._apply_renewal(offset, body)
         if isinstance(body, LimitMoved):
-            return self._apply_move(body)
+            return self._apply_transfer(body)
         if isinstance(body, JobAccepted):
             return self._apply_job(offset, body)
         if isinstance(body, JobCancelled):
             return self._apply_cancel(body)
         if isinstance(body, JobsEnded):
-            return self._apply_ends(body)
+            return self._apply_job_ends(body)
         if isinstance(body, JobsAdopted):
             return self._apply_adoption(body)
         return Verdict.IGNORED
@@ -135,21 +141,21 @@
         )
         return Verdict.APPLIED
 
-    def _apply_move(self, move: LimitMoved) -> Verdict:
-        lead = self.leads.get(move.giver)
-        if lead is None or lead.epoch != move.epoch or lead.released:
+    def _apply_transfer(self, transfer: LimitMoved) -> Verdict:
+        lead = self.leads.get(transfer.giver)
+        if lead is None or lead.epoch != transfer.epoch or lead.released:
             return Verdict.CONFLICT
         moved = move_tokens(
-            self.moved.get(move.team, ()),
+            self.moved.get(transfer.team, ()),
             self.zones,
-            move.limit,
-            move.giver,
-            move.receiver,
-            move.amount,
+            transfer.limit,
+            transfer.giver,
+            transfer.receiver,
+            transfer.amount,
         )
         if moved is None:
             return Verdict.CONFLICT
-        self.moved[move.team] = moved
+        self.moved[transfer.team] = moved
         return Verdict.APPLIED
 
     def _apply_job(self, offset: int, accepted: JobAccepted) -> Verdict:
@@ -165,30 +171,30 @@
         entry = JobEntry(
             accepted.job, accepted.zone, offset, accepted_at=accepted.accepted_at
         )
-        self._put(key, entry)
+        self._store_job(key, entry)
         return Verdict.APPLIED
 
-    def _put(self, key: str, entry: JobEntry) -> None:
-        """Put a job in place and keep the index of open jobs in step."""
+    def _store_job(self, key: str, entry: JobEntry) -> None:
+        """Store a job and update the index of open jobs."""
         last = self.jobs.get(key)
         if last is not None and (last.zone != entry.zone or entry.ended):
-            self._open.get(last.zone, {}).pop(key, None)
+            self._open_by_zone.get(last.zone, {}).pop(key, None)
         self.jobs[key] = entry
         if entry.ended:
-            self._ended[key] = True
+            self._ended_jobs[key] = True
         else:
-            self._open.setdefault(entry.zone, {})[key] = entry
+            self._open_by_zone.setdefault(entry.zone, {})[key] = entry
 
     def _apply_cancel(self, cancel: JobCancelled) -> Verdict:
         applied = False
         for key in cancel.job_ids:
             entry = self.jobs.get(key)
             if entry is not None and not entry.cancelled and not entry.ended:
-                self._put(key, attrs.evolve(entry, cancelled=True))
+                self._store_job(key, attrs.evolve(entry, cancelled=True))
                 applied = True
         return Verdict.APPLIED if applied else Verdict.REPEATED
 
-    def _apply_ends(self, body: JobsEnded) -> Verdict:
+    def _apply_job_ends(self, body: JobsEnded) -> Verdict:
         lead = self.leads.get(body.zone)
         if lead is None or lead.epoch != body.epoch:
             return Verdict.CONFLICT
@@ -196,17 +202,17 @@
             entry = self.jobs.get(item.job_id)
             if entry is None or entry.ended or entry.zone != body.zone:
                 continue
-            self._put(item.job_id, attrs.evolve(entry, ended=item.outcome))
-        self._prune()
+            self._store_job(item.job_id, attrs.evolve(entry, ended=item.outcome))
+        self._delete_oldest_ended()
         return Verdict.APPLIED
 
-    def _prune(self) -> None:
-        """Drop what ended longest ago, by records alone and so alike everywhere."""
-        while len(self._ended) > MAX_ENDED:
-            oldest = next(iter(self._ended))
-            del self._ended[oldest]
+    def _delete_oldest_ended(self) -> None:
+        """Delete the jobs that ended longest ago, in record order at every reader."""
+        while len(self._ended_jobs) > MAX_ENDED:
+            oldest = next(iter(self._ended_jobs))
+            del self._ended_jobs[oldest]
             self.pruned_jobs[oldest] = job_digest(self.jobs.pop(oldest).job)
-        while len(self.pruned_jobs) > MAX_KNOWN:
+        while len(self.pruned_jobs) > MAX_PRUNED:
             del self.pruned_jobs[next(iter(self.pruned_jobs))]
 
     def _apply_adoption(self, adoption: JobsAdopted) -> Verdict:
@@ -217,12 +223,12 @@
         if giver.offset != adoption.seen:
             return Verdict.CONFLICT
         for entry in self.open_jobs(adoption.giver):
-            self._put(entry.job.key, attrs.evolve(entry, zone=adoption.receiver))
+            self._store_job(entry.job.key, attrs.evolve(entry, zone=adoption.receiver))
         return Verdict.APPLIED
 
     def open_jobs(self, zone: str) -> list[JobEntry]:
-        """Return the jobs that a zone's lead places and that have not ended."""
-        return list(self._open.get(zone, {}).values())
+        """Return the jobs of a zone that have not ended."""
+        return list(self._open_by_zone.get(zone, {}).values())
 
     def dump(self) -> Any:
         """Return the state as plain data."""
@@ -231,28 +237,28 @@
                 "leads": self.leads,
                 "moved": self.moved,
                 "jobs": self.jobs,
-                "ended": list(self._ended),
+                "ended": list(self._ended_jobs),
                 "known": self.pruned_jobs,
             }
         )
 
     def load(self, data: Any) -> None:
-        """Replace the state by dumped plain data, all of it or nothing."""
+        """Replace the state by dumped plain data, or leave it unchanged on errors."""
         leads = msgspec.convert(data["leads"], dict[str, LeadState])
         moved = msgspec.convert(data["moved"], dict[str, tuple[Span, ...]])
         jobs = msgspec.convert(data["jobs"], dict[str, JobEntry])
         ended = msgspec.convert(data["ended"], list[str])
         known = msgspec.convert(data["known"], dict[str, str])
-        # Zones that were added since the snapshot have had no lead yet.
+        # Zones added after the snapshot have no lead yet.
         self.leads = {z: leads.get(z, LeadState()) for z in self.zones}
         self.moved, self.pruned_jobs = moved, known
-        self.jobs, self._open = {}, {}
-        self._ended = dict.fromkeys(ended, True)
+        self.jobs, self._open_by_zone = {}, {}
+        self._ended_jobs = dict.fromkeys(ended, True)
         for key, entry in jobs.items():
-            self._put(key, entry)
+            self._store_job(key, entry)
 
     def has_applied(self, lane: str, body: Any) -> bool:
-        """Return whether a claim of lead or a job is in force."""
+        """Return whether a claim or renewal of a lead, or a job, is in effect."""
         if isinstance(body, (LeadClaimed, LeadRenewed)):
             lead = self.leads.get(body.zone)
             return lead is not None and (
--- a/src/firhook/state/_config.py
+++ b/src/firhook/state/_config.py
@@ -1,4 +1,4 @@
-"""The two lists and the keys, as the log has them."""
+"""The lists of teams and plans, and the keys, according to the log."""
 
 from typing import Any
 
@@ -30,19 +30,19 @@
 
 
 class ConfigState(StreamState):
-    """Lists and keys in force.
+    """Lists and keys in effect.
 
-    :ivar version: rises by one with each change that was accepted.
-    :ivar changed_at: the version at which each row last changed, by list and
-        name, so that a conflict can say what came first.
-    :ivar withdrawn: the keys withdrawn; ``False`` while only peers have said
-        so.  Their word counts at once, but is no part of what the log says.
+    :ivar version: incremented with each accepted change.
+    :ivar changed_at: version of the last change of each row, by list and name, so
+        that a conflict can name the earlier change.
+    :ivar withdrawn: withdrawn keys by id; ``False`` while only peers have reported
+        the withdrawal.  It takes effect at once but is not part of the log's state.
     """
 
-    #: Withdrawn keys that are still listed by name; older ones are forgotten
-    #: with their digests, and so are refused as unknown.
+    #: Maximum number of withdrawn keys that are kept.  Older ones are deleted with
+    #: their digests and are then refused as unknown.
     MAX_WITHDRAWN = 2000
-    #: Rows whose last change is remembered, removed ones included.
+    #: Maximum number of rows whose last change is kept, including removed rows.
     MAX_CHANGED = 2000
 
     def __init__(self) -> None:
@@ -74,18 +74,18 @@
         return entry
 
     def check_rows(self, rows: tuple[Row, ...]) -> None:
-        """Check that the lists stay valid with the rows changed.
+        """Check that the lists stay valid after the changes.
 
-        :raises ListInvalidError: naming each problem.
+        :raises ListInvalidError: if they do not; names each problem.
         """
-        self._merged(rows)
+        self._merge_rows(rows)
 
-    def _merged(self, rows: tuple[Row, ...]) -> tuple[Any, Any, Any]:
-        """Return the rows, plans and teams with some rows changed.
+    def _merge_rows(self, rows: tuple[Row, ...]) -> tuple[Any, Any, Any]:
+        """Return the rows, plans and teams after the changes.
 
-        Only the rows given are checked, and the teams again if a plan went:
-        the others were checked when they were taken.  At 120 teams and 3,400
-        changes a day each instance would else check 400,000 rows a day.
+        Only the changed rows are checked, and teams whose plan was removed; the
+        others were checked when they were accepted.  With 120 teams and 3,400
+        changes a day each instance would otherwise check 400,000 rows a day.
         """
         merged = {name: dict(table) for name, table in self.rows.items()}
         plans, teams = dict(self.plans), dict(self.teams)
@@ -119,10 +119,10 @@
         return Verdict.IGNORED
 
     def withdraw(self, key_id: str) -> Verdict:
-        """Withdraw a key on a peer's word, also one not known yet.
+        """Withdraw a key reported by a peer, even if the key is unknown.
 
-        A peer's word may come before the record that gives the key; the key
-        must then be refused from the start.
+        The report may arrive before the record that gives the key, which must then
+        be refused from the start.
         """
         if key_id in self.withdrawn:
             return Verdict.REPEATED
@@ -132,17 +132,21 @@
     def _apply_withdrawal(self, key_id: str) -> Verdict:
         if self.withdrawn.get(key_id):
             return Verdict.REPEATED
-        # Taken out first, so that the order is that of the records at every
-        # reader, whatever peers said before.
+        # Removed first, so the order is that of the records at every reader,
+        # regardless of earlier reports by peers.
         self.withdrawn.pop(key_id, None)
         self.withdrawn[key_id] = True
         if len(self.withdrawn) > self.MAX_WITHDRAWN:
-            self._forget_withdrawn()
+            self._delete_oldest_withdrawn()
         return Verdict.APPLIED
 
-    def _forget_withdrawn(self) -> None:
-        recorded = [key_id for key_id, known in self.withdrawn.items() if known]
-        for key_id in recorded[: -self.MAX_WITHDRAWN]:
+    def _delete_oldest_withdrawn(self) -> None:
+        recorded_ids = [
+            key_id
+            for key_id, recorded_in_log in self.withdrawn.items()
+            if recorded_in_log
+        ]
+        for key_id in recorded_ids[: -self.MAX_WITHDRAWN]:
             del self.withdrawn[key_id]
             self.keys.pop(self.key_ids.pop(key_id, ""), None)
 
@@ -150,10 +154,9 @@
         if change.base != self.version:
             return Verdict.CONFLICT
         try:
-            self.rows, self.plans, self.teams = self._merged(change.rows)
+            self.rows, self.plans, self.teams = self._merge_rows(change.rows)
         except ListInvalidError:
-            # A record that another writer put on the log unchecked must not
-            # take the good lists out of force.
+            # An unchecked record of another writer must not replace valid lists.
             return Verdict.IGNORED
         self.version += 1
         for row in change.rows:
@@ -177,7 +180,7 @@
         return sorted(name for name, at in self.changed_at.items() if at > version)
 
     def has_applied(self, lane: str, body: Any) -> bool:
-        """Return whether a key is given or withdrawn as a record says."""
+        """Return whether the key of a record was given or withdrawn by it."""
         if isinstance(body, KeyGiven):
             entry = KeyEntry(body.key_id, body.team, body.digest)
             return self.keys.get(body.digest) == entry
@@ -186,21 +189,25 @@
         return False
 
     def dump(self) -> Any:
-        """Return the state as plain data, without what only peers said."""
+        """Return the state as plain data, without withdrawals known only from peers."""
         return {
             "version": self.version,
             "rows": self.rows,
             "keys": [[k.key_id, k.team, k.digest] for k in self.keys.values()],
-            "withdrawn": [key_id for key_id, known in self.withdrawn.items() if known],
+            "withdrawn": [
+                key_id
+                for key_id, recorded_in_log in self.withdrawn.items()
+                if recorded_in_log
+            ],
             "changed_at": self.changed_at,
         }
 
     def load(self, data: Any) -> None:
-        """Replace the state, all of it or nothing.
+        """Replace the state by dumped plain data, or leave it unchanged on errors.
 
-        A withdrawal known already is never forgotten.
+        Withdrawals that are already known stay in effect.
 
-        :raises ListInvalidError: if the version would go back.
+        :raises ListInvalidError: if the version would decrease.
         """
         dumped = msgspec.convert(data, _Dump)
         if dumped.version < self.version:
@@ -213,20 +220,20 @@
             for list_name in ("plans", "teams")
             for name, values in dumped.rows[list_name].items()
         )
-        self.rows, self.plans, self.teams = fresh._merged(rows)
+        self.rows, self.plans, self.teams = fresh._merge_rows(rows)
         self.version = dumped.version
         self.keys = {d: KeyEntry(i, t, d) for i, t, d in dumped.keys}
         self.key_ids = {i: d for i, _, d in dumped.keys}
-        by_peers = list(self.withdrawn)
+        withdrawn_before = list(self.withdrawn)
         self.withdrawn = dict.fromkeys(dumped.withdrawn, True)
-        for key_id in by_peers:
+        for key_id in withdrawn_before:
             self.withdraw(key_id)
         self.changed_at = dumped.changed_at
 
 
 @attrs.frozen(slots=True)
 class _Dump:
-    """A dumped state, so that a malformed one is refused before it is used."""
+    """A dumped state; decoding it rejects malformed data before it is used."""
 
     version: int
     rows: dict[str, dict[str, dict[str, str]]]
--- a/src/firhook/state/_once.py
+++ b/src/firhook/state/_once.py
@@ -1,4 +1,4 @@
-"""Claims of keyed non-idempotent requests and their outcomes."""
+"""Claims and outcomes of non-idempotent requests with an idempotency key."""
 
 import sys
 from typing import Any
@@ -12,10 +12,14 @@
 
 @attrs.frozen(slots=True)
 class OnceEntry:
-    """A claim: its holder, and its outcome once that is known.
-
-    :param data: the answer's body in base64.
-    :param whole: whether the body of the outcome is kept.
+    """A claim with its holder, and its outcome once known.
+
+    :param body: digest of the request's body.
+    :param holder: lane of the instance that made the claim.
+    :param nonce: number of the claim at its holder.
+    :param status: status of the answer; 0 until the outcome is known.
+    :param data: body of the answer in base64.
+    :param whole: whether the body of the answer is kept.
     """
 
     team: str
@@ -36,25 +40,25 @@
 class OnceState(StreamState):
     """Claims by the digest of team and Idempotency-Key.
 
-    Load: each keyed charge or declaration leaves an entry here, at every
-    instance.  Harm prevented: a node has 64 MB, and a state that grows until
-    the process is killed loses more than an old key.  Both bounds depend on
-    the records alone, so every reader drops the same.
+    Every keyed charge or declaration leaves an entry at every instance.  A node has
+    64 MB, and a process that is killed for its memory loses more than an old key,
+    so the state is bounded.  Both bounds depend on the records alone, so every
+    reader deletes the same entries.
     """
 
-    #: A key is known for this many claims.  Whoever repeats a request later
-    #: than that runs it again, so the operators' page says how long it is.
+    #: A key is kept for this many claims.  A request that is repeated later runs
+    #: again, so the operators' page shows how long keys are kept.
     MAX_ENTRIES = 10_000
-    #: Characters of bodies that are kept, in base64.  The oldest bodies go
-    #: first; their keys and statuses stay, and still keep a repeat from
-    #: running.
+    #: Maximum total size of the stored bodies, in base64 characters.  The oldest
+    #: bodies are deleted first; their keys and statuses stay and still prevent a
+    #: repeated run.
     MAX_DATA = 4 << 20
 
     def __init__(self) -> None:
         super().__init__()
         self.entries: dict[str, OnceEntry] = {}
-        self._data: dict[str, int] = {}
-        self._total = 0
+        self._body_sizes: dict[str, int] = {}
+        self._total_size = 0
 
     def apply_body(self, offset: int, lane: str, body: Any) -> Verdict:
         """Apply a claim, an outcome or a release."""
@@ -73,7 +77,7 @@
             sys.intern(claim.team), claim.body, sys.intern(claim.holder), claim.nonce
         )
         if len(self.entries) > self.MAX_ENTRIES:
-            self._drop(next(iter(self.entries)))
+            self._delete(next(iter(self.entries)))
         return Verdict.APPLIED
 
     def _apply_done(self, done: OnceDone) -> Verdict:
@@ -89,16 +93,16 @@
             data=done.data,
             whole=done.whole,
         )
-        self._count_data(done.key, len(done.data))
+        self._add_body(done.key, len(done.data))
         return Verdict.APPLIED
 
-    def _count_data(self, key: str, size: int) -> None:
+    def _add_body(self, key: str, size: int) -> None:
         if size:
-            self._data[key] = size
-            self._total += size
-        while self._total > self.MAX_DATA:
-            oldest = next(iter(self._data))
-            self._total -= self._data.pop(oldest)
+            self._body_sizes[key] = size
+            self._total_size += size
+        while self._total_size > self.MAX_DATA:
+            oldest = next(iter(self._body_sizes))
+            self._total_size -= self._body_sizes.pop(oldest)
             self.entries[oldest] = attrs.evolve(
                 self.entries[oldest], data="", whole=False
             )
@@ -109,12 +113,12 @@
             return Verdict.CONFLICT
         if (release.holder, release.nonce) != (entry.holder, entry.nonce):
             return Verdict.CONFLICT
-        self._drop(release.key)
+        self._delete(release.key)
         return Verdict.APPLIED
 
-    def _drop(self, key: str) -> None:
+    def _delete(self, key: str) -> None:
         del self.entries[key]
-        self._total -= self._data.pop(key, 0)
+        self._total_size -= self._body_sizes.pop(key, 0)
 
     def has_applied(self, lane: str, body: Any) -> bool:
         """Return whether a claim is held, or an outcome is stored."""
@@ -132,16 +136,16 @@
         """Return the state as plain data."""
         return {
             "entries": [[key, *attrs.astuple(e)] for key, e in self.entries.items()],
-            "data": list(self._data),
+            "data": list(self._body_sizes),
         }
 
     def load(self, data: Any) -> None:
-        """Replace the state by dumped plain data, all of it or nothing."""
+        """Replace the state by dumped plain data, or leave it unchanged on errors."""
         rows = msgspec.convert(
             data["entries"],
             list[tuple[str, str, str, str, int, int, str, str, bool]],
         )
         entries = {row[0]: OnceEntry(*row[1:]) for row in rows}
         sizes = {key: len(entries[key].data) for key in data["data"]}
-        self.entries, self._data = entries, sizes
-        self._total = sum(sizes.values())
+        self.entries, self._body_sizes = entries, sizes
+        self._total_size = sum(sizes.values())
--- a/src/firhook/state/_snapshots.py
+++ b/src/firhook/state/_snapshots.py
@@ -1,19 +1,19 @@
-"""Snapshots in chunks: split, found complete again, and used for a rebuild."""
+"""Snapshots in chunks: splitting, reassembly and the search for a rebuild."""
 
 import attrs
 
 from firhook.model import SnapshotChunk
 
-#: Characters of a state's text in one chunk, well under what a log takes.
+#: Characters of a state's text per chunk, well below the log's record limit.
 CHUNK_CHARS = 60_000
-#: Sets that may be partly there at once; more are left behind by instances
-#: that died in the middle, and the oldest go.
-MAX_OPEN_SETS = 4
+#: Maximum number of incomplete sets.  Instances that die while they write leave
+#: incomplete sets behind, and the oldest are dropped.
+MAX_INCOMPLETE_SETS = 4
 
 
 @attrs.frozen(slots=True)
 class Snapshot:
-    """The whole text of a state as of an offset."""
+    """The full text of a state as of an offset."""
 
     upto: int
     parts: int
@@ -21,7 +21,7 @@
 
 
 def split_snapshot(upto: int, text: str) -> tuple[SnapshotChunk, ...]:
-    """Return a state's text as chunks for the log."""
+    """Split a state's text into chunks for the log."""
     pieces = [text[i : i + CHUNK_CHARS] for i in range(0, len(text), CHUNK_CHARS)]
     return tuple(
         SnapshotChunk(upto, part, len(pieces), piece)
@@ -30,53 +30,54 @@
 
 
 class ChunkAssembler:
-    """Finds the sets of chunks that are complete.
+    """Assembles complete sets of chunks.
 
-    A set is complete only if every part of the same sender and the same
-    offset is there.  Parts of two senders are never put together, since the
-    order within a map may differ between them.
+    A set is complete only if every part of the same sender and offset is present.
+    Parts of different senders are never combined, since the order within a map may
+    differ between them.
 
-    :param keep: whether to keep the text; a follower that is up to date only
-        wants to know that a set is complete.
+    :param keep: whether to keep the text; a follower that is up to date only needs
+        to know that a set is complete.
     """
 
     def __init__(self, keep: bool) -> None:
         self._keep = keep
-        self._open: dict[tuple[str, int, int], dict[int, str]] = {}
+        self._incomplete: dict[tuple[str, int, int], dict[int, str]] = {}
 
     def add(self, lane: str, chunk: SnapshotChunk) -> Snapshot | None:
-        """Take in a chunk, and return the snapshot that it completes."""
+        """Add a chunk and return the snapshot that it completes, if any."""
         if not 0 <= chunk.part < chunk.parts or chunk.upto < 0:
             return None
         key = (lane, chunk.upto, chunk.parts)
-        found = self._open.setdefault(key, {})
+        found = self._incomplete.setdefault(key, {})
         found[chunk.part] = chunk.data if self._keep else ""
         if len(found) == chunk.parts:
-            del self._open[key]
+            del self._incomplete[key]
             text = "".join(found[part] for part in range(chunk.parts))
             return Snapshot(chunk.upto, chunk.parts, text)
-        if len(self._open) > MAX_OPEN_SETS:
-            del self._open[next(iter(self._open))]
+        if len(self._incomplete) > MAX_INCOMPLETE_SETS:
+            del self._incomplete[next(iter(self._incomplete))]
         return None
 
 
 class SnapshotFinder:
-    """Looks through what the log kept for a snapshot to start from.
+    """Searches the retained part of the log for a snapshot to start from.
 
-    The head of a trimmed log may hold the last parts of a set whose first
-    have expired, and whole sets whose following records have; neither is of
-    use.
+    The head of a trimmed log may hold the last parts of a set whose first parts
+    have expired, and complete sets whose following records have expired.  Neither
+    is usable.
 
-    :param first: the earliest offset that the log keeps.
+    :param first: earliest offset that the log retains.
+    :ivar next_offset: offset of the record to read next.
     """
 
     def __init__(self, first: int) -> None:
         self.next_offset = first
-        self._first = first
-        self._sets = ChunkAssembler(keep=True)
+        self._first_offset = first
+        self._assembler = ChunkAssembler(keep=True)
 
     def add(self, lane: str, chunk: SnapshotChunk) -> Snapshot | None:
-        """Take in a chunk, and return a snapshot that can be started from."""
-        snapshot = self._sets.add(lane, chunk)
-        usable = snapshot is not None and snapshot.upto >= self._first
+        """Add a chunk and return a usable snapshot if it completes one."""
+        snapshot = self._assembler.add(lane, chunk)
+        usable = snapshot is not None and snapshot.upto >= self._first_offset
         return snapshot if usable else None
--- a/src/firhook/state/_states.py
+++ b/src/firhook/state/_states.py
@@ -11,7 +11,7 @@
     """The states by stream.
 
     :param zones: all availability zones of the cell.
-    :param zone: this instance's own zone, the one it may come to lead.
+    :param zone: this instance's own zone, which it may lead.
     """
 
     def __init__(self, zones: tuple[str, ...], zone: str) -> None:
--- a/src/firhook/state/_zone.py
+++ b/src/firhook/state/_zone.py
@@ -1,4 +1,4 @@
-"""Attempts of tasks in one zone, as the log has them."""
+"""Attempts of tasks in one zone according to the log."""
 
 from collections.abc import Iterator, Sequence
 from typing import Any
@@ -24,10 +24,10 @@
 )
 from firhook.state._base import StreamState
 
-#: Explained steps kept for each job; the oldest go first.
+#: Maximum number of notes per job; the oldest are deleted first.
 MAX_NOTES = 20
-#: Jobs that have ended and whose steps are still told.  4,900 jobs a day over
-#: seven zones are 700 a day for each, so this is most of a day, in about 1 MB.
+#: Maximum number of ended jobs whose notes are kept.  4,900 jobs a day over seven
+#: zones are 700 a day per zone, so this covers most of a day, in about 1 MB.
 MAX_CLOSED = 500
 
 Ref = tuple[str, int, int]
@@ -38,12 +38,12 @@
     """The latest attempt of one task.
 
     :param attempt: number of the attempt, from 1.
-    :param worker: where it was placed.
+    :param worker: the worker that it is assigned to.
     :param outcome: empty while it may be running, else how it ended.
-    :param progress: checkpointed share of the work, 0 to 1.
-    :param failures: attempts that ended by the job's own failure.
-    :param epoch: of the lead that assigned the attempt.
-    :param preempted: attempts that gave way to urgent work.
+    :param progress: checkpointed fraction of the work, from 0 to 1.
+    :param failures: number of attempts that ended by the job's own failure.
+    :param epoch: epoch of the lead that assigned the attempt.
+    :param preempted: number of attempts that were preempted by urgent work.
     """
 
     attempt: int
@@ -62,13 +62,13 @@
 
 
 class ZoneState(StreamState):
-    """Attempts by job and task index, worker marks and explained steps.
+    """Attempts by job and task index, worker marks and notes on jobs.
 
     :ivar live: attempts that may be running, by worker; derived.
-    :ivar running: how many of these each team has; derived.
-    :ivar live_tasks: how many of these each job has; derived.
-    :ivar touched: workers whose attempts changed, for a reader to clear.
-    :ivar closed: jobs whose attempts were dropped, oldest first.
+    :ivar running: number of these per team; derived.
+    :ivar live_tasks: number of these per job; derived.
+    :ivar changed_workers: workers whose attempts changed; the reader clears it.
+    :ivar closed: jobs whose attempts were deleted, oldest first.
     """
 
     def __init__(self, zone: str) -> None:
@@ -88,8 +88,8 @@
         """Apply assignments, endings, marks or notes."""
         if isinstance(body, (ZoneFenced, Assigned, Ended, JobsClosed, TasksCarried)):
             if body.epoch < self.epoch:
-                # A lead that lost its epoch while it was paused may still have
-                # had an append on its way; its successor's view stands.
+                # An append of a lead that was superseded while it was paused may
+                # land late; the state of its successor takes precedence.
                 return Verdict.CONFLICT
             self.epoch = body.epoch
         if isinstance(body, ZoneFenced):
@@ -105,10 +105,10 @@
         if isinstance(body, WorkerMarked):
             return self._apply_mark(body)
         if isinstance(body, JobNoted):
-            self._note(body.job_id, body.note)
+            self._add_note(body.job_id, body.note)
             return Verdict.APPLIED
         if isinstance(body, JobsNoted):
-            self._note_all(body.notes)
+            self._add_notes(body.notes)
             return Verdict.APPLIED
         return Verdict.IGNORED
 
@@ -123,45 +123,45 @@
         task = self.tasks.get(ref[0], {}).get(ref[1])
         return task is not None and task.attempt == ref[2] and task.live
 
-    def _set(self, job_id: str, index: int, task: TaskState) -> None:
-        """Put a task's state in place and keep the derived indexes in step."""
+    def _store_task(self, job_id: str, index: int, task: TaskState) -> None:
+        """Store a task's state and update the derived indexes."""
         tasks = self.tasks.setdefault(job_id, {})
-        self._unlist(job_id, index, tasks.get(index))
+        self._remove_live(job_id, index, tasks.get(index))
         tasks[index] = task
         if task.live:
             ref = (job_id, index, task.attempt)
             self.live.setdefault(task.worker, {})[ref] = task
-            self._count(job_id, 1)
+            self._add_to_counts(job_id, 1)
             self.changed_workers.add(task.worker)
 
-    def _unlist(self, job_id: str, index: int, task: TaskState | None) -> None:
+    def _remove_live(self, job_id: str, index: int, task: TaskState | None) -> None:
         if task is None or not task.live:
             return
         refs = self.live[task.worker]
         del refs[(job_id, index, task.attempt)]
         if not refs:
             del self.live[task.worker]
-        self._count(job_id, -1)
+        self._add_to_counts(job_id, -1)
         self.changed_workers.add(task.worker)
 
-    def _count(self, job_id: str, amount: int) -> None:
+    def _add_to_counts(self, job_id: str, amount: int) -> None:
         team = job_id.partition("/")[0]
         for counts, key in ((self.running, team), (self.live_tasks, job_id)):
             counts[key] = counts.get(key, 0) + amount
             if not counts[key]:
                 del counts[key]
 
-    def _note(self, job_id: str, text: str) -> None:
+    def _add_note(self, job_id: str, text: str) -> None:
         notes = self.notes.setdefault(job_id, [])
         notes.append(text)
         del notes[:-MAX_NOTES]
 
-    def _note_all(self, notes: Sequence[JobNote]) -> None:
+    def _add_notes(self, notes: Sequence[JobNote]) -> None:
         for note in notes:
-            self._note(note.job_id, note.text)
+            self._add_note(note.job_id, note.text)
 
     def _apply_assigned(self, batch: Assigned) -> Verdict:
-        taken = []
+        applied_items = []
         for item in batch.items:
             last = self.tasks.get(item.job_id, {}).get(item.index)
             expected = last.attempt + 1 if last else 1
@@ -176,15 +176,15 @@
                 epoch=batch.epoch,
                 preempted=last.preempted if last else 0,
             )
-            self._set(item.job_id, item.index, task)
-            taken.append(item)
-        for job_id, text in _assigned_notes(taken):
-            self._note(job_id, text)
-        self._note_all(batch.notes)
-        return Verdict.APPLIED if taken else Verdict.CONFLICT
+            self._store_task(item.job_id, item.index, task)
+            applied_items.append(item)
+        for job_id, text in _assigned_notes(applied_items):
+            self._add_note(job_id, text)
+        self._add_notes(batch.notes)
+        return Verdict.APPLIED if applied_items else Verdict.CONFLICT
 
     def _apply_ended(self, batch: Ended) -> Verdict:
-        taken = []
+        applied_items = []
         for item in batch.items:
             if not self.is_live((item.job_id, item.index, item.attempt)):
                 continue
@@ -197,17 +197,17 @@
                 failures=last.failures + (item.outcome == "failed"),
                 preempted=last.preempted + (item.outcome == "preempted"),
             )
-            self._set(item.job_id, item.index, task)
-            taken.append((item, task.worker))
-        for job_id, text in _ended_notes(taken):
-            self._note(job_id, text)
-        return Verdict.APPLIED if taken else Verdict.CONFLICT
+            self._store_task(item.job_id, item.index, task)
+            applied_items.append((item, task.worker))
+        for job_id, text in _ended_notes(applied_items):
+            self._add_note(job_id, text)
+        return Verdict.APPLIED if applied_items else Verdict.CONFLICT
 
     def _apply_carried(self, batch: TasksCarried) -> Verdict:
-        """Take over the attempts of a lost zone, all of them ended.
+        """Adopt the attempts of a lost zone, all of them ended.
 
-        A job can come back to a zone that had it before; what that zone still
-        remembers is older then, and gives way unless it may be running.
+        A job can return to a zone that had it before.  Attempts that the zone still
+        stores are older and are replaced unless they may be running.
         """
         jobs: dict[str, int] = {}
         for item in batch.items:
@@ -215,10 +215,10 @@
             if last is not None and (last.live or last.attempt >= item.attempt):
                 continue
             self.closed.pop(item.job_id, None)
-            self._set(item.job_id, item.index, _carried(item))
+            self._store_task(item.job_id, item.index, _adopted_task(item))
             jobs[item.job_id] = jobs.get(item.job_id, 0) + 1
         for job_id, count in jobs.items():
-            self._note(job_id, f"{count} tasks taken over from zone {batch.giver}")
+            self._add_note(job_id, f"{count} tasks taken over from zone {batch.giver}")
         return Verdict.APPLIED if jobs else Verdict.CONFLICT
 
     def _apply_closed(self, batch: JobsClosed) -> Verdict:
@@ -260,7 +260,7 @@
         )
 
     def load(self, data: Any) -> None:
-        """Replace the state by dumped plain data, all of it or nothing."""
+        """Replace the state by dumped plain data, or leave it unchanged on errors."""
         loaded = msgspec.convert(
             data["tasks"], dict[str, dict[int, TaskState]], strict=False
         )
@@ -274,10 +274,10 @@
         self.tasks, self.live, self.running, self.live_tasks = {}, {}, {}, {}
         for job_id, tasks in loaded.items():
             for index, task in tasks.items():
-                self._set(job_id, index, task)
+                self._store_task(job_id, index, task)
 
 
-def _carried(item: CarriedTask) -> TaskState:
+def _adopted_task(item: CarriedTask) -> TaskState:
     return TaskState(
         item.attempt,
         "",
@@ -288,8 +288,8 @@
     )
 
 
-def _names(indexes: Sequence[int]) -> str:
-    """Return task numbers in words, folded where they are many."""
+def _describe_tasks(indexes: Sequence[int]) -> str:
+    """Describe task numbers in words, as a range if there are many."""
     if len(indexes) == 1:
         return f"task {indexes[0]}"
     if len(indexes) <= 4:
@@ -298,7 +298,7 @@
 
 
 def _assigned_notes(items: Sequence[Assignment]) -> list[tuple[str, str]]:
-    """Return one step for each job, attempt and worker of a batch, folded."""
+    """Return one combined note per job and attempt of a batch."""
     groups: dict[tuple[str, int], list[Assignment]] = {}
     for item in items:
         groups.setdefault((item.job_id, item.attempt), []).append(item)
@@ -308,13 +308,13 @@
         where = ", ".join(workers[:4])
         if len(workers) > 4:
             where += f" and {len(workers) - 4} more"
-        names = _names([item.index for item in group])
+        names = _describe_tasks([item.index for item in group])
         notes.append((job_id, f"{names}: attempt {attempt} placed on {where}"))
     return notes
 
 
 def _ended_notes(items: Sequence[tuple[Ending, str]]) -> list[tuple[str, str]]:
-    """Return one step for each job, outcome and reason of a batch, folded."""
+    """Return one combined note per job, outcome and reason of a batch."""
     groups: dict[tuple[str, str, str], list[tuple[Ending, str]]] = {}
     for item, worker in items:
         groups.setdefault((item.job_id, item.outcome, item.reason), []).append(
@@ -322,7 +322,7 @@
         )
     notes = []
     for (job_id, outcome, reason), group in groups.items():
-        names = _names([item.index for item, _ in group])
+        names = _describe_tasks([item.index for item, _ in group])
         where = f" on {group[0][1]}" if len({w for _, w in group}) == 1 else ""
         why = f": {reason}" if reason else ""
         notes.append((job_id, f"{names}: {outcome}{where}{why}"))
--- a/tests/state/test_snapshot_equivalence.py
+++ b/tests/state/test_snapshot_equivalence.py
@@ -134,7 +134,7 @@
     with (
         mock.patch.multiple(OnceState, **bounds),
         mock.patch.multiple(ConfigState, **few),
-        mock.patch.multiple(_cell, MAX_ENDED=ended, MAX_KNOWN=2),
+        mock.patch.multiple(_cell, MAX_ENDED=ended, MAX_PRUNED=2),
     ):
         full, late = make(), make()
         for offset, drawn in enumerate(records):
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -22,7 +22,7 @@
     ZoneFenced,
 )
 from firhook.state import CellState, ZoneState
-from firhook.state._cell import MAX_ENDED, MAX_KNOWN
+from firhook.state._cell import MAX_ENDED, MAX_PRUNED
 from firhook.state._zone import MAX_CLOSED, MAX_NOTES
 
 JOBS = ["t/a", "t/b", "u/c"]
@@ -152,7 +152,7 @@
     ]
     assert apply_all(state, again, "m") == [Verdict.REPEATED, Verdict.CONFLICT]
     assert "t/j0" not in state.jobs
-    assert len(state.pruned_jobs) <= MAX_KNOWN
+    assert len(state.pruned_jobs) <= MAX_PRUNED
 
 
 def test_a_deposed_lead_cannot_end_jobs():
