--- a/bench/placing.py
+++ b/bench/placing.py
@@ -50,7 +50,7 @@
             job = _mixed_job(rng, i, f"t{i % 120}")
             sim.submit(job.job_id, job.team, cpus=job.cpus, memory_mb=job.memory_mb)
             begun = time.perf_counter()
-            items, _ = sim.scheduler.plan(sim.term, sim.left(), 0.0, 0.0)
+            items, _ = sim.scheduler.plan(sim.term, sim.headroom_by_team(), 0.0, 0.0)
             times.append(time.perf_counter() - begun)
             assert len(items) == 1
             sim.round()
--- a/src/firhook/decide/_orders.py
+++ b/src/firhook/decide/_orders.py
@@ -326,8 +326,8 @@
     def endings(self, now: float) -> tuple[Ending, ...]:
         """Return the attempts that have ended and whose end is not in the log yet.
 
-        A decision is final until it is in the log.  The attempt gets no orders in
-        the meantime; otherwise a worker that becomes reachable again could start
+        A decision stands until it is in the log.  The attempt gets no orders in the
+        meantime; otherwise a worker that becomes reachable again could start
         an attempt that the log is about to record as ended.
         """
         for ref in [r for r in self._endings if not self._zone.is_live(r)]:
--- a/src/firhook/decide/_rounds.py
+++ b/src/firhook/decide/_rounds.py
@@ -370,9 +370,9 @@
             rest = tuple(
                 i for i in request.indexes if (request.job.key, i) not in placed
             )
-            capacity = max(left.get(request.job.team, 0), 0)
-            if rest and (not request.job.gang or capacity >= len(rest)):
-                urgent.append(attrs.evolve(request, indexes=rest[:capacity]))
+            headroom = max(left.get(request.job.team, 0), 0)
+            if rest and (not request.job.gang or headroom >= len(rest)):
+                urgent.append(attrs.evolve(request, indexes=rest[:headroom]))
         if not urgent:
             return
         capacities = self._capacities.copy()
--- a/src/firhook/state/_once.py
+++ b/src/firhook/state/_once.py
@@ -14,7 +14,7 @@
 class OnceEntry:
     """A claim with its holder, and its outcome once known.
 
-    :param body: digest of the request's body.
+    :param body: digest of the request's method, path and body.
     :param holder: lane of the instance that made the claim.
     :param nonce: number of the claim at its holder.
     :param status: status of the answer; 0 until the outcome is known.
--- a/tests/decide/cell_world.py
+++ b/tests/decide/cell_world.py
@@ -1,7 +1,6 @@
-"""A small world for a zone's leads: a log, workers and clocks that misbehave.
+"""Simulation of a zone's leads with a faulty log, workers and clocks.
 
-Only the log, the workers and the passing of time are fakes; the states and
-the decisions are the real ones.
+The log, the workers and time are fakes; the states and decisions are real.
 """
 
 import attrs
@@ -39,7 +38,7 @@
 
 @attrs.define
 class FakeTask:
-    """A run of an attempt at a worker."""
+    """A run of an attempt on a worker."""
 
     state: str
     lease_until: float
@@ -49,7 +48,7 @@
 
 
 class FakeWorker:
-    """A worker that keeps to the contract of :class:`WorkerClient`."""
+    """A worker that follows the contract of :class:`WorkerClient`."""
 
     def __init__(self, name, rate):
         self.name = name
@@ -93,7 +92,7 @@
         )
 
     def sync(self, order: Order, now):
-        """Carry out an order, or return ``None`` if it is refused."""
+        """Execute an order and return the report, or ``None`` if it is refused."""
         self.tick(now)
         clock = self.clock(now)
         if order.boot != self.boot or order.epoch < self.epoch:
@@ -130,7 +129,7 @@
 
 
 class Lead:
-    """One run of an instance that claims and uses the zone's lead."""
+    """One incarnation of an instance that claims and uses the zone's lead."""
 
     def __init__(self, world, lane, rate):
         self.world = world
@@ -155,7 +154,7 @@
         return 1000.0 + self.world.now * self.rate
 
     def append(self, stream, body):
-        """Put a record on its way to the log; return its place in the lane."""
+        """Send a record to the log under the next sequence number of the lane."""
         self.seq += 1
         self.waiting[stream] = self.seq
         if stream == "cell":
@@ -191,7 +190,7 @@
             before = float("-inf") if epoch == 1 else self.now()
             self.term = LeadTerm(epoch, self.zone, self.cell, TIMING, before)
 
-    def standing(self):
+    def lease_status(self):
         now = self.now()
         held = self.held.is_held(now)
         return LeaseStatus(held, self.held.expires_at - now, self.hold.expires_at - now)
@@ -217,7 +216,7 @@
             self.term.settled = False
 
     def decide(self):
-        """Append what the log must hold next: fence, ends or assignments."""
+        """Append the next records: the fence, ends or assignments."""
         if self.term is None or not self.held.is_held(self.now()):
             return
         if STREAM in self.waiting:
@@ -271,13 +270,13 @@
 
 
 class World:
-    """Log, workers, instances and true time."""
+    """The log, the workers, the instances and the true time."""
 
     def __init__(self, worker_rates=(1.0, 1.005), lead_rates=(1.0, 0.995)):
         self.now = 0.0
         self.logs = {"cell": [], STREAM: []}
         self.appends = []
-        self.mail = []
+        self.delayed_orders = []
         self.truth = {"cell": CellState((ZONE,)), STREAM: ZoneState(ZONE)}
         self.workers = {
             f"w{i}": FakeWorker(f"w{i}", rate) for i, rate in enumerate(worker_rates)
@@ -297,7 +296,7 @@
         ]
 
     def land(self, index):
-        """Let an append reach the log, where every record has its place."""
+        """Let an append reach the log."""
         stream, envelope = self.appends.pop(index)
         self.logs[stream].append(envelope)
         state = self.truth[stream]
@@ -318,15 +317,15 @@
         self.land(-1)
 
     def deliver(self, lead, name, order, answered=True):
-        """Hand an order to a worker and, unless it is lost, the answer back."""
+        """Deliver an order to a worker and its answer to the lead, unless lost."""
         report = self.workers[name].sync(order, self.now)
         if report is None or not answered:
             lead.term.note_unreachable(name)
         else:
             lead.term.note_report(name, report, lead.now())
 
-    def talk(self, lead, name, fault):
-        """Have a lead look at a worker or give it an order."""
+    def exchange(self, lead, name, fault):
+        """Have a lead poll a worker or send it an order."""
         term = lead.term
         if term is None or name not in term.workers:
             return
@@ -336,18 +335,18 @@
                 report = self.workers[name].report(self.now)
                 term.note_report(name, report, lead.now())
             return
-        order = term.next_order(name, lead.standing(), lead.now())
+        order = term.next_order(name, lead.lease_status(), lead.now())
         if order is None:
             return
         if fault in ("late", "twice"):
-            self.mail.append((name, order))
+            self.delayed_orders.append((name, order))
         if fault in ("late", "cut"):
             term.note_unreachable(name)
         else:
             self.deliver(lead, name, order, answered=fault != "unanswered")
 
     def check(self):
-        """Check what must always hold, by what truly runs and truly is logged."""
+        """Check the invariants against the true runs and the true log."""
         zone = self.truth[STREAM]
         running = {}
         for worker in self.workers.values():
--- a/tests/decide/test_adopt.py
+++ b/tests/decide/test_adopt.py
@@ -1,4 +1,4 @@
-"""Lost zones: when their jobs are adopted, by whom, and with what."""
+"""Adoption of a lost zone's jobs: when, by which zone, and which attempts."""
 
 import asyncio
 
@@ -28,46 +28,45 @@
 TIMING = Timing(lease_s=15.0, hold_s=45.0, margin_s=1.0, sync_s=2.0)
 
 
-def watch(sight, until, heard_until, start=0, blind=()):
+def simulate(activity, until, last_record, start=0, outages=()):
     for now in range(start, until):
-        out = any(a <= now < b for a, b in blind)
-        sight.record_log_age(MAX_LOG_AGE_S + 1 if out else 0.5, float(now))
-        if now <= heard_until and not out:
-            sight.record_lead("lekki", float(now))
+        unreachable = any(a <= now < b for a, b in outages)
+        activity.record_log_age(MAX_LOG_AGE_S + 1 if unreachable else 0.5, float(now))
+        if now <= last_record and not unreachable:
+            activity.record_lead("lekki", float(now))
 
 
 def test_a_zone_is_lost_only_after_hold_and_lease_without_a_renewal():
-    """A zone is cut off from the log while its lead goes on renewing tasks.
+    """A partitioned lead keeps renewing its tasks.
 
-    Were its jobs adopted before that lead's hold and its tasks' last lease
-    are over, a plan would run in two zones at once.
+    If the zone's jobs were adopted before the lead's hold and the tasks' leases have
+    expired, a job would run in two zones at once.
     """
-    sight = LeadActivity()
-    watch(sight, 200, heard_until=10)
+    activity = LeadActivity()
+    simulate(activity, 200, last_record=10)
     end = 10 + latest_end(0.0, TIMING.hold_s + TIMING.lease_s) + TIMING.margin_s
-    assert not sight.is_lost("lekki", TIMING, end)
-    assert sight.is_lost("lekki", TIMING, end + 0.01)
+    assert not activity.is_lost("lekki", TIMING, end)
+    assert activity.is_lost("lekki", TIMING, end + 0.01)
 
 
 def test_after_an_outage_of_the_log_zones_get_time_to_renew():
-    """The log is out for everybody for ten minutes, then back.
+    """After a ten-minute outage of the log every zone looks inactive.
 
-    All zones were silent for ten minutes.  Adopting them at once would move
-    every job of the cell for nothing.
+    Adopting the zones at once would move every job of the cell needlessly.
     """
-    sight = LeadActivity()
-    watch(sight, 700, heard_until=50, blind=((50, 650),))
-    assert not sight.is_lost("lekki", TIMING, 700.0)
+    activity = LeadActivity()
+    simulate(activity, 700, last_record=50, outages=((50, 650),))
+    assert not activity.is_lost("lekki", TIMING, 700.0)
 
 
-def test_a_stalled_instance_starts_counting_anew():
-    sight = LeadActivity()
-    watch(sight, 200, heard_until=10)
-    sight.reset()
-    assert not sight.is_lost("lekki", TIMING, 200.0)
+def test_count_restarts_after_a_stall():
+    activity = LeadActivity()
+    simulate(activity, 200, last_record=10)
+    activity.reset()
+    assert not activity.is_lost("lekki", TIMING, 200.0)
 
 
-def test_lost_zones_fall_to_the_next_that_is_alive():
+def test_next_live_zone_adopts_the_jobs():
     zones = ("apapa", "ikeja", "lekki", "yaba")
     alive = {"apapa": True, "yaba": True}
     assert choose_adopter(zones, "lekki", alive) == "yaba"
@@ -104,10 +103,10 @@
         return LogPage(tuple(entries[:2]), len(self.envelopes))
 
 
-def test_adopted_tasks_go_on_from_their_checkpoint_with_the_next_attempt():
-    """A zone goes in the night with a plan six tenths done.
+def test_adopted_tasks_resume_from_their_checkpoint_with_the_next_attempt():
+    """A zone is lost with a task that is 60 % done.
 
-    At dawn the crew finds it finished elsewhere, not begun anew.
+    The adopting zone must resume the task from its checkpoint.
     """
     envelopes = [Envelope("i", n, b) for n, b in enumerate(giver_records(), 1)]
     giver = asyncio.run(read_zone(FakeLog(envelopes), "lekki"))
--- a/tests/decide/test_lead.py
+++ b/tests/decide/test_lead.py
@@ -1,4 +1,4 @@
-"""When to claim a lead, and when a lead may lend without the log."""
+"""When a lead may be claimed, and when it may lend without the log."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,16 +17,16 @@
 MOMENT = st.floats(0, 100)
 
 
-@given(sent=MOMENT, delay=st.floats(0, 50), late=st.floats(0, 50), now=MOMENT)
-def test_holder_stops_before_others_see_its_lease_lapse(sent, delay, late, now):
-    """A renewal is slow on its way, and is read late.
+@given(sent=MOMENT, delay=st.floats(0, 50), read_delay=st.floats(0, 50), now=MOMENT)
+def test_holder_stops_before_others_see_its_lease_expire(sent, delay, read_delay, now):
+    """A renewal arrives slowly and is read late.
 
-    The holder counts from before it sent, the others from when they read; were
-    it otherwise, both could lead the zone at the same moment.
+    The holder counts from before the send and the others from the read; otherwise
+    two instances could lead the zone at the same time.
     """
     held, seen = HeldLease(), ObservedLease()
     held.renew(sent, TIMES.lease_s)
-    seen.read_at = sent + delay + late
+    seen.read_at = sent + delay + read_delay
     if seen.has_expired(now, TIMES.lease_s, TIMES.margin_s):
         assert not held.is_held(now)
 
@@ -38,17 +38,17 @@
     assert not held.is_held(16.0)
 
 
-def test_claim_waits_for_lapse_sight_and_promise():
+def test_claim_requires_expired_lease_recent_log_and_expired_promise():
     fresh = LeadObservation(
         released=False, lease_expired=True, log_age_s=0.1, promised_at=0.0
     )
     after = 0.0 + TIMES.ttl_s * (1 + MAX_CLOCK_DRIFT) + 0.01
     assert may_claim(fresh, TIMES, after, 6.0)
     assert not may_claim(fresh, TIMES, after - 0.02, 6.0)
-    blind = LeadObservation(
+    stale = LeadObservation(
         released=True, lease_expired=True, log_age_s=7.0, promised_at=0.0
     )
-    assert not may_claim(blind, TIMES, after, 6.0)
+    assert not may_claim(stale, TIMES, after, 6.0)
     live = LeadObservation(
         released=False, lease_expired=False, log_age_s=0.1, promised_at=0.0
     )
@@ -56,10 +56,10 @@
 
 
 def test_released_lead_is_taken_at_once():
-    sight = LeadObservation(
+    observation = LeadObservation(
         released=True, lease_expired=False, log_age_s=0.1, promised_at=99.9
     )
-    assert may_claim(sight, TIMES, 100.0, 6.0)
+    assert may_claim(observation, TIMES, 100.0, 6.0)
 
 
 def test_lead_without_the_log_lends_only_while_all_others_promise():
@@ -70,7 +70,7 @@
     assert not may_lend(10.0, 900.0, [float("-inf")], now=11.0)
 
 
-def silent(**changed):
+def end_of_holdings(**changed):
     seen = {
         "released": False,
         "roster": frozenset("ab"),
@@ -81,15 +81,15 @@
     return holdings_end_at(PreviousLead(**{**seen, **changed}), TIMES, 60.0)
 
 
-def test_silent_holders_are_waited_for_as_long_as_the_old_lead_may_lend():
-    """A newcomer takes over a zone whose instances were all lost at once.
+def test_unreachable_holders_count_as_long_as_the_old_lead_may_lend():
+    """A new instance takes over a zone whose instances were all lost at once.
 
-    Nobody can say whether the old lead still lends; that is sure only after
-    the longest that a lead lends without the log.
+    The old lead may still be lending; only the limit on lending without the log
+    bounds how long.
     """
-    lapse_s = TIMES.ttl_s + TIMES.linger_s
-    assert silent() == 60.0 + lapse_s
-    assert silent(new_lead="c", released=True) == 60.0 + lapse_s
-    answered = silent(new_lead="c", answered=frozenset("b"))
-    assert 60.0 + lapse_s < answered < 60.0 + lapse_s + 2 * TIMES.ttl_s
-    assert silent(new_lead="c") >= 50.0 + TIMES.outage_s + lapse_s
+    expiry_s = TIMES.ttl_s + TIMES.linger_s
+    assert end_of_holdings() == 60.0 + expiry_s
+    assert end_of_holdings(new_lead="c", released=True) == 60.0 + expiry_s
+    answered = end_of_holdings(new_lead="c", answered=frozenset("b"))
+    assert 60.0 + expiry_s < answered < 60.0 + expiry_s + 2 * TIMES.ttl_s
+    assert end_of_holdings(new_lead="c") >= 50.0 + TIMES.outage_s + expiry_s
--- a/tests/decide/test_limits.py
+++ b/tests/decide/test_limits.py
@@ -14,9 +14,9 @@
 
 
 def draw_moves(data, zones, limits, most=12):
-    """Return the spans after each of some transfers, the empty start first.
+    """Return the spans after each drawn transfer, starting without spans.
 
-    Returns pairs of spans and the giver of the transfer that led to them.
+    :returns: pairs of the spans and the giver of the transfer that led to them.
     """
     history = [((), "")]
     for _ in range(data.draw(st.integers(0, most))):
@@ -49,18 +49,17 @@
 def test_zones_that_read_different_records_stay_within_the_largest_limit(
     limits, count, data
 ):
-    """Limits and transfers are on two streams, and a cut zone reads neither.
+    """Limits and transfers are on two streams, which zones read independently.
 
-    One zone knows of a new limit that another has not read, while a third has
-    read of a transfer that the second has not.  Were their parts to add up to
-    more than the largest limit that any of them goes by, a team would run more
-    than its plan permits, and stay there as long as the zone is cut off.
+    A partitioned zone may not know a new limit or a transfer that others have read.
+    If the parts could add up to more than the largest limit in use, a team would
+    exceed its limit for as long as the zone is partitioned.
     """
     zones = list("abcd"[:count])
     history = draw_moves(data, zones, limits)
     total = 0
     for zone in zones:
-        # A giver counts its own transfers as gone from when it sends them.
+        # A giver counts its own transfers from when it sends them.
         own = [i for i, (_, giver) in enumerate(history) if giver == zone]
         read = data.draw(st.integers(max(own, default=0), len(history) - 1))
         limit = data.draw(st.sampled_from(limits))
@@ -99,7 +98,7 @@
     assert len(moved) <= 100
 
 
-def test_account_counts_what_runs_when_its_room_shrinks():
+def test_running_requests_count_after_the_capacity_shrinks():
     account = Account()
     account.capacity["t"] = 2
     assert account.acquire("t", 2)
@@ -108,12 +107,11 @@
     assert not account.acquire("t")
 
 
-def test_room_that_lapsed_during_a_pause_is_not_taken():
-    """A process is stopped for a while and goes on.
+def test_capacity_that_expired_during_a_pause_is_not_used():
+    """A paused process resumes with a coroutine that dispatches a request.
 
-    Whichever of its coroutines runs first may be the one that dispatches a
-    request, before any task has noticed the pause.  The room has been lent to
-    a peer meanwhile; the team would have more running than its limit.
+    No task has noticed the pause yet, and the capacity has been lent to a peer in the
+    meantime, so using it would exceed the team's limit.
     """
     now = 10.0
     account = Account(lambda: now)
--- a/tests/decide/test_orders_machine.py
+++ b/tests/decide/test_orders_machine.py
@@ -1,4 +1,4 @@
-"""Leads, workers and log under every mix of faults; see CellMachine."""
+"""State machine of leads, workers and log under combined faults."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -14,13 +14,13 @@
 
 
 class CellMachine(RuleBasedStateMachine):
-    """Two instances contend for a zone with two workers.
+    """Two instances compete for the lead of a zone with two workers.
 
-    Instances are killed, or paused past their lease with orders and appends
-    that arrive much later; workers restart and forget everything; answers are
-    lost after their effect; the log takes nothing for a while.  A user would
-    notice a blend plan that runs at two workers at once, a worker given more
-    than it has, or a task that still runs though it was declared over.
+    Instances are killed, or paused past their lease with orders and appends that
+    arrive much later; workers restart without their state; answers are lost after
+    their effect; the log accepts nothing for a while.  No task may run on two workers
+    at once, no worker may be overcommitted, and no task may run after its end was
+    recorded.
     """
 
     def __init__(self):
@@ -70,7 +70,7 @@
 
     @rule(who=WHO, lands=LANDS)
     def decide_blindly(self, who, lands):
-        """A lead that was paused goes on with what it knew before."""
+        """A paused lead resumes with its old state."""
         before = len(self.world.appends)
         self.world.leads[who].decide()
         if len(self.world.appends) > before:
@@ -96,17 +96,17 @@
 
     @rule(who=WHO, worker=WORKER, fault=FAULTS)
     def talk(self, who, worker, fault):
-        self.world.talk(self.world.leads[who], worker, fault)
+        self.world.exchange(self.world.leads[who], worker, fault)
 
     @rule(who=WHO, first=FAULTS, second=FAULTS, seconds=SECONDS)
     def lead_works(self, who, first, second, seconds):
-        """A whole round of a lead that is well but for its workers' answers."""
+        """A full round of a healthy lead, with faults only at its workers."""
         lead = self.world.leads[who]
         self.campaign(who, "yes")
         for _ in range(4):
             self.decide(who, "yes")
         for name, fault in zip(self.world.workers, (first, second), strict=True):
-            self.world.talk(lead, name, fault)
+            self.world.exchange(lead, name, fault)
         self.world.now += seconds
 
     @rule(who=WHO, first=FAULTS, second=FAULTS, seconds=SECONDS)
@@ -116,34 +116,38 @@
 
     @rule(who=WHO, fault=FAULTS)
     def other_takes_over(self, who, fault):
-        """The lead is silent past its lease; the other one claims."""
+        """The lead is inactive past its lease; the other instance claims."""
         self.world.now += 8.0
         self.lead_works(who, "ok", "ok", 0.2)
         self.lead_works(who, fault, fault, 0.2)
 
     @rule(who=WHO, fault=FAULTS)
     def paused_lead_wakes(self, who, fault):
-        """It orders and appends by what it knew, and reads only then."""
+        """It sends orders and appends from its old state before it reads."""
         lead = self.world.leads[who]
         for name in self.world.workers:
-            self.world.talk(lead, name, fault)
+            self.world.exchange(lead, name, fault)
         self.decide_blindly(who, "yes")
 
     @rule(worker=WORKER)
     def worker_answers_after_restart(self, worker):
-        """It restarts between two rounds, with orders still on their way."""
+        """It restarts between two rounds, with orders in transit."""
         self.worker_restarts(worker)
         for lead in self.world.leads:
-            self.world.talk(lead, worker, "cut")
-            self.world.talk(lead, worker, "ok")
+            self.world.exchange(lead, worker, "cut")
+            self.world.exchange(lead, worker, "ok")
 
     @rule(data=st.data(), keep=st.booleans())
     def order_arrives_late(self, data, keep):
-        mail = self.world.mail
-        if mail:
-            # The latest are drawn most, since old ones are refused anyway.
-            at = len(mail) - 1 - data.draw(st.integers(0, min(len(mail) - 1, 3)))
-            name, order = mail[at] if keep else mail.pop(at)
+        delayed_orders = self.world.delayed_orders
+        if delayed_orders:
+            # The latest are drawn most often, since old ones are refused anyway.
+            at = (
+                len(delayed_orders)
+                - 1
+                - data.draw(st.integers(0, min(len(delayed_orders) - 1, 3)))
+            )
+            name, order = delayed_orders[at] if keep else delayed_orders.pop(at)
             self.world.workers[name].sync(order, self.world.now)
 
     @rule(worker=WORKER)
--- a/tests/decide/test_parts.py
+++ b/tests/decide/test_parts.py
@@ -1,4 +1,4 @@
-"""The instances' parts of the runners' slots."""
+"""Division of the runners' slots among instances, and retries."""
 
 from collections import Counter
 
@@ -54,9 +54,10 @@
 
 
 def test_team_that_sent_little_here_keeps_an_equal_part_of_its_weight():
-    """A small installer's checks come in at every instance, at one of them next
-    to none lately.  Weighed by that, its next one there would be refused for
-    its long wait beside a large team, and so would all that follow.
+    """A small team's requests reach every instance, but recently hardly one of them.
+
+    If its weight there were almost 0, its next request would be refused for the long
+    wait beside a large team, and so would all that follow.
     """
     use = FleetUse({"i": {"s": 0.002, "l": 50.0}, "j": {"s": 8.0, "l": 50.0}})
     weights = local_weights("i", use, {"s": 1.0, "l": 4.0})
@@ -64,8 +65,9 @@
 
 
 def test_slot_that_moved_is_used_only_once_all_latest_parts_agree():
-    """The old holder of a slot may not have heard of the move yet.  Used by
-    both, the runner would have more requests than slots.
+    """The old holder of a slot may not know of the move yet.
+
+    If both used the slot, the runner would have more requests than slots.
     """
     assert usable_parts([{"r": 1}, {"r": 2}, {"r": 2}]) == {"r": 1}
     assert usable_parts([{"r": 2}, {"r": 2}, {"r": 1}]) == {"r": 1}
@@ -73,7 +75,7 @@
 
 
 def test_retries_stay_within_a_tenth_of_the_answers():
-    """A fleet that fails under overload must not be sent everything again."""
+    """Retries must not multiply the load of a fleet that fails under overload."""
     budget = RetryBudget()
     while budget.try_spend():
         pass
@@ -85,7 +87,7 @@
 
 
 def test_charge_that_may_have_run_is_not_sent_again():
-    """A renewal charge sent twice is a customer charged twice."""
+    """Sending a renewal charge twice would charge the customer twice."""
     assert not may_resend(idempotent=False, ran="unknown", tries=1)
     assert may_resend(idempotent=False, ran="no", tries=1)
     assert may_resend(idempotent=True, ran="unknown", tries=1)
--- a/tests/decide/test_requests.py
+++ b/tests/decide/test_requests.py
@@ -1,4 +1,4 @@
-"""What callers get from queueing, admission and routing, on virtual time."""
+"""Effects of queueing, admission and routing on callers, in virtual time."""
 
 from collections import Counter
 
@@ -31,9 +31,9 @@
     return Endpoint(name, "runner", "z0", address, service="s", **kw)
 
 
-def dispatcher(*endpoints, room=100):
+def dispatcher(*endpoints, capacity=100):
     account = Account()
-    account.capacity = {"a": room, "b": room}
+    account.capacity = {"a": capacity, "b": capacity}
     result = Dispatcher("i0", "z0", account, QueueLimits(50, 40))
     result.update(endpoints, 0.0)
     result.rebalance(FLEET_OF_ONE, {"a": 1.0, "b": 1.0}, 0.0)
@@ -50,10 +50,10 @@
 
 
 def test_team_of_long_requests_gets_no_more_slot_time_than_its_share():
-    """Two teams of equal share have plenty of requests, one with requests ten
-    times as long, and nobody knows beforehand how long they are.  Were turns
-    counted by request, the other would get a tenth of the slots, and its
-    callers would see refusals though it is within its share.
+    """Of two teams with equal shares, one sends requests that take ten times as long.
+
+    If the queue counted requests instead of slot time, the other team would get a
+    tenth of the slots and refusals although it is within its share.
     """
     queue, used = FairQueue(), Counter()
     weights = {"short": 1.0, "long": 1.0}
@@ -73,9 +73,9 @@
 
 
 def test_small_team_never_waits_behind_a_large_one():
-    """A large installer sends its whole month at once just before a small one
-    asks for a certificate check.  The technician must not stand at the unit
-    while hundreds of others' requests go first.
+    """A large team sends hundreds of requests just before a small team sends a few.
+
+    In order of arrival the small team would wait for all of them.
     """
     burst = [Req(0.0, "large", "standard", 0.1, 30.0) for _ in range(400)]
     small = [Req(0.5 + 0.3 * i, "small", "standard", 0.1, 30.0) for i in range(10)]
@@ -85,10 +85,10 @@
     assert all(r.good for r in small)
 
 
-def test_quotes_do_not_wait_for_long_work_to_end():
-    """Blend plans of two seconds could fill every slot, and a website quote of
-    20 ms that comes next would wait for one of them to end: the customer
-    leaves the page.
+def test_short_requests_do_not_wait_for_long_ones_to_end():
+    """Bulk requests of two seconds could fill every slot.
+
+    An interactive request of 20 ms would then wait for one of them to end.
     """
     streams = [
         Stream("a", "interactive", 60, 0.02, 2.0, 3, HERE),
@@ -101,9 +101,10 @@
 
 
 def test_double_load_is_refused_at_once_and_costs_no_goodput():
-    """Twice as many requests come as the fleet can serve.  Those that cannot
-    be served must learn so at once, and the fleet must go on giving as many
-    good answers as it does at its full load.
+    """Twice as many requests arrive as the fleet can serve.
+
+    The excess must be refused at once, and the fleet must deliver as many answers in
+    time as at full load.
     """
 
     def run(factor):
@@ -122,7 +123,8 @@
 
 def test_slow_and_failing_runners_cost_few_requests():
     """One runner of a zone takes ten times as long and one fails everything.
-    Callers should hardly notice either.
+
+    Outlier detection must keep nearly all requests away from both.
     """
     stream = Stream("a", "standard", 240, 0.1, 5.0, 1, HERE)
     reqs = make_all([stream], 15.0, 4)
@@ -140,8 +142,9 @@
 
 
 def test_most_of_a_zone_is_never_ejected():
-    """The network to a zone is bad and every runner there seems to fail.  Were
-    all of them ejected, nothing would be left to serve what still gets through.
+    """The network to a zone is faulty, so every runner there seems to fail.
+
+    If all were ejected, none would be left for the requests that still get through.
     """
     endpoints = [runner(f"r{i}", f"10.0.0.{i}:80") for i in range(6)]
     disp = dispatcher(*endpoints)
@@ -153,8 +156,9 @@
 
 
 def test_ejected_runner_is_probed_and_ramps_up_again():
-    """A runner that was restarted fails for a moment and is then well.  It must
-    get its work back, but not all of it at its first breath.
+    """A restarted runner fails briefly and is then healthy.
+
+    It must get its work back, but only gradually.
     """
     endpoints = [runner(f"r{i}", f"10.0.0.{i}:80") for i in range(3)]
     disp = dispatcher(*endpoints)
@@ -169,8 +173,9 @@
 
 
 def test_runner_back_at_a_new_address_is_a_new_runner():
-    """A leaving runner is replaced by one of the same name elsewhere.  Taken for
-    the old one, it would never get any work.
+    """A leaving runner is replaced by one of the same name at another address.
+
+    If it were taken for the old one, it would never get any work.
     """
     disp = dispatcher(runner("r", "10.0.0.1:80", leaving=True))
     assert disp.router.capacity(0.0) == 0
@@ -180,9 +185,10 @@
     assert disp.router.capacity(1.0) == 2
 
 
-def test_runner_that_said_it_leaves_gets_no_new_work():
-    """A runner says in an answer that it is leaving; the platform's list does
-    not show it yet.  Work sent there would be cut when it goes.
+def test_runner_that_announced_leaving_gets_no_new_work():
+    """A runner announces that it is leaving before the platform's list shows it.
+
+    Work that is sent there would be interrupted.
     """
     disp = dispatcher(runner("r1", "10.0.0.1:80"), runner("r2", "10.0.0.2:80"))
     disp.router.views["r1@10.0.0.1:80"].leaving = True
@@ -192,8 +198,9 @@
 
 
 def test_waiting_requests_are_refused_when_their_runners_go():
-    """Every runner leaves while requests wait.  Held until their deadline, the
-    callers could do nothing with the time that they still have.
+    """Every runner leaves while requests wait.
+
+    If they were held until their deadline, their callers could no longer react.
     """
     disp = dispatcher(runner("r"))
     for _ in range(20):
@@ -201,15 +208,15 @@
     while disp.dispatch_next(0.0) is not None:
         pass
     disp.update([], 1.0)
-    given_up = disp.refuse_hopeless(1.0, 0.5)
-    assert given_up
-    assert all(isinstance(g.exc, NoEndpointError) for g in given_up)
-    assert all(g.exc.ran == "no" and g.exc.retry_after_s > 0 for g in given_up)
+    refused = disp.refuse_hopeless(1.0, 0.5)
+    assert refused
+    assert all(isinstance(g.exc, NoEndpointError) for g in refused)
+    assert all(g.exc.ran == "no" and g.exc.retry_after_s > 0 for g in refused)
     assert len(disp.queue) == 0
 
 
 def test_unmeetable_deadline_is_refused_on_arrival_with_the_time_to_come_back():
-    """The backlog takes ten seconds and the caller has one."""
+    """The backlog takes ten seconds, and the caller waits for only one."""
     disp = dispatcher(runner("r"))
     for _ in range(40):
         admit(disp, expected_s=2.0, team="a")
@@ -221,21 +228,23 @@
     assert 2.0 < caught.value.retry_after_s < 16.0
 
 
-def test_team_without_room_is_told_well_before_its_deadline():
-    """A team is at its limit elsewhere and no room comes.  Its callers get the
-    truth after a moment, not silence until their deadline.
+def test_team_without_capacity_is_refused_well_before_its_deadline():
+    """A team is at its limit elsewhere and gets no capacity here.
+
+    Its requests must be refused soon and not held until their deadline.
     """
-    disp = dispatcher(runner("r"), room=0)
+    disp = dispatcher(runner("r"), capacity=0)
     admit(disp)
     assert disp.dispatch_next(0.0) is None
     assert disp.refuse_hopeless(1.0, 0.5) == []
-    given_up = disp.refuse_hopeless(2.5, 0.5)
-    assert [g.exc.code for g in given_up] == ["queue.team_full"]
+    refused = disp.refuse_hopeless(2.5, 0.5)
+    assert [g.exc.code for g in refused] == ["queue.team_full"]
 
 
 def test_slots_of_a_runner_are_hardly_ever_overcommitted():
-    """Nine instances share each runner's eight slots without asking each other.
-    More at once than it has slots would queue unseen at the runner.
+    """Nine instances share each runner's eight slots without coordination.
+
+    Requests beyond a runner's slots would queue at the runner unnoticed.
     """
     streams = [
         Stream("a", "standard", 900, 0.1, 2.0, 5, (0, 1)),
@@ -248,10 +257,11 @@
     assert fleet.most_load <= 10
 
 
-def test_kind_that_was_slow_once_is_not_refused_for_good():
-    """A slow minute of a service made its requests take longer than callers
-    wait, and all are refused.  Refused requests teach nothing, so without doubt
-    in what was learnt the service would never be called again.
+def test_kind_that_was_slow_once_is_not_refused_forever():
+    """During a slow minute all requests took longer than their callers wait.
+
+    Refused requests yield no samples, so without decay of the estimate the service
+    would never be called again.
     """
     disp = dispatcher(runner("r"))
     for _ in range(20):
@@ -263,19 +273,20 @@
     assert admit(disp, now=20.0, deadline=20.01, team="b").queued
 
 
-def unequal(longest_s=3.5):
-    """Return a dispatcher of a kind that seldom takes long, at time 0."""
+def dispatcher_with_rare_long_requests(longest_s=3.5):
+    """Return a dispatcher at time 0 with samples of a kind that rarely takes long."""
     disp = dispatcher(runner("r"))
     for took_s in [longest_s, *[0.02] * 30]:
         disp.times.record(("a",), took_s, 0.0)
     return disp
 
 
-def test_entry_whose_turn_leaves_too_little_time_is_given_up_unsent():
-    """One logbook entry in thirty takes 3.5 s, and this one's turn comes with 3 s
-    left.  Sent, it may end after its installer was told that nobody knows.
+def test_entry_with_too_little_time_left_is_refused_unsent():
+    """One entry in thirty takes 3.5 s, and this one has 3 s left when dispatched.
+
+    If it were sent, it could end after its caller received an unknown outcome.
     """
-    disp = unequal()
+    disp = dispatcher_with_rare_long_requests()
     admit(disp, deadline=6.0, allowed_s=6.0)
     got = disp.dispatch_next(3.0)
     assert isinstance(got, RefusedRequest)
@@ -286,23 +297,24 @@
 
 
 def test_request_is_not_sent_once_its_deadline_has_passed():
-    """A quote's deadline passes just before its turn, between two looks through
-    the queue.  Sent, it would take a slot for a caller who has left.
+    """A deadline passes just before the dispatch, between two sweeps of the queue.
+
+    If the request were sent, it would take a slot for a caller that has given up.
     """
     disp = dispatcher(runner("r"))
     admit(disp, deadline=1.0)
     assert isinstance(disp.dispatch_next(1.01), RefusedRequest)
 
 
-def test_entry_that_waits_too_long_is_told_before_its_turn():
-    disp = unequal()
+def test_entry_that_waits_too_long_is_refused_early():
+    disp = dispatcher_with_rare_long_requests()
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert disp.refuse_hopeless(2.0, 0.5) == []
     assert [g.exc.code for g in disp.refuse_hopeless(3.0, 0.5)] == ["queue.deadline"]
 
 
 def test_entry_whose_wait_would_leave_too_little_time_is_refused_on_arrival():
-    disp = unequal()
+    disp = dispatcher_with_rare_long_requests()
     for _ in range(20):
         admit(disp, expected_s=2.0)
     while disp.dispatch_next(0.0) is not None:
@@ -312,53 +324,58 @@
         admit(disp, deadline=6.0, allowed_s=6.0)
 
 
-def test_entry_with_time_for_the_longest_is_sent():
-    disp = unequal()
+def test_entry_with_time_for_the_longest_sample_is_sent():
+    disp = dispatcher_with_rare_long_requests()
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(2.0), DispatchedRequest)
 
 
-def test_entry_that_need_not_wait_is_sent_however_long_its_kind_takes():
-    """One in thirty takes nearly the whole time that callers give.  Coming back
-    would give it no more time than it has now.
+def test_entry_without_a_wait_is_sent_however_long_its_kind_takes():
+    """One entry in thirty takes nearly the total time that callers allow.
+
+    A retry would give it no more time than it has now.
     """
-    disp = unequal(longest_s=5.9)
+    disp = dispatcher_with_rare_long_requests(longest_s=5.9)
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(1.0), DispatchedRequest)
 
 
-def test_entry_whose_caller_has_no_time_for_the_longest_is_sent():
-    """Its caller gives a second in all.  Refused because some take 3.5 s, it would
-    be refused each time, though nearly all of its kind take 20 ms.
+def test_entry_with_less_total_time_than_the_longest_is_sent():
+    """The caller allows one second in total.
+
+    If the request were refused because some take 3.5 s, every retry would be refused,
+    although nearly all of its kind take 20 ms.
     """
-    disp = unequal()
+    disp = dispatcher_with_rare_long_requests()
     admit(disp, deadline=1.0, allowed_s=1.0)
     assert isinstance(disp.dispatch_next(0.8), DispatchedRequest)
 
 
-def test_kind_given_up_for_its_longest_is_not_given_up_for_good():
-    """The fleet stays full, and each entry has waited 3 s when its turn comes.
-    Those that are given up teach nothing of how long they would have taken.
+def test_kind_refused_for_its_longest_sample_is_not_refused_forever():
+    """The fleet stays full, and each entry has waited 3 s when it is dispatched.
+
+    Refused entries yield no samples of how long they would have taken.
     """
-    disp = unequal()
+    disp = dispatcher_with_rare_long_requests()
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(3.0), RefusedRequest)
     admit(disp, now=9.0, deadline=15.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(12.0), DispatchedRequest)
 
 
-def test_entry_behind_one_that_outlasts_all_others_is_given_up():
-    """An instance has just started and knows entries of 20 ms only; one that came
-    first has been running for 2.5 s.  This one may take as long, or longer.
+def test_entry_behind_one_that_outlasts_all_samples_is_refused():
+    """A freshly started instance has samples of 20 ms only.
+
+    An earlier entry has been running for 2.5 s, so this one may take as long or longer.
     """
-    disp = unequal(longest_s=0.02)
+    disp = dispatcher_with_rare_long_requests(longest_s=0.02)
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(0.0), DispatchedRequest)
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(2.5), RefusedRequest)
 
 
-def test_entry_of_a_kind_never_seen_is_sent():
+def test_entry_of_an_unknown_kind_is_sent():
     disp = dispatcher(runner("r"))
     admit(disp, deadline=6.0, allowed_s=6.0)
     assert isinstance(disp.dispatch_next(5.9), DispatchedRequest)
--- a/tests/decide/test_rounds.py
+++ b/tests/decide/test_rounds.py
@@ -1,4 +1,4 @@
-"""The lead's rounds, looked at from what becomes of the jobs."""
+"""Scheduling rounds of a lead, tested by the outcome of the jobs."""
 
 import random
 
@@ -11,9 +11,9 @@
 
 
 def test_a_small_teams_job_never_waits_behind_a_large_ones_thousand():
-    """A large estate submits a thousand tasks; a small grower one.
+    """A large team submits a thousand tasks, a small team one.
 
-    Taken in order of arrival, the grower would wait for hours.
+    In order of arrival the small team would wait for hours.
     """
     sim = ZoneSimulation(fleet(4), TEAMS)
     sim.submit("bulk", "a", tasks=1000, cpus=4.0, run_s=60.0)
@@ -44,7 +44,7 @@
     limits = {"a": 20, "b": 9}
     teams = {t: {"limit": str(n)} for t, n in limits.items()}
     sim = ZoneSimulation(fleet(6, accelerators=1), teams)
-    sim.breaks = lambda worker, ref: rng.random() < 0.1
+    sim.fails = lambda worker, ref: rng.random() < 0.1
     keys = []
     for step in range(60):
         team = rng.choice("ab")
@@ -69,9 +69,9 @@
 
 
 def test_urgent_work_starts_at_once_on_a_full_zone():
-    """Renewal charges come while blend planning fills every worker.
+    """Urgent charges arrive while batch tasks fill every worker.
 
-    The planning gives way by checkpoint, loses nothing and ends later.
+    Batch tasks are preempted after a checkpoint, lose no work and end later.
     """
     sim = ZoneSimulation(fleet(4), TEAMS)
     bulk = sim.submit("bulk", "a", tasks=32, cpus=4.0, run_s=40.0)
@@ -99,7 +99,7 @@
     assert len(sim.running("a/bulk")) == 24
 
 
-def test_a_gang_starts_whole_or_not_at_all():
+def test_a_gang_starts_completely_or_not_at_all():
     sim = ZoneSimulation(fleet(2), TEAMS)
     sim.submit("bulk", "a", cpus=20.0, run_s=30.0)
     sim.submit("gang", "b", tasks=2, cpus=20.0, run_s=5.0, gang=True)
@@ -110,10 +110,9 @@
 
 
 def test_a_steady_flow_of_small_tasks_cannot_starve_a_gang():
-    """Small tasks take each processor the moment it is free.
+    """Small tasks take each processor as soon as it is free.
 
-    The gang never finds all of its room at once and waits for good, unless
-    workers are set aside for it.
+    Without reserved workers the gang would never find enough free resources.
     """
     sim = ZoneSimulation(fleet(4), TEAMS)
     for second in range(400):
@@ -129,10 +128,10 @@
     assert sim.now < 20 + GANG_RESERVE_AFTER_S + 30
 
 
-def test_a_gang_that_lost_a_task_starts_again_whole():
-    """One task of a gang fails; the rest would compute for nobody."""
+def test_a_gang_that_lost_a_task_restarts_completely():
+    """One task of a gang fails, so the work of the others is useless."""
     sim = ZoneSimulation(fleet(2), TEAMS)
-    sim.breaks = lambda worker, ref: ref == ("a/gang", 1, 1)
+    sim.fails = lambda worker, ref: ref == ("a/gang", 1, 1)
     sim.submit("gang", tasks=4, cpus=8.0, run_s=20.0, gang=True)
     sim.run(3)
     assert {ref[2] for w in sim.runs.values() for ref in w} == {1, 2}
@@ -140,31 +139,31 @@
     assert sim.outcome("a/gang") == "done"
 
 
-def test_a_sick_worker_is_quarantined_and_taken_back():
-    """A worker fails whatever it starts, at once, and so always has room.
+def test_a_faulty_worker_is_quarantined_and_released():
+    """A worker fails everything at once and so always has free capacity.
 
-    Left alone it would fail the work of the whole zone.
+    Without a quarantine it would fail the work of the whole zone.
     """
     sim = ZoneSimulation(fleet(3), TEAMS)
-    sick = {"w000"}
-    sim.breaks = lambda worker, ref: worker in sick
+    faulty = {"w000"}
+    sim.fails = lambda worker, ref: worker in faulty
     for i in range(12):
         sim.submit(f"j{i}", "a", tasks=6, cpus=1.0, run_s=20.0)
     sim.run(20)
     assert list(sim.zone.marks) == ["w000"]
     sim.run(60)
     assert all(sim.outcome(f"a/j{i}") == "done" for i in range(12))
-    sick.clear()
+    faulty.clear()
     sim.submit("more", "a", tasks=400, cpus=1.0, run_s=20.0)
     sim.run(700)
     assert sim.zone.marks == {}
 
 
-def test_a_poison_job_is_backed_off_and_no_worker_blamed():
+def test_a_poison_job_is_backed_off_and_no_worker_quarantined():
     """Three jobs fail wherever they start."""
     sim = ZoneSimulation(fleet(3), TEAMS)
     poison = {"a/p0", "a/p1", "a/p2"}
-    sim.breaks = lambda worker, ref: ref[0] in poison
+    sim.fails = lambda worker, ref: ref[0] in poison
     for key in sorted(poison):
         sim.submit(key[2:], "a", tasks=2, cpus=1.0, run_s=5.0)
     sim.submit("good", "b", tasks=40, cpus=2.0, run_s=20.0)
@@ -183,14 +182,14 @@
 
 
 def test_a_leaving_worker_is_drained_one_replica_at_a_time():
-    """The platform takes a worker away that holds two replicas of a service.
+    """The platform removes a worker that holds two of four replicas.
 
-    Moved together, half of the service would be away at once.
+    If both moved together, half of the service would be unavailable.
     """
     sim = ZoneSimulation(fleet(2, per_rack=1), TEAMS)
     sim.submit("portal", tasks=4, cpus=1.0, priority="service")
     sim.run(3)
-    sim.leave("w000")
+    sim.drain_worker("w000")
     least = 4
     for _ in range(8):
         sim.round()
@@ -233,7 +232,7 @@
     assert sim.zone.notes["a/gang"] == ["held: the zone has room for 8 of its 9 tasks"]
 
 
-def test_cancelled_work_stops_and_its_room_is_used():
+def test_cancelled_work_stops_and_its_resources_are_reused():
     sim = ZoneSimulation(fleet(1), TEAMS)
     keys = [sim.submit(f"j{i}", cpus=1.0, run_s=500.0) for i in range(32)]
     sim.run(2)
--- a/tests/decide/test_snapshot_timing.py
+++ b/tests/decide/test_snapshot_timing.py
@@ -1,12 +1,12 @@
-"""When snapshots are made, and by whom."""
+"""When snapshots are made, and by which zone."""
 
 from firhook.decide.snapshot_timing import is_snapshot_due, snapshot_rank
 
 
-def test_lost_first_zone_is_stood_in_for():
-    """The zone whose lead makes the snapshots is gone, and nobody knows it yet.
+def test_next_zone_makes_the_snapshot_when_the_first_is_lost():
+    """The first zone, which normally makes the snapshots, is lost undetected.
 
-    Its records would expire with nothing to start from.
+    Without a snapshot the state would be lost once its records expire.
     """
     zones = ("porto", "lisboa", "braga")
     ranks = [snapshot_rank(zone, zones) for zone in ("braga", "lisboa", "porto")]
@@ -16,7 +16,7 @@
 
 
 def test_long_snapshots_are_made_less_often():
-    """Thousands of claims a minute would else make megabytes of snapshots."""
+    """Otherwise thousands of claims a minute would cause megabytes of snapshots."""
     assert is_snapshot_due(5000, 0, 0, 1, 5000, 3600)
     assert not is_snapshot_due(5000, 0, 0, 90, 5000, 3600)
     assert is_snapshot_due(17_800, 0, 0, 90, 5000, 3600)
--- a/tests/decide/test_staleness.py
+++ b/tests/decide/test_staleness.py
@@ -1,4 +1,4 @@
-"""What a zone that is cut off serves on the keys that it knows."""
+"""What a partitioned zone serves on the keys that it knows."""
 
 import pytest
 from hypothesis import given
@@ -28,10 +28,10 @@
     ],
 )
 def test_cut_zone_serves_less_as_its_view_ages(age_s, lax, strict):
-    """A zone loses the log and all peers, and a key is withdrawn elsewhere.
+    """A key is withdrawn while a zone can reach neither the log nor its peers.
 
-    It cannot know.  Charges and jobs on that key stop after seconds, reads go
-    on for a while, and with the strict setting nothing goes on.
+    Charges and jobs on that key must stop after seconds; idempotent requests
+    continue for a while, or stop as well with the strict policy.
     """
     assert (allowed_service(LAX, age_s), allowed_service(STRICT, age_s)) == (
         lax,
@@ -46,15 +46,15 @@
     )
 
 
-def test_peer_that_fell_silent_ages():
-    """The peer with the last fresh view is cut off, too.
+def test_view_of_an_unreachable_peer_ages():
+    """The peer with the last fresh view is partitioned, too.
 
-    Its last gossip said that its view was fresh.  It must not count as fresh
-    for as long as it is remembered.
+    Its last gossip reported a fresh view, which must not count as fresh as long as
+    it is stored.
     """
     assert view_age_s(60, 5, [PeerLogView(age_s=40, log_age_s=1, offset=5)]) == 41
 
 
 def test_peer_that_read_further_does_not_make_this_view_fresh():
-    """A peer saw a withdrawal that has not come through to this instance."""
+    """A peer has read a withdrawal that this instance has not read yet."""
     assert view_age_s(60, 5, [PeerLogView(age_s=0, log_age_s=0, offset=6)]) == 60
--- a/tests/decide/zone_simulation.py
+++ b/tests/decide/zone_simulation.py
@@ -1,8 +1,7 @@
-"""One zone with a lead that is always well, for the decisions' outcome.
+"""Simulation of one zone with a healthy lead, to test the outcome of its decisions.
 
-The workers run tasks for as long as they are told; nothing fails but what a
-test makes fail.  ``now`` is moved by the test, and each call of ``round`` is
-one round of the lead with all its orders carried out.
+Nothing fails except what a test makes fail.  The test advances ``now``; each call
+of ``round`` is one round of the lead with all its orders executed.
 """
 
 import attrs
@@ -36,7 +35,7 @@
 
 
 def fleet(count, cpus=32.0, memory_mb=65536, per_rack=6, accelerators=0, zone=ZONE):
-    """Return workers of one size in racks."""
+    """Return workers of equal size in racks."""
     return [
         Endpoint(
             f"w{i:03}",
@@ -54,7 +53,7 @@
 
 @attrs.define
 class Run:
-    """A task at a worker."""
+    """A run of a task on a worker."""
 
     ref: tuple
     started: float
@@ -82,11 +81,11 @@
         self.term.settled = True
         self.workers = {e.name: e for e in workers}
         self.runs = {e.name: {} for e in workers}
-        self.breaks = lambda worker, ref: False
+        self.fails = lambda worker, ref: False
         self.real_run_s = lambda job, index: job.run_s
         self.started_at, self.ended = {}, []
         self.wasted_s = 0.0
-        self._dirty = set(self.runs)
+        self._changed_workers = set(self.runs)
         self._report_all()
 
     def _set_lists(self, teams):
@@ -117,16 +116,16 @@
     def cancel(self, *keys):
         self.apply(self.cell, JobCancelled(keys))
 
-    def leave(self, worker):
+    def drain_worker(self, worker):
         self.workers[worker] = attrs.evolve(self.workers[worker], leaving=True)
 
     # -- workers -----------------------------------------------------------
 
-    def _tick(self, worker):
+    def _finish_runs(self, worker):
         for run in self.runs[worker].values():
             if run.state == "running" and self.now >= run.ends:
                 run.state, run.progress = "done", 1.0
-                self._dirty.add(worker)
+                self._changed_workers.add(worker)
 
     def _report(self, worker):
         tasks = tuple(
@@ -139,12 +138,12 @@
     def _report_all(self):
         self.term.update_workers(self.workers.values())
         for worker in self.runs:
-            self._tick(worker)
-        for worker in self._dirty:
+            self._finish_runs(worker)
+        for worker in self._changed_workers:
             self._report(worker)
-        self._dirty.clear()
+        self._changed_workers.clear()
 
-    def _carry_out(self, worker):
+    def _execute_order(self, worker):
         order = self.term.next_order(worker, HEALTHY, self.now)
         runs = self.runs[worker]
         for ref in order.forget:
@@ -160,15 +159,15 @@
         for start in order.start:
             self._start(worker, start)
         if order.forget or order.stop or order.start:
-            self._dirty.add(worker)
+            self._changed_workers.add(worker)
 
     def _start(self, worker, start):
         ref = (start.job_id, start.index, start.attempt)
         job = self.cell.jobs[start.job_id].job
-        whole_s = self.real_run_s(job, start.index) or float("inf")
-        ends = self.now + whole_s * (1 - start.progress)
+        total_s = self.real_run_s(job, start.index) or float("inf")
+        ends = self.now + total_s * (1 - start.progress)
         run = Run(ref, self.now, ends, start.progress)
-        if self.breaks(worker, ref):
+        if self.fails(worker, ref):
             run.state, run.reason = "failed", "exit status 1"
         self.runs[worker][ref] = run
         self.starts += 1
@@ -176,7 +175,7 @@
 
     # -- the lead's round ------------------------------------------------------
 
-    def left(self):
+    def headroom_by_team(self):
         teams = {e.job.team for e in self.cell.open_jobs(ZONE)}
         return {
             t: max(self.config.plan_of(t).limit - self.zone.running.get(t, 0), 0)
@@ -184,7 +183,7 @@
         }
 
     def round(self):
-        """Run one round, and carry out every order that changes something."""
+        """Run one round and execute every order that changes something."""
         self._report_all()
         endings = self.term.endings(self.now)
         if endings:
@@ -198,28 +197,30 @@
             self.apply(self.cell, JobsEnded(ZONE, 1, ended))
         limits = {t: self.config.plan_of(t).limit for t in self.zone.running}
         self.scheduler.mark_stops(self.term, limits, self.now)
-        items, notes = self.scheduler.plan(self.term, self.left(), self.now, self.now)
+        items, notes = self.scheduler.plan(
+            self.term, self.headroom_by_team(), self.now, self.now
+        )
         if items:
             self.apply(self.zone, Assigned(1, items))
         if notes:
             self.apply(self.zone, JobsNoted(notes))
-        touched = {i.worker for i in items}
-        touched |= {
+        affected = {i.worker for i in items}
+        affected |= {
             w for w, ref, _ in self.zone.live_attempts() if ref in self.term.stopping
         }
-        touched |= {w for w, runs in self.runs.items() if self._idle(runs)}
+        affected |= {w for w, runs in self.runs.items() if self._idle(runs)}
         for entry in self.cell.open_jobs(ZONE):
             if entry.cancelled:
-                touched |= {w for w, ref, _ in self.zone.live_attempts()}
-        for worker in sorted(touched):
-            self._carry_out(worker)
+                affected |= {w for w, ref, _ in self.zone.live_attempts()}
+        for worker in sorted(affected):
+            self._execute_order(worker)
         return items
 
     def _idle(self, runs):
         return any(r.state != "running" for r in runs.values())
 
     def run(self, seconds, step=1.0):
-        """Run rounds for a while."""
+        """Run rounds for a number of simulated seconds."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.round()
@@ -229,7 +230,7 @@
         self.check()
 
     def check(self):
-        """Check that no worker runs more than it has, and no team more than it may."""
+        """Check that no worker is overcommitted; return the running tasks by team."""
         by_team = {}
         for worker, runs in self.runs.items():
             jobs = [
@@ -246,7 +247,7 @@
         return by_team
 
     def cpus_by_team(self):
-        """Return the processors that each team's running tasks have."""
+        """Return the processors used by each team's running tasks."""
         used = {}
         for _, ref, _ in self.zone.live_attempts():
             job = self.cell.jobs[ref[0]].job
@@ -254,7 +255,7 @@
         return used
 
     def running(self, key):
-        """Return where a job's tasks run."""
+        """Return the worker of each running task of a job."""
         return {
             run.ref[1]: worker
             for worker, runs in self.runs.items()
--- a/tests/state/test_cell_leads.py
+++ b/tests/state/test_cell_leads.py
@@ -1,4 +1,4 @@
-"""Leads and transfers: every reader reaches one verdict, from records alone."""
+"""Verdicts on records of leads and transfers."""
 
 from firhook.model import (
     LeadClaimed,
@@ -32,10 +32,10 @@
 
 
 def test_claim_judged_before_a_renewal_is_void():
-    """An instance reads the log late and finds the lead lapsed.
+    """An instance reads the log late and considers the lead expired.
 
-    The lead has renewed meanwhile and relies on its lease.  Were the claim to
-    win, two instances would lead the zone at once and lend its room twice.
+    The lead has renewed in the meantime.  If the claim won, two instances would lead
+    the zone at once and lend its capacity twice.
     """
     state = led_by(A)
     renewal = LeadRenewed("a", 1, A, (A,), 1)
@@ -45,7 +45,7 @@
     assert state.apply_body(3, "", LeadClaimed("a", 2, B, 1)) is Verdict.APPLIED
 
 
-def test_roster_keeps_those_who_may_hold_room_through_a_claim():
+def test_roster_keeps_possible_holders_through_a_claim():
     state = led_by(A)
     state.apply_body(1, "", LeadRenewed("a", 1, A, (A, "a3#x"), 2))
     state.apply_body(2, "", LeadClaimed("a", 2, B, 1))
@@ -64,8 +64,8 @@
 def test_transfer_by_a_lead_that_was_replaced_is_void():
     """A lead sends a transfer, is paused, and its zone gets a new lead.
 
-    The new lead has lent the room already, since it had not read the transfer;
-    were that to take effect afterwards, the room would be used twice.
+    The new lead lends the capacity before it reads the transfer.  If the transfer took
+    effect afterwards, the capacity would be used twice.
     """
     state = led_by(A)
     state.apply_body(1, "", LeadClaimed("a", 2, B, 0))
--- a/tests/state/test_config.py
+++ b/tests/state/test_config.py
@@ -1,4 +1,4 @@
-"""Lists and keys in force: first change wins, nothing ever goes back."""
+"""Lists and keys: the first change wins, and versions never decrease."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def feed(state: ConfigState, *bodies: object) -> list[Verdict]:
-    """Apply records as one lane's next ones."""
+    """Apply records as the next ones of one lane."""
     verdicts = []
     for body in bodies:
         seq = state.next_offset + 1
@@ -20,10 +20,10 @@
 
 
 def test_second_change_on_the_same_base_conflicts_and_names_the_first():
-    """Two operators edit the lists made from the same version at once.
+    """Two operators edit the lists based on the same version.
 
-    The slower one must not undo the other's change without seeing it: it is
-    told which rows came first.
+    The second must not overwrite the first change unseen; the conflict names the rows
+    that changed.
     """
     state = ConfigState()
     team = Row("teams", "lisboa", {"plan": "small"})
@@ -51,9 +51,9 @@
 
 
 def test_key_of_a_team_that_was_removed_is_refused():
-    """A team leaves and its row is removed, but nobody withdraws its keys.
+    """A team's row is removed, but its keys are not withdrawn.
 
-    Work under them would be of no plan, and so under no limit.
+    Work under these keys would have no plan and so no limit.
     """
     state = ConfigState()
     feed(state, RowsChanged(0, (SMALL, LISBOA)), KeyGiven("k1", "lisboa", "d" * 64))
@@ -64,10 +64,10 @@
 
 
 def test_record_that_is_in_the_log_twice_is_applied_once():
-    """The log's answer to an append is lost, and the record is sent again.
+    """The answer to an append is lost, and the record is sent again.
 
-    Both copies are in the log; counting the second would, for a change of
-    the lists, answer its author with a conflict against itself.
+    Both copies are in the log.  If the second counted, the author of a change would
+    receive a conflict with its own record.
     """
     state = ConfigState()
     envelope = Envelope("i#1", 1, RowsChanged(0, (SMALL,)))
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,4 @@
-"""Lanes, states, rebuilds and claims under every order of the log's failures."""
+"""State machine of outboxes, states, rebuilds and claims under log failures."""
 
 import pytest
 from hypothesis import settings
@@ -8,10 +8,16 @@
 from firhook.decide.claims import Phase
 from firhook.model import SnapshotChunk, Verdict
 from firhook.state import _snapshots
-from tests.state.world import STREAMS, Copy, FakeStream, Node, facts
+from tests.state.world import (
+    STREAMS,
+    AppendInFlight,
+    FakeStream,
+    Node,
+    comparable_state,
+)
 
-#: Few instances and keys, so that events meet: with more of them the order
-#: that a fault needs would be drawn far less often.
+#: Few instances and keys, so that events interact.  With more of them, the order of
+#: events that a fault requires would be drawn far less often.
 NAMES = ("a", "b")
 names = st.sampled_from(NAMES)
 streams = st.sampled_from(sorted(STREAMS))
@@ -20,12 +26,11 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Appends lose answers, arrive late or twice; instances crash and lag.
+    """Appends lose their answers or arrive late or twice; instances crash and lag.
 
-    The log keeps records for a limited time only, and instances that fell
-    behind rebuild from snapshots.  A user would notice a fault as a charge
-    that ran twice, a change of the lists that came and went, or a refusal
-    that said "not recorded" of something that then took effect.
+    The log retains records for a limited time, and instances that lag rebuild from
+    snapshots.  No charge may run twice, no accepted change of the lists may disappear,
+    and nothing that was reported as "not recorded" may take effect.
     """
 
     def __init__(self) -> None:
@@ -35,7 +40,7 @@
         self.log = {name: FakeStream(kind) for name, kind in STREAMS.items()}
         self.runs = 0
         self.nodes: dict[str, Node] = {}
-        self.late: list[Copy] = []
+        self.late: list[AppendInFlight] = []
         self.tickets = []
         self.dispatches: dict[str, int] = {}
         for name in NAMES:
@@ -51,7 +56,7 @@
         self.runs += 1
         self.nodes[name] = Node(name, self.runs, self.log)
 
-    # -- what callers ask for --------------------------------------------
+    # -- requests of callers ---------------------------------------------
 
     @rule(name=names, team=st.sampled_from(("lisboa", "porto")))
     def change_rows(self, name, team):
@@ -73,9 +78,9 @@
 
     @rule(name=names, key=keys, send=st.booleans())
     def go_on(self, name, key, send):
-        """Take a claimed request one step further."""
+        """Advance a claimed request by one step."""
         node = self.nodes[name]
-        claim = node.book.find(key)
+        claim = node.claim_table.find(key)
         if claim is None:
             return
         if claim.phase is Phase.SENDING:
@@ -110,7 +115,7 @@
         port.give_up(data.draw(st.sampled_from(port.waiting)))
         self._step_claims()
 
-    # -- what the log does -----------------------------------------------
+    # -- behaviour of the log --------------------------------------------
 
     @precondition(lambda self: self._ports(lambda port: port.outbox.busy))
     @rule(data=st.data(), fate=fates)
@@ -119,14 +124,14 @@
         self._append(data.draw(st.sampled_from(ports)), fate)
 
     def _append(self, port, fate):
-        copy = port.copy or port.send()
-        if copy is None:
+        in_flight = port.in_flight or port.send()
+        if in_flight is None:
             return
         if fate in ("ok", "lost answer"):
-            port.log.land(copy.payloads)
+            port.log.land(in_flight.payloads)
         elif fate == "late":
-            self.late.append(copy)
-        port.copy = None
+            self.late.append(in_flight)
+        port.in_flight = None
         if fate == "ok":
             port.outbox.note_appended()
         elif fate == "refused":
@@ -136,7 +141,7 @@
 
     @rule(name=names)
     def send(self, name):
-        """Leave appends in flight, so that others happen meanwhile."""
+        """Leave appends in flight while other events happen."""
         for port in self.nodes[name].ports.values():
             port.send()
 
@@ -153,10 +158,10 @@
     @precondition(lambda self: self.late)
     @rule(data=st.data(), again=st.booleans())
     def land_late(self, data, again):
-        copy = data.draw(st.sampled_from(self.late))
-        self.log[copy.stream].land(copy.payloads)
+        in_flight = data.draw(st.sampled_from(self.late))
+        self.log[in_flight.stream].land(in_flight.payloads)
         if not again:
-            self.late.remove(copy)
+            self.late.remove(in_flight)
 
     @rule(name=names, stream=streams, count=st.integers(1, 20))
     def read(self, name, stream, count):
@@ -167,11 +172,11 @@
     def carry(self, name, stream):
         self.run_well(name)
         if self.nodes[name].ports[stream].ready and self.log[stream].end:
-            self.nodes[name].carry(stream)
+            self.nodes[name].append_snapshot(stream)
 
     @rule(stream=streams, keep=st.integers(0, 12), wild=st.integers(0, 19))
     def trim(self, stream, keep, wild):
-        """Let records expire, mostly but not always behind a snapshot."""
+        """Let records expire, mostly but not always those before a snapshot."""
         log = self.log[stream]
         first = log.end - keep
         if wild != 13:
@@ -183,8 +188,8 @@
         if chance != 2:
             return
         for port in self.nodes[name].ports.values():
-            if port.copy is not None:
-                self.late.append(port.copy)
+            if port.in_flight is not None:
+                self.late.append(port.in_flight)
         self._start(name)
 
     @rule(name=names, peer=names, stream=streams)
@@ -199,14 +204,14 @@
         for node in self.nodes.values():
             node.step_claims()
 
-    # -- what must hold --------------------------------------------------
+    # -- invariants ------------------------------------------------------
 
     @invariant()
     def every_reader_reaches_the_same_state(self):
         for node in self.nodes.values():
             for port in node.ports.values():
                 expected = port.log.history[port.state.next_offset]
-                assert facts(port.state) == expected
+                assert comparable_state(port.state) == expected
 
     @invariant()
     def version_never_falls(self):
@@ -219,15 +224,17 @@
     def what_callers_were_told_is_true(self):
         for ticket in self.tickets:
             applied = ticket.verdict is Verdict.APPLIED
-            if ticket.told == "never" or (ticket.told == "applied" and not applied):
-                # Neither "not recorded" nor a conflict with one's own record.
+            if ticket.reported == "never" or (
+                ticket.reported == "applied" and not applied
+            ):
+                # Neither "not recorded" nor a conflict with the own record.
                 assert not self._was_applied(ticket.body)
-            if ticket.told == "applied" and ticket.offset >= 0:
+            if ticket.reported == "applied" and ticket.offset >= 0:
                 verdict = self.log["config"].verdicts[ticket.offset]
                 assert verdict is ticket.verdict is not Verdict.REPEATED
 
     def _was_applied(self, body):
-        """Whether a record that only one ticket asked for was applied."""
+        """Whether a record that only one ticket submitted was applied."""
         log = self.log["config"]
         sole = sum(t.body == body for t in self.tickets) == 1
         return sole and (body, Verdict.APPLIED) in zip(
@@ -235,12 +242,12 @@
         )
 
     def _settle_everything(self):
-        """Once the log is well again, nobody waits forever or is voided."""
+        """Once the log is healthy again, no submitter waits forever."""
         for stream, log in self.log.items():
             for node in self.nodes.values():
                 port = node.ports[stream]
-                if port.copy is not None:
-                    port.copy = None
+                if port.in_flight is not None:
+                    port.in_flight = None
                     port.outbox.note_unknown()
             for _ in range(40):
                 for name in NAMES:
@@ -266,7 +273,7 @@
 
 @pytest.mark.proof
 def test_log_machine_at_length():
-    """The same machine with many more orders of events."""
+    """Run the machine with many more examples."""
     from hypothesis.stateful import run_state_machine_as_test
 
     run_state_machine_as_test(
--- a/tests/state/test_snapshot_equivalence.py
+++ b/tests/state/test_snapshot_equivalence.py
@@ -1,4 +1,4 @@
-"""A snapshot and the records after it give the same as all records."""
+"""A snapshot and the records after it give the same state as all records."""
 
 from unittest import mock
 
@@ -30,7 +30,7 @@
     encode_envelope,
 )
 from firhook.state import CellState, ConfigState, OnceState, _cell
-from tests.state.world import facts
+from tests.state.world import comparable_state
 
 ZONES = ("lisboa", "porto")
 zones = st.sampled_from(ZONES)
@@ -89,10 +89,10 @@
 }
 
 
-def fitted(state, body):
-    """Return a record as somebody who has read the state would write it.
+def fit_to_state(state, body):
+    """Return a record adjusted to the state, like one of an up-to-date writer.
 
-    Drawn at random alone, nearly every record is in conflict with the state.
+    Nearly every purely random record conflicts with the state.
     """
     if isinstance(body, RowsChanged):
         return attrs.evolve(body, base=state.version)
@@ -120,10 +120,10 @@
 @settings(max_examples=200)
 @given(data=st.data())
 def test_snapshot_and_the_rest_give_the_same_as_all(stream, data):
-    """One instance read every record, another started from a snapshot.
+    """One instance reads every record, another starts from a snapshot.
 
-    If the snapshot left anything out, the two would decide differently on the
-    same later record, and both would act on it.
+    If the snapshot omitted anything, the two would reach different verdicts on the
+    same later record and act on them.
     """
     make, bodies = STATES[stream]
     records = data.draw(st.lists(bodies, min_size=5, max_size=30))
@@ -138,13 +138,13 @@
     ):
         full, late = make(), make()
         for offset, drawn in enumerate(records):
-            body = fitted(full, drawn) if offset % 5 else drawn
+            body = fit_to_state(full, drawn) if offset % 5 else drawn
             payload = encode_envelope(Envelope("i#1", offset + 1, body))
             verdict = full.apply(offset, decode_envelope(payload))
             if offset >= cut:
                 assert late.apply(offset, decode_envelope(payload)) is verdict
             elif offset + 1 == cut:
                 late.from_text(cut, full.to_text())
-                assert facts(late) == facts(full)
+                assert comparable_state(late) == comparable_state(full)
         assert full.fault == ""
-        assert facts(late) == facts(full)
+        assert comparable_state(late) == comparable_state(full)
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots in chunks are put together from whole sets only."""
+"""Snapshots are assembled from complete sets of chunks only."""
 
 import pytest
 from hypothesis import given
@@ -13,7 +13,7 @@
 
 
 @given(st.text(max_size=100), st.integers(1, 40))
-def test_split_text_is_put_together_again(text, size):
+def test_split_text_is_reassembled(text, size):
     old, _snapshots.CHUNK_CHARS = _snapshots.CHUNK_CHARS, size
     try:
         chunks = split_snapshot(7, text + "x")
@@ -26,10 +26,10 @@
 
 
 def test_parts_of_two_senders_make_no_snapshot():
-    """Two instances carry a state forward at once, and each dies half-way.
+    """Two instances append snapshots at once, and each dies half-way.
 
-    Their texts may name the same things in another order.  Half of one and
-    half of the other would lose some and double others.
+    Their texts may order entries differently, so a combination of two halves could
+    lose some entries and duplicate others.
     """
     first, last = split_snapshot(9, TEXT)
     rebuild = SnapshotFinder(0)
@@ -39,7 +39,7 @@
 
 
 def test_snapshot_whose_following_records_expired_is_of_no_use():
-    """The chunks are kept, but records between them and their offset are not."""
+    """The chunks are retained, but records after their offset have expired."""
     rebuild = SnapshotFinder(10)
     assert rebuild.add("a#1", SnapshotChunk(9, 0, 1, "{}")) is None
     assert rebuild.add("a#1", SnapshotChunk(10, 0, 1, "{}")).upto == 10
@@ -47,9 +47,9 @@
 
 @pytest.mark.parametrize("offset", [1, 9])
 def test_older_lists_are_never_loaded(offset):
-    """A snapshot that a peer or a writer gives is older than what is in force.
+    """A snapshot of a peer or a writer is older than the state.
 
-    Whether its offset says so, or only the version in it, no list goes back.
+    It must be refused whether its offset shows that or only its version.
     """
     state = ConfigState()
     feed(state, RowsChanged(0, (SMALL,)))
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -1,4 +1,4 @@
-"""Attempts as the log has them: the same at every reader, and bounded."""
+"""States of zones and of jobs: equal at every reader, and bounded."""
 
 import msgspec
 from hypothesis import given
@@ -77,10 +77,10 @@
 
 @given(st.lists(BODIES, max_size=40), st.lists(BODIES, max_size=10))
 def test_a_snapshot_goes_on_like_the_state_it_was_taken_of(before, after):
-    """An instance boots from a snapshot in the middle of a night's work.
+    """An instance starts from a snapshot instead of all records.
 
-    Were anything that later verdicts depend on missing from it, this instance
-    would show other steps and place other tasks than its peers.
+    If the snapshot omitted anything that later verdicts depend on, this instance would
+    record other notes and place other tasks than its peers.
     """
     state, booted = ZoneState("z"), ZoneState("z")
     apply_all(state, before)
@@ -114,7 +114,7 @@
     ]
 
 
-def test_a_zone_forgets_what_was_closed_longest_ago():
+def test_a_zone_deletes_the_jobs_closed_longest_ago():
     state = ZoneState("z")
     bodies = []
     for i in range(MAX_CLOSED + 5):
@@ -139,10 +139,9 @@
 
 
 def test_ended_jobs_are_bounded_and_their_ids_still_known():
-    """A script submits last week's job again.
+    """A job is submitted again after its entry was deleted.
 
-    Its record is long gone from the lists.  Were its id gone too, the job
-    would run a second time.
+    If its id were deleted as well, the job would run a second time.
     """
     state = ended_cell(MAX_ENDED + 3)
     assert len(state.jobs) == MAX_ENDED
