--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -509,7 +509,7 @@
         config = world.kernel.states.config
         plans = parse_list("plans", "[p]\nshare=3\nlimit=9\n[q]\nshare=1\nlimit=9\n")
         teams = parse_list("teams", "[a]\nplan=p\n[b]\nplan=q\n")
-        config.rows, config.plans, config.teams = config._merged(plans + teams)
+        config.rows, config.plans, config.teams = config._merge_rows(plans + teams)
         world.gateway._rebalance(world.kernel.clock())
         weights = world.gateway._services["svc"].weights
         assert weights == {"a": 3.0, "b": 1.0}
