--- a/src/firhook/ops/__init__.py
+++ b/src/firhook/ops/__init__.py
@@ -3,7 +3,7 @@
 from firhook.ops._config import ConfigRoutes
 from firhook.ops._events import EventRoutes
 from firhook.ops._health import HealthRoutes
-from firhook.ops._metrics import MetricRoutes, render
+from firhook.ops._metrics import MetricRoutes, render_metrics
 from firhook.ops._reports import ReportRoutes
 
 __all__ = [
@@ -12,5 +12,5 @@
     "HealthRoutes",
     "MetricRoutes",
     "ReportRoutes",
-    "render",
+    "render_metrics",
 ]
--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -51,7 +51,7 @@
             raise RequestMalformedError(
                 "give 'base', the version the change is made from"
             )
-        rows = self._rows(data)
+        rows = self._changed_rows(data)
         if not rows and base == self.states.config.version:
             # Applying the same files again is common in scripts; it must not
             # cost an append nor make other operators' bases old.
@@ -59,7 +59,7 @@
         version = await self.bus.ask(ChangeRows(base, rows, who.key_id))
         return json_response({"version": version})
 
-    def _rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
+    def _changed_rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
         """Return the rows that differ between the lists given and in force."""
         if "rows" in data:
             try:
--- a/src/firhook/ops/_events.py
+++ b/src/firhook/ops/_events.py
@@ -29,14 +29,14 @@
 
 #: Steps kept for those who connect later: a few minutes at 62 starts a second
 #: over seven zones, in under 2 MB.
-KEPT_STEPS = 2000
+MAX_KEPT_STEPS = 2000
 #: Listeners beyond this are refused, so that forgotten ones cannot add up.
 MAX_LISTENERS = 16
 MAX_WAIT_S = 300.0
 
 
 @attrs.frozen(slots=True)
-class Step:
+class RepairStep:
     """One repair step as operators see it.
 
     :param seq: rises by one with each step at this instance.
@@ -53,7 +53,7 @@
     detail: str
 
 
-def describe(body: Any) -> Iterable[tuple[str, str, str]]:
+def describe_steps(body: Any) -> Iterable[tuple[str, str, str]]:
     """Return kind, subject and detail of each step that a record stands for."""
     if isinstance(body, Assigned):
         for item in body.items:
@@ -85,9 +85,9 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._steps: deque[Step] = deque(maxlen=KEPT_STEPS)
+        self._steps: deque[RepairStep] = deque(maxlen=MAX_KEPT_STEPS)
         self._seq = 0
-        self._grown = asyncio.Event()
+        self._steps_added = asyncio.Event()
         self._listeners = 0
         self.bus.subscribe(RecordApplied, self._on_record)
 
@@ -102,18 +102,18 @@
     def _on_record(self, event: RecordApplied) -> None:
         if event.verdict is not Verdict.APPLIED:
             return
-        for kind, subject, detail in describe(event.envelope.body):
+        for kind, subject, detail in describe_steps(event.envelope.body):
             self._seq += 1
             self._steps.append(
-                Step(self._seq, event.stream, event.offset, kind, subject, detail)
+                RepairStep(self._seq, event.stream, event.offset, kind, subject, detail)
             )
-        self._grown.set()
+        self._steps_added.set()
 
     async def _get_events(self, req: web.Request) -> web.StreamResponse:
         """Stream the steps after ``after``, waiting ``wait`` seconds for more."""
         await require_operator(self.bus, req)
-        after = _number(req, "after", 0, 2**53)
-        wait_s = _number(req, "wait", 0, MAX_WAIT_S)
+        after = _parse_number(req, "after", 0, 2**53)
+        wait_s = _parse_number(req, "wait", 0, MAX_WAIT_S)
         if self._listeners >= MAX_LISTENERS:
             raise RequestMalformedError(f"{MAX_LISTENERS} listeners are connected")
         resp = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
@@ -131,20 +131,20 @@
     async def _stream(
         self, resp: web.StreamResponse, after: int, wait_s: float
     ) -> None:
-        give_up = self.kernel.clock() + wait_s
+        deadline = self.kernel.clock() + wait_s
         while True:
             for step in [s for s in self._steps if s.seq > after]:
                 await resp.write(msgspec.json.encode(step) + b"\n")
                 after = step.seq
-            left = give_up - self.kernel.clock()
-            if left <= 0 or self.kernel.stopping:
+            remaining_s = deadline - self.kernel.clock()
+            if remaining_s <= 0 or self.kernel.stopping:
                 return
-            self._grown.clear()
+            self._steps_added.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._grown.wait(), min(left, 1.0))
+                await asyncio.wait_for(self._steps_added.wait(), min(remaining_s, 1.0))
 
 
-def _number(req: web.Request, name: str, low: float, high: float) -> float:
+def _parse_number(req: web.Request, name: str, low: float, high: float) -> float:
     text = req.query.get(name, "0")
     try:
         value = float(text)
--- a/src/firhook/ops/_metrics.py
+++ b/src/firhook/ops/_metrics.py
@@ -19,7 +19,7 @@
 CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
-class _Snapshot(Collector):
+class _KernelCollector(Collector):
     """Reads this instance's counters when they are asked for.
 
     Nothing is counted twice: a request only adds to the counters that the
@@ -35,7 +35,7 @@
     def collect(self) -> Iterable[Metric]:
         """Return all metrics."""
         stats = self._kernel.stats
-        yield self._waits()
+        yield self._wait_summary()
         refused = CounterMetricFamily(
             "firhook_refusals", "Requests refused, by code.", labels=["code"]
         )
@@ -43,8 +43,8 @@
             refused.add_metric([code], count)
         yield refused
         for name, count in sorted(stats.counters.items()):
-            text = f"Count of {name.replace('_', ' ')}."
-            yield CounterMetricFamily(f"firhook_{name}", text, value=count)
+            help_text = f"Count of {name.replace('_', ' ')}."
+            yield CounterMetricFamily(f"firhook_{name}", help_text, value=count)
         sent, received = self._kernel.mesh_traffic()
         yield CounterMetricFamily(
             "firhook_mesh_sent_bytes", "Bytes sent to peers.", value=sent
@@ -53,10 +53,10 @@
             "firhook_mesh_received_bytes", "Bytes received from peers.", value=received
         )
         yield from self._team_gauges()
-        for (name, text), value in self._gauges.items():
-            yield GaugeMetricFamily(f"firhook_{name}", text, value=value)
+        for (name, help_text), value in self._gauges.items():
+            yield GaugeMetricFamily(f"firhook_{name}", help_text, value=value)
 
-    def _waits(self) -> Metric:
+    def _wait_summary(self) -> Metric:
         stats = self._kernel.stats
         waits = SummaryMetricFamily(
             "firhook_request_wait_seconds",
@@ -83,10 +83,10 @@
         yield waiting
 
 
-def render(kernel: Kernel, gauges: dict[tuple[str, str], float]) -> bytes:
+def render_metrics(kernel: Kernel, gauges: dict[tuple[str, str], float]) -> bytes:
     """Return all metrics as text, from a registry of this call's own."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Snapshot(kernel, gauges))
+    registry.register(_KernelCollector(kernel, gauges))
     return generate_latest(registry)
 
 
@@ -120,5 +120,6 @@
             ("stopping", "1 once a graceful stop has begun."): self.kernel.stopping,
         }
         return web.Response(
-            body=render(self.kernel, gauges), headers={"Content-Type": CONTENT_TYPE}
+            body=render_metrics(self.kernel, gauges),
+            headers={"Content-Type": CONTENT_TYPE},
         )
--- a/src/firhook/ops/_reports.py
+++ b/src/firhook/ops/_reports.py
@@ -52,7 +52,7 @@
             *(self.bus.ask(AskPeer(m.name, StatsAsk())) for m in members),
             return_exceptions=True,
         )
-        told, missing = [self.cfg.name], []
+        answered, missing = [self.cfg.name], []
         for member, answer in zip(members, answers, strict=True):
             if isinstance(answer, PeerUnreachableError):
                 log("report.peer_missing", level="warning", peer=member.name)
@@ -61,13 +61,13 @@
             if isinstance(answer, BaseException):
                 raise answer
             fleet.merge(msgspec.json.decode(answer.data))
-            told.append(member.name)
+            answered.append(member.name)
             # Merging all answers in one go would hold the loop for most of a
             # second in a large cell, and a stall voids every lease.
             await asyncio.sleep(0)
         config = self.states.config
         plans = {team: config.plans[t.plan] for team, t in config.teams.items()}
-        return burn_report(fleet, plans, told, missing)
+        return burn_report(fleet, plans, answered, missing)
 
     async def _get_report(self, req: web.Request) -> web.Response:
         await require_operator(self.bus, req)
--- a/src/firhook/roles/_adopter.py
+++ b/src/firhook/roles/_adopter.py
@@ -27,7 +27,7 @@
 from firhook.state import Rebuild, Snapshot, ZoneState
 
 #: Attempts in one record, about 50 kB.
-MAX_CARRIED = 500
+MAX_ATTEMPTS_PER_RECORD = 500
 
 
 class Adopter:
@@ -72,12 +72,12 @@
         """
         seen = self._cell.leads[zone].offset
         job_ids = [entry.job.key for entry in self._cell.jobs_of(zone)]
-        giver = await read_zone(self._kernel.platform.log, zone)
+        giver = await read_zone_state(self._kernel.platform.log, zone)
         items = carried(giver, job_ids)
         ask = self._kernel.bus.ask
         own = self._kernel.cfg.zone
-        for i in range(0, len(items), MAX_CARRIED):
-            part = tuple(items[i : i + MAX_CARRIED])
+        for i in range(0, len(items), MAX_ATTEMPTS_PER_RECORD):
+            part = tuple(items[i : i + MAX_ATTEMPTS_PER_RECORD])
             await ask(Append(f"zone.{own}", TasksCarried(epoch, zone, part)))
         applied = await ask(Append("cell", JobsAdopted(zone, own, epoch, seen)))
         log(
@@ -89,7 +89,7 @@
         )
 
 
-async def read_zone(service: LogService, zone: str) -> ZoneState:
+async def read_zone_state(service: LogService, zone: str) -> ZoneState:
     """Return the state of another zone, read from its stream.
 
     Where its first records have expired, a snapshot that the stream carries
@@ -120,12 +120,12 @@
             if rebuild is not None and isinstance(chunk, SnapshotChunk):
                 snapshot = rebuild.add(envelope.lane, chunk)
                 if snapshot is not None:
-                    state, rebuild = _started_from(zone, snapshot, kept), None
+                    state, rebuild = _state_from_snapshot(zone, snapshot, kept), None
         if not page.entries or offset >= page.end:
             return state
 
 
-def _started_from(
+def _state_from_snapshot(
     zone: str, snapshot: Snapshot, kept: list[tuple[int, Envelope]]
 ) -> ZoneState:
     """Return a snapshot's state with the records after it applied."""
--- a/src/firhook/roles/_fold.py
+++ b/src/firhook/roles/_batcher.py
@@ -6,12 +6,12 @@
 from firhook.tasks import log_failure
 
 #: How long the first of a wave waits for others.
-WINDOW_S = 0.1
+BATCH_WINDOW_S = 0.1
 #: Names in one record, about 20 kB.
-MAX_FOLDED = 500
+MAX_BATCH_SIZE = 500
 
 
-class Folder:
+class Batcher:
     """Collects names for a moment and hands them on together.
 
     Cancellations arrive in waves, when a team stops a season's planning with
@@ -24,19 +24,19 @@
     def __init__(self, send: Callable[[tuple[str, ...]], Awaitable[None]]) -> None:
         self._send = send
         self._names: list[str] = []
-        self._wave: asyncio.Future[None] | None = None
+        self._batch: asyncio.Future[None] | None = None
 
     async def add(self, name: str) -> None:
         """Hand a name on with its wave; the wave's error reaches every caller."""
-        if self._wave is None or len(self._names) >= MAX_FOLDED:
+        if self._batch is None or len(self._names) >= MAX_BATCH_SIZE:
             self._names = []
-            self._wave = asyncio.ensure_future(self._carry(self._names))
-            self._wave.add_done_callback(log_failure("wave.failed", level="warning"))
+            self._batch = asyncio.ensure_future(self._flush(self._names))
+            self._batch.add_done_callback(log_failure("wave.failed", level="warning"))
         self._names.append(name)
-        await asyncio.shield(self._wave)
+        await asyncio.shield(self._batch)
 
-    async def _carry(self, names: list[str]) -> None:
-        await asyncio.sleep(WINDOW_S)
+    async def _flush(self, names: list[str]) -> None:
+        await asyncio.sleep(BATCH_WINDOW_S)
         if self._names is names:
-            self._wave = None
+            self._batch = None
         await self._send(tuple(dict.fromkeys(names)))
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -31,7 +31,7 @@
     to_builtins,
 )
 from firhook.queries import CheckFresh
-from firhook.roles._fold import Folder
+from firhook.roles._batcher import Batcher
 from firhook.roles._zone_lead import ZoneLead
 
 
@@ -43,7 +43,7 @@
         """Offer the jobs' routes."""
         self._workers: tuple[Endpoint, ...] = ()
         self._lead = ZoneLead(self.kernel)
-        self._cancels = Folder(self._append_cancels)
+        self._cancel_batcher = Batcher(self._append_cancels)
         self.kernel.routes["api"] += [
             web.post("/v1/jobs", self._post_job),
             web.get("/v1/jobs", self._list_jobs),
@@ -74,7 +74,7 @@
         plan = self.states.config.plan_of(who.team)
         if plan is None:
             raise NotPermittedError(f"team {who.team!r} is not in the list")
-        check_possible(spec, plan)
+        check_plan_allows(spec, plan)
         zone = choose_zone(spec, self._workers, self.cfg.zone)
         body = JobAccepted(spec, zone, round(time.time(), 3))
         applied = await self.bus.ask(Append("cell", body))
@@ -86,7 +86,7 @@
 
     # -- looking ----------------------------------------------------------------
 
-    async def _visible(self, req: web.Request) -> str:
+    async def _visible_team(self, req: web.Request) -> str:
         who = await principal(self.bus, req)
         team = req.query.get("team", who.team)
         if not who.operator and team != who.team:
@@ -94,7 +94,7 @@
         return team
 
     async def _list_jobs(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
+        team = await self._visible_team(req)
         jobs = [
             {
                 **to_builtins(e.job),
@@ -107,21 +107,21 @@
         ]
         return json_response({"jobs": jobs})
 
-    def _key(self, team: str, job_id: str) -> str:
+    def _require_job_key(self, team: str, job_id: str) -> str:
         key = f"{team}/{job_id}"
         if key not in self.states.cell.jobs:
             raise JobUnknownError(f"job {job_id!r} of team {team!r}")
         return key
 
     async def _get_job(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
-        key = self._key(team, req.match_info["job_id"])
+        team = await self._visible_team(req)
+        key = self._require_job_key(team, req.match_info["job_id"])
         zone = self.states.cell.jobs[key].zone
         if zone != self.cfg.zone:
-            return json_response(await self._far_view(key, zone))
-        return json_response(self._view(key))
+            return json_response(await self._remote_view(key, zone))
+        return json_response(self._local_view(key))
 
-    def _view(self, key: str) -> dict[str, Any]:
+    def _local_view(self, key: str) -> dict[str, Any]:
         entry = self.states.cell.jobs[key]
         tasks = self.states.zone.tasks.get(key, {})
         return {
@@ -133,7 +133,7 @@
             "steps": self.states.zone.notes.get(key, []),
         }
 
-    async def _far_view(self, key: str, zone: str) -> dict[str, Any]:
+    async def _remote_view(self, key: str, zone: str) -> dict[str, Any]:
         """Return the view of the zone that places the job.
 
         If nobody there answers, what is known here is told, and so is that
@@ -144,29 +144,29 @@
             answer = await self.bus.ask(AskPeer(peer, JobInquiry(key)))
             view = msgspec.json.decode(answer.view)
         except (FirhookError, msgspec.MsgspecError, AttributeError):
-            view = self._view(key)
+            view = self._local_view(key)
             view["steps"] = [f"zone {zone} does not answer: ask again later"]
         return view
 
     async def _on_inquiry(self, ask: JobInquiry) -> JobInquiryAnswer:
         if ask.job_id not in self.states.cell.jobs:
             raise JobUnknownError(f"job {ask.job_id!r}")
-        view = msgspec.json.encode(self._view(ask.job_id)).decode()
+        view = msgspec.json.encode(self._local_view(ask.job_id)).decode()
         return JobInquiryAnswer(ask.job_id, view)
 
     # -- cancelling ----------------------------------------------------------------
 
     async def _delete_job(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
-        key = self._key(team, req.match_info["job_id"])
-        await self._cancels.add(key)
+        team = await self._visible_team(req)
+        key = self._require_job_key(team, req.match_info["job_id"])
+        await self._cancel_batcher.add(key)
         return json_response({"job": key, "cancelled": True}, status=202)
 
     async def _append_cancels(self, keys: tuple[str, ...]) -> None:
         await self.bus.ask(Append("cell", JobCancelled(keys)))
 
 
-def check_possible(spec: JobSpec, plan: Plan) -> None:
+def check_plan_allows(spec: JobSpec, plan: Plan) -> None:
     """Refuse at once what the team's plan can never allow.
 
     :raises NotPermittedError: if the plan has no urgent work.
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -47,7 +47,7 @@
 _NOT_READY_RETRY_S = 1.0
 
 
-def digest_of(key: str) -> str:
+def digest_key(key: str) -> str:
     """Return the digest under which a key is kept."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
@@ -104,7 +104,7 @@
             raise NotPermittedError(f"team {query.team!r} is not in the list")
         key = f"fk_{secrets.token_urlsafe(24)}"
         key_id = secrets.token_hex(6)
-        record = KeyGiven(key_id, query.team, digest_of(key))
+        record = KeyGiven(key_id, query.team, digest_key(key))
         applied = await self.bus.ask(Append("config", record, urgent=True))
         if applied.verdict is not Verdict.APPLIED:
             raise LogOutcomeUnknownError(f"key {key_id} was not taken", ran="no")
@@ -123,7 +123,7 @@
         scheme, _, key = query.authorization.partition(" ")
         if scheme.lower() != "bearer" or not key.strip():
             raise KeyMissingError("no bearer key in the Authorization header")
-        digest = digest_of(key.strip())
+        digest = digest_key(key.strip())
         if secrets.compare_digest(digest, self.cfg.operator_digest):
             return Principal("root", "")
         if not await self.bus.ask(StreamReady("config")):
@@ -132,13 +132,13 @@
                 retry_after_s=_NOT_READY_RETRY_S,
             )
         entry = self.states.config.find_key(digest)
-        await self._require(Served.IDEMPOTENT)
+        await self._require_fresh(Served.IDEMPOTENT)
         return Principal(entry.key_id, entry.team)
 
     async def _check_fresh(self, query: CheckFresh) -> None:
-        await self._require(Served.IDEMPOTENT if query.idempotent else Served.ALL)
+        await self._require_fresh(Served.IDEMPOTENT if query.idempotent else Served.ALL)
 
-    async def _require(self, wanted: Served) -> None:
+    async def _require_fresh(self, wanted: Served) -> None:
         age_s = await self._view_age()
         if served(self._policy, age_s) < wanted:
             raise ZoneStaleError(
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -43,9 +43,9 @@
 from firhook.tasks import log_failure
 
 #: How often waiting requests are looked through for those to give up.
-_TICK_S = 0.05
+_TICK_INTERVAL_S = 0.05
 #: A request cut by its runner's end or by its timeout.
-_SEND_ERRORS = (NoEndpointError, EndpointFailedError)
+_RESENDABLE_ERRORS = (NoEndpointError, EndpointFailedError)
 
 
 @register_role("gateway")
@@ -58,10 +58,10 @@
         self._fleet = FleetView(
             self.cfg.name, self.cfg.member_timeout_s, self.kernel.clock()
         )
-        self._callers = 0
-        self._late: set[asyncio.Task[Any]] = set()
-        self._late_keys: set[str] = set()
-        self._balanced = -1e9
+        self._open_requests = 0
+        self._late_exchanges: set[asyncio.Task[Any]] = set()
+        self._late_once_keys: set[str] = set()
+        self._rebalanced_at = -1e9
         self._jitter = 0.5
         self._runner: Any = None
         self._site: Any = None
@@ -70,8 +70,8 @@
             web.route("*", "/r/{service}/{path:.*}", self._handle)
         )
         self.bus.subscribe(InstancesListed, self._on_instances)
-        self.bus.subscribe(RoomChanged, lambda event: self._pump())
-        self.bus.subscribe(PeerMessage, self._on_peer)
+        self.bus.subscribe(RoomChanged, lambda event: self._dispatch())
+        self.bus.subscribe(PeerMessage, self._on_peer_message)
 
     async def on_started(self) -> None:
         """Listen for callers."""
@@ -91,23 +91,23 @@
         if self._site is not None:
             await self._site.stop()
         deadline = self.kernel.clock() + self.cfg.drain_max_s
-        while self._callers and self.kernel.clock() < deadline:
+        while self._open_requests and self.kernel.clock() < deadline:
             await asyncio.sleep(0.02)
-        self._refuse_waiting()
+        self._reject_waiting()
         if self._runner is not None:
             await wait_let_go(self._runner, self.cfg.drain_idle_s)
-        if self._late:
+        if self._late_exchanges:
             # A keyed request's outcome is worth storing though its caller has
             # been told that it is unknown: the repeat will ask for it.
             left_s = max(deadline - self.kernel.clock(), 0.1)
-            await asyncio.wait(self._late, timeout=left_s)
+            await asyncio.wait(self._late_exchanges, timeout=left_s)
 
-    def _refuse_waiting(self) -> None:
+    def _reject_waiting(self) -> None:
         for service in self._services.values():
             for item in list(service.queue):
                 service.queue.remove(item)
                 exc = StoppingError("the instance is stopping", retry_after_s=0.0)
-                _refuse(item.token.fut, exc)
+                _reject(item.token.fut, exc)
 
     async def on_stop(self) -> None:
         """Close what is left."""
@@ -118,7 +118,7 @@
     # -- from a caller to a runner and back ------------------------------
 
     async def _handle(self, req: web.Request) -> web.StreamResponse:
-        self._callers += 1
+        self._open_requests += 1
         call: Call | None = None
         try:
             call = await read_call(
@@ -138,7 +138,7 @@
                 resp.force_close()
             return resp
         finally:
-            self._callers -= 1
+            self._open_requests -= 1
 
     async def _answer(self, call: Call) -> EndpointResponse:
         if not call.once_key:
@@ -153,7 +153,7 @@
         except BaseException as exc:
             if isinstance(exc, FirhookError) and exc.ran == "no":
                 await self.bus.ask(OnceGiveBack(key))
-            elif key not in self._late_keys:
+            elif key not in self._late_once_keys:
                 self.bus.publish(OnceLost(key))
             raise
         await self.bus.ask(OnceFinish(key, answer))
@@ -176,7 +176,7 @@
                 # Whatever a later try met, an earlier one may have been run,
                 # and the caller must not be told that it was not.
                 may_have_run = may_have_run or exc.ran != "no"
-                cut = isinstance(exc, _SEND_ERRORS) and len(tried) > 0
+                cut = isinstance(exc, _RESENDABLE_ERRORS) and len(tried) > 0
                 again = cut and may_resend(call.idempotent, exc.ran, len(tried))
                 if again and service.has_untried(tried) and service.budget.take():
                     continue
@@ -204,7 +204,7 @@
         item.tried = list(tried)
         item.allowed_s = allowed_s
         service.admit(item, now, random.random())
-        self._pump()
+        self._dispatch()
         placed = await waiter.fut
         tried.append(placed.view.key)
         return placed
@@ -224,26 +224,26 @@
         try:
             done, _ = await asyncio.wait({exchange}, timeout=left_s)
         except asyncio.CancelledError:
-            self._keep_late(exchange, once_key)
+            self._track_late_exchange(exchange, once_key)
             raise
         if done:
             return exchange.result()
-        self._keep_late(exchange, once_key)
+        self._track_late_exchange(exchange, once_key)
         raise EndpointTimeoutError(
             f"{placed.view.endpoint.name}: no answer in time",
             retry_after_s=1.0,
         )
 
-    def _keep_late(
+    def _track_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
-        self._late_keys.add(once_key)
-        late = asyncio.create_task(self._finish_late(exchange, once_key))
-        self._late.add(late)
-        late.add_done_callback(self._late.discard)
+        self._late_once_keys.add(once_key)
+        late = asyncio.create_task(self._settle_late_exchange(exchange, once_key))
+        self._late_exchanges.add(late)
+        late.add_done_callback(self._late_exchanges.discard)
         late.add_done_callback(log_failure("exchange.not_settled"))
 
-    async def _finish_late(
+    async def _settle_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
         """Wait for the end of an exchange whose caller was told "unknown".
@@ -261,7 +261,7 @@
             if once_key:
                 await self.bus.ask(OnceFinish(once_key, answer))
         finally:
-            self._late_keys.discard(once_key)
+            self._late_once_keys.discard(once_key)
 
     async def _exchange(
         self, service: Dispatcher, call: Call, placed: Placed, once_key: str
@@ -282,13 +282,13 @@
             service.router.failed(view, self.kernel.clock())
             raise
         else:
-            self._learn(service, call, placed, answer)
+            self._record_answer(service, call, placed, answer)
             return answer
         finally:
             service.end(placed, self.kernel.clock())
-            self._pump()
+            self._dispatch()
 
-    def _learn(
+    def _record_answer(
         self, service: Dispatcher, call: Call, placed: Placed, answer: EndpointResponse
     ) -> None:
         now = self.kernel.clock()
@@ -307,17 +307,17 @@
 
     # -- the queue ---------------------------------------------------------
 
-    def _pump(self) -> None:
+    def _dispatch(self) -> None:
         """Give free slots to waiting requests."""
         now = self.kernel.clock()
         for service in self._services.values():
             while (placed := service.take(now, self._jitter)) is not None:
                 waiter = placed.item.token
                 if isinstance(placed, GivenUp):
-                    _refuse(waiter.fut, placed.exc)
+                    _reject(waiter.fut, placed.exc)
                 elif waiter.call.gone or waiter.fut.done():
                     service.end(placed, now)
-                    _refuse(waiter.fut, CallerGoneError("its turn had come"))
+                    _reject(waiter.fut, CallerGoneError("its turn had come"))
                 else:
                     waiter.fut.set_result(placed)
             for team in service.roomless():
@@ -334,28 +334,28 @@
                 # One request that upsets a round must not end the rounds of all
                 # others: waiting requests would be held past their deadlines.
                 log("gateway.tick_failed", level="error", error=repr(exc))
-            await self.sleep(_TICK_S)
+            await self.sleep(_TICK_INTERVAL_S)
 
     def _tick(self, now: float) -> None:
         for service in self._services.values():
             for item in list(service.queue):
                 if item.token.call.gone:
                     service.queue.remove(item)
-                    _refuse(item.token.fut, CallerGoneError("it was waiting"))
+                    _reject(item.token.fut, CallerGoneError("it was waiting"))
             self._jitter = random.random()
             for given_up in service.sweep(now, self._jitter):
-                _refuse(given_up.item.token.fut, given_up.exc)
+                _reject(given_up.item.token.fut, given_up.exc)
         self._fleet.note(
             self.kernel.account, self._services.values(), self.kernel.load, now
         )
-        if now - self._balanced >= REBALANCE_S:
+        if now - self._rebalanced_at >= REBALANCE_S:
             self._rebalance(now)
-        self._pump()
+        self._dispatch()
 
     # -- what is known of the fleet ----------------------------------------
 
     def _rebalance(self, now: float) -> None:
-        self._balanced = now
+        self._rebalanced_at = now
         use = self._fleet.use(self.kernel.account, self.kernel.load, now)
         config = self.states.config
         shares = {
@@ -382,7 +382,7 @@
         # next round, since the agreement of parts counts in rounds.
         if fresh:
             self._rebalance(now)
-        self._pump()
+        self._dispatch()
 
     def _new_service(self) -> Dispatcher:
         limits = QueueLimits(self.cfg.max_waiting, self.cfg.max_waiting_per_team)
@@ -393,7 +393,7 @@
         if not len(service.queue):
             del self._services[name]
 
-    def _on_peer(self, event: PeerMessage) -> None:
+    def _on_peer_message(self, event: PeerMessage) -> None:
         if not isinstance(event.body, Gossip):
             return
         now = self.kernel.clock()
@@ -413,6 +413,6 @@
     fut: "asyncio.Future[Placed]"
 
 
-def _refuse(fut: "asyncio.Future[Placed]", exc: FirhookError) -> None:
+def _reject(fut: "asyncio.Future[Placed]", exc: FirhookError) -> None:
     if not fut.done():
         fut.set_exception(exc)
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -32,18 +32,18 @@
 
 #: A peer's snapshot goes into one frame; a larger state has to come from the
 #: log, which sends it in chunks.
-MAX_PEER_SNAPSHOT = 3_000_000
+MAX_PEER_SNAPSHOT_CHARS = 3_000_000
 #: Streams whose state a peer's snapshot may give while the log is out.  Claims
 #: of requests are not among them: they are worth nothing without the log.
 PEER_STREAMS = ("config", "cell")
 #: Chunks that are appended together.
-_CHUNKS_AT_ONCE = 4
+_CHUNK_BATCH_SIZE = 4
 _CHUNK_DEADLINE_S = 30.0
-_TICK_S = 1.0
-_PEER_TICK_S = 0.5
+_CHECK_INTERVAL_S = 1.0
+_PEER_CHECK_INTERVAL_S = 0.5
 #: Peers asked for a whole state at once.  All of them would send megabytes to
 #: an instance that needs one; what a further peer has comes by gossip's offset.
-PEERS_AT_ONCE = 3
+MAX_PEER_REQUESTS = 3
 
 
 @register_role("journal")
@@ -54,7 +54,7 @@
         """Offer appends and the log's age."""
         cfg = self.cfg
         budget = AppendRateLimiter(cfg.append_budget_per_s / cfg.instances_expected)
-        self._listed: set[str] = set()
+        self._listed_entries: set[str] = set()
         self.lanes = {
             stream: Lane(
                 stream,
@@ -69,7 +69,7 @@
             for stream, state in self.states.by_stream.items()
         }
         self.bus.register_handler(Append, self._append)
-        self.bus.register_handler(LogAge, self._age)
+        self.bus.register_handler(LogAge, self._log_age)
         self.bus.register_handler(StreamReady, self._stream_ready)
         self.bus.subscribe(InstancesListed, self._on_instances)
 
@@ -84,32 +84,32 @@
     async def _append(self, query: Append) -> Applied:
         return await self.lanes[query.stream].append(query)
 
-    async def _age(self, query: LogAge) -> float:
+    async def _log_age(self, query: LogAge) -> float:
         return self.lanes[query.stream].age_s
 
     async def _stream_ready(self, query: StreamReady) -> bool:
         return self.lanes[query.stream].ready
 
     def _on_instances(self, event: InstancesListed) -> None:
-        self._listed = {e.name for e in event.instances if e.kind == "entry"}
+        self._listed_entries = {e.name for e in event.instances if e.kind == "entry"}
 
     # -- snapshots carried forward ---------------------------------------
 
     @Service.task
-    async def _carry_loop(self) -> None:
+    async def _snapshot_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_TICK_S)
+            await self.sleep(_CHECK_INTERVAL_S)
             for lane in self.lanes.values():
                 try:
-                    if self._carries(lane):
-                        await self._carry(lane)
+                    if self._is_snapshot_due(lane):
+                        await self._append_snapshot(lane)
                 except FirhookError as exc:
                     # Not appended in whole; due again at the next turn.
                     log("snapshot.failed", level="warning", code=exc.code)
                 except Exception as exc:
                     log("snapshot.failed", level="error", error=repr(exc))
 
-    def _carries(self, lane: Lane) -> bool:
+    def _is_snapshot_due(self, lane: Lane) -> bool:
         if not lane.ready or self.kernel.stopping or not lane.stream_state.next_offset:
             return False
         lead = self.states.cell.leads[self.cfg.zone]
@@ -127,13 +127,13 @@
             self.cfg.carry_forward_s,
         )
 
-    async def _carry(self, lane: Lane) -> None:
+    async def _append_snapshot(self, lane: Lane) -> None:
         state = lane.stream_state
         chunks = split_snapshot(state.next_offset, state.to_text())
-        for i in range(0, len(chunks), _CHUNKS_AT_ONCE):
+        for i in range(0, len(chunks), _CHUNK_BATCH_SIZE):
             appends = [
                 lane.append(Append(lane.stream, chunk, _CHUNK_DEADLINE_S))
-                for chunk in chunks[i : i + _CHUNKS_AT_ONCE]
+                for chunk in chunks[i : i + _CHUNK_BATCH_SIZE]
             ]
             outcomes = await asyncio.gather(*appends, return_exceptions=True)
             for outcome in outcomes:
@@ -155,7 +155,7 @@
         if not lane.ready:
             raise NotReadyError(f"{ask.stream} has not been read whole")
         text = lane.stream_state.to_text()
-        if len(text) > MAX_PEER_SNAPSHOT:
+        if len(text) > MAX_PEER_SNAPSHOT_CHARS:
             raise NotReadyError(
                 f"{ask.stream} has {len(text)} characters; read the log"
             )
@@ -164,23 +164,23 @@
     @Service.task
     async def _peer_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_PEER_TICK_S)
+            await self.sleep(_PEER_CHECK_INTERVAL_S)
             for stream in PEER_STREAMS:
                 try:
-                    await self._catch_up(self.lanes[stream])
+                    await self._load_peer_state(self.lanes[stream])
                 except Exception as exc:
                     log("snapshot.peer_failed", level="error", error=repr(exc))
 
-    async def _catch_up(self, lane: Lane) -> None:
+    async def _load_peer_state(self, lane: Lane) -> None:
         """Take over the furthest peer's state if the log does not show it.
 
         A zone that is cut off from the log but not from its peers goes on
         learning of changes this way, and so does an instance that starts
         during an outage.
         """
-        if lane.age_s <= self.cfg.log_poll_s + 2 * _TICK_S:
+        if lane.age_s <= self.cfg.log_poll_s + 2 * _CHECK_INTERVAL_S:
             return
-        peers = await self._peers_to_ask(lane)
+        peers = await self._select_peers(lane)
         asks = [self.bus.ask(AskPeer(p, SnapshotAsk(lane.stream))) for p in peers]
         answers = await asyncio.gather(*asks, return_exceptions=True)
         whole = [a for a in answers if isinstance(a, SnapshotAnswer)]
@@ -191,7 +191,7 @@
                 log("snapshot.from_peer", stream=lane.stream, offset=answer.offset)
                 return
 
-    async def _peers_to_ask(self, lane: Lane) -> set[str]:
+    async def _select_peers(self, lane: Lane) -> set[str]:
         members = await self.bus.ask(Members())
         if lane.ready and lane.stream != "config":
             return set()
@@ -202,7 +202,7 @@
                 if m.gossip.config_offset > lane.stream_state.next_offset
             ]
             return {m.name for m in ahead[:1]}
-        names = self._listed | {m.name for m in members}
+        names = self._listed_entries | {m.name for m in members}
         names |= {str(seed) for seed in self.cfg.seeds}
         names.discard(self.cfg.name)
-        return set(random.sample(sorted(names), min(len(names), PEERS_AT_ONCE)))
+        return set(random.sample(sorted(names), min(len(names), MAX_PEER_REQUESTS)))
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -48,23 +48,23 @@
 )
 
 #: The loop is looked at this often for having stood still.
-_TICK_S = 0.1
+_STALL_CHECK_INTERVAL_S = 0.1
 #: Past this the clock was read before something that took too long to rely
 #: on what was believed then.
-_STALL_S = 0.5
+_STALL_THRESHOLD_S = 0.5
 #: Between two looks at whether the lead is free to claim.
-_LOOK_S = 0.25
+_CLAIM_CHECK_INTERVAL_S = 0.25
 #: Between two renewals that were hurried, so that joining instances cannot
 #: drive the lead over the append budget.
-_HURRY_S = 0.3
+_MIN_RENEW_INTERVAL_S = 0.3
 #: Between two rounds of transfers to other zones.
-_MOVE_EVERY_S = 1.0
+_TRANSFER_INTERVAL_S = 1.0
 #: What gossip may cost an instance in sending, of 14 KB/s for all of control.
 GOSSIP_BYTES_PER_S = 4000.0
 #: Bytes that CURVE, the framing and TCP/IP add to a message.
 TRANSPORT_BYTES = 110
 #: Peers that are remembered; far above any cell, against a flood of names.
-MAX_HEARD = 1000
+MAX_PEERS = 1000
 
 
 @register_role("members")
@@ -75,9 +75,9 @@
         """Offer peers, lead and room."""
         self._mesh: Mesh | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {}
-        self._heard: dict[str, tuple[float, Gossip]] = {}
+        self._last_gossip: dict[str, tuple[float, Gossip]] = {}
         self._addresses: dict[str, str] = {}
-        self._every_s = self.cfg.gossip_s
+        self._gossip_interval_s = self.cfg.gossip_s
         self._was_held = False
         self.leadership = Leadership(self.kernel)
         self.lender = Lender(self.kernel, self.leadership)
@@ -139,10 +139,10 @@
     @Service.task
     async def _gossip_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("gossip", self._gossip_once())
-            await self.sleep(self._every_s)
+            await self._run_step("gossip", self._gossip_once())
+            await self.sleep(self._gossip_interval_s)
 
-    async def _guarded(self, what: str, step: Coroutine[Any, Any, None]) -> None:
+    async def _run_step(self, name: str, step: Coroutine[Any, Any, None]) -> None:
         """Run one step of a loop, so that no error of it ends the loop.
 
         A loop that dies takes the whole daemon with it, or, worse, leaves it
@@ -154,20 +154,22 @@
             log(
                 "members.step_failed",
                 level="warning",
-                step=what,
+                step=name,
                 code=exc.code,
                 detail=exc.detail,
             )
         except Exception as exc:
-            log("members.step_crashed", level="error", step=what, error=repr(exc))
+            log("members.step_crashed", level="error", step=name, error=repr(exc))
 
     async def _gossip_once(self) -> None:
         assert self._mesh is not None
-        size = self._mesh.broadcast(await self._word()) + TRANSPORT_BYTES
+        size = self._mesh.broadcast(await self._build_gossip()) + TRANSPORT_BYTES
         peers = len(self._mesh.addresses)
-        self._every_s = gossip_every(size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S)
+        self._gossip_interval_s = gossip_every(
+            size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S
+        )
 
-    async def _word(self) -> Gossip:
+    async def _build_gossip(self) -> Gossip:
         config = self.states.config
         load = self.kernel.load
         return Gossip(
@@ -185,7 +187,7 @@
                 RunnerLoad(name, load.in_flight.get(name, 0), name in load.leaving)
                 for name in sorted({*load.in_flight, *load.leaving})
             ),
-            every_s=round(self._every_s, 3),
+            every_s=round(self._gossip_interval_s, 3),
         )
 
     def _team_uses(self) -> tuple[TeamUse, ...]:
@@ -214,29 +216,32 @@
         if msg.incarnation == self.kernel.lane:
             return
         now = self.kernel.clock()
-        self._forget_silent(now)
-        if msg.instance not in self._heard and len(self._heard) >= MAX_HEARD:
-            raise FrameMalformedError(f"more than {MAX_HEARD} peers")
-        self._heard[msg.instance] = (now, msg)
+        self._remove_expired_peers(now)
+        if (
+            msg.instance not in self._last_gossip
+            and len(self._last_gossip) >= MAX_PEERS
+        ):
+            raise FrameMalformedError(f"more than {MAX_PEERS} peers")
+        self._last_gossip[msg.instance] = (now, msg)
         for key_id in msg.withdrawn:
             if self.states.config.withdraw(key_id) is Verdict.APPLIED:
                 log("key.withdrawn_by_peer", key_id=key_id, peer=msg.instance)
         self.bus.publish(PeerMessage(msg.instance, msg))
 
-    def _lives_s(self, word: Gossip) -> float:
-        return max(self.cfg.member_timeout_s, 3 * min(word.every_s, 60.0))
+    def _peer_timeout_s(self, gossip: Gossip) -> float:
+        return max(self.cfg.member_timeout_s, 3 * min(gossip.every_s, 60.0))
 
-    def _forget_silent(self, now: float) -> None:
-        for name, (at, word) in list(self._heard.items()):
-            if now - at > self._lives_s(word):
-                del self._heard[name]
+    def _remove_expired_peers(self, now: float) -> None:
+        for name, (at, gossip) in list(self._last_gossip.items()):
+            if now - at > self._peer_timeout_s(gossip):
+                del self._last_gossip[name]
 
     async def _members(self, query: Members) -> tuple[Member, ...]:
         now = self.kernel.clock()
-        self._forget_silent(now)
+        self._remove_expired_peers(now)
         return tuple(
-            Member(name, word.zone, word.incarnation, now - at, word)
-            for name, (at, word) in sorted(self._heard.items())
+            Member(name, gossip.zone, gossip.incarnation, now - at, gossip)
+            for name, (at, gossip) in sorted(self._last_gossip.items())
         )
 
     async def _ask_peer(self, query: AskPeer) -> Any:
@@ -301,14 +306,14 @@
     async def _stall_loop(self) -> None:
         last = self.kernel.clock()
         while not self.should_stop:
-            await self.sleep(_TICK_S)
+            await self.sleep(_STALL_CHECK_INTERVAL_S)
             now = self.kernel.clock()
-            if now - last > _STALL_S + _TICK_S:
+            if now - last > _STALL_THRESHOLD_S + _STALL_CHECK_INTERVAL_S:
                 self.bus.publish(LoopStalled(now - last))
             last = now
-            self._note_lead(now)
+            self._publish_lead_change(now)
 
-    def _note_lead(self, now: float) -> None:
+    def _publish_lead_change(self, now: float) -> None:
         held = self.leadership.is_held(now)
         if held == self._was_held:
             return
@@ -320,36 +325,38 @@
     @Service.task
     async def _lead_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("lead", self._lead_step())
+            await self._run_step("lead", self._lead_step())
             mine = self.leadership.mine
-            await self._pause(self.cfg.lead_lease_s / 3 if mine else _LOOK_S)
+            await self._wait_for_next_step(
+                self.cfg.lead_lease_s / 3 if mine else _CLAIM_CHECK_INTERVAL_S
+            )
 
     async def _lead_step(self) -> None:
         started = self.kernel.clock()
         self.leadership.wake.clear()
         await self.leadership.step(self.lender.roster(), self.lender.capped_by())
-        self._note_lead(self.kernel.clock())
+        self._publish_lead_change(self.kernel.clock())
         if self.leadership.is_held(self.kernel.clock()):
             self.lender.settle_before(started)
         await self.lender.follow_lead()
 
-    async def _pause(self, seconds: float) -> None:
-        least = min(_HURRY_S, seconds)
-        await self.sleep(least)
+    async def _wait_for_next_step(self, seconds: float) -> None:
+        min_wait_s = min(_MIN_RENEW_INTERVAL_S, seconds)
+        await self.sleep(min_wait_s)
         try:
-            await asyncio.wait_for(self.leadership.wake.wait(), seconds - least)
+            await asyncio.wait_for(self.leadership.wake.wait(), seconds - min_wait_s)
         except TimeoutError:
             return
 
     # -- room under the limits -----------------------------------------
 
     @Service.task
-    async def _room_loop(self) -> None:
+    async def _capacity_loop(self) -> None:
         await self.keeper.run()
         await self.wait_until_stopped()
 
     @Service.task
-    async def _move_loop(self) -> None:
+    async def _transfer_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("move", self.lender.move_spare())
-            await self.sleep(_MOVE_EVERY_S)
+            await self._run_step("move", self.lender.move_spare())
+            await self.sleep(_TRANSFER_INTERVAL_S)
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -47,11 +47,11 @@
 
 #: Records of a round are split into batches of about so many tasks, so that
 #: one lost answer leaves little in doubt.
-MAX_BATCH = 200
+MAX_BATCH_TASKS = 200
 #: Rounds come at most so often; what arrives meanwhile shares one record.
-ROUND_S = 0.05
+MIN_ROUND_INTERVAL_S = 0.05
 #: How often the workers are gone through for orders that are due.
-_TALK_S = 0.1
+_POLL_CHECK_INTERVAL_S = 0.1
 
 
 class ZoneLead(Service):
@@ -62,7 +62,7 @@
         self.kernel = kernel
         self.cfg = kernel.cfg
         self._states = kernel.states
-        self._listed: tuple[Endpoint, ...] = ()
+        self._listed_workers: tuple[Endpoint, ...] = ()
         self._timing = Timing(
             kernel.cfg.task_lease_s,
             kernel.cfg.hold_s,
@@ -73,13 +73,13 @@
         self._term: LeadTerm | None = None
         self._scheduler = self._new_scheduler()
         self._round_due = asyncio.Event()
-        self._talk_due = asyncio.Event()
-        self._eager: set[str] = set()
-        self._planned: dict[str, int] = {}
-        self._spoke_at: dict[str, float] = {}
-        self._talking: dict[str, asyncio.Task[None]] = {}
+        self._poll_due = asyncio.Event()
+        self._urgent_polls: set[str] = set()
+        self._unread_starts: dict[str, int] = {}
+        self._polled_at: dict[str, float] = {}
+        self._open_polls: dict[str, asyncio.Task[None]] = {}
         self._lead_read_at: float | None = None
-        self._before = float("inf")
+        self._previous_lead_read_at = float("inf")
         bus = kernel.bus
         bus.subscribe(InstancesListed, self._on_instances)
         bus.subscribe(RecordApplied, self._on_record)
@@ -92,7 +92,7 @@
 
     def _wake(self) -> None:
         self._round_due.set()
-        self._talk_due.set()
+        self._poll_due.set()
 
     @property
     def _stream(self) -> str:
@@ -104,8 +104,8 @@
         listed = tuple(
             e for e in event.instances if e.kind == "worker" and e.zone == self.cfg.zone
         )
-        if listed != self._listed:
-            self._listed = listed
+        if listed != self._listed_workers:
+            self._listed_workers = listed
             self._wake()
 
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
@@ -117,15 +117,15 @@
     def _on_record(self, event: RecordApplied) -> None:
         body = event.envelope.body
         if event.stream == "cell":
-            self._note_lead(event)
+            self._on_lead_record(event)
             if isinstance(body, (JobAccepted, JobCancelled, JobsAdopted)):
                 self._wake()
         elif event.stream == self._stream and isinstance(body, (Assigned, Ended)):
-            self._eager |= self._states.zone.touched
-            self._count_tasks()
+            self._urgent_polls |= self._states.zone.touched
+            self._update_task_counts()
             self._wake()
 
-    def _note_lead(self, event: RecordApplied) -> None:
+    def _on_lead_record(self, event: RecordApplied) -> None:
         """Note when the zone's last lead was last heard of on the log.
 
         Its hold counts from before it sent that record, and so is over a
@@ -139,12 +139,12 @@
         now = self.kernel.clock()
         if isinstance(body, LeadClaimed):
             last = self._lead_read_at if self._lead_read_at is not None else now
-            self._before = float("-inf") if body.epoch == 1 else last
+            self._previous_lead_read_at = float("-inf") if body.epoch == 1 else last
         self._lead_read_at = now
 
     # -- the two loops -----------------------------------------------------------
 
-    async def _current(self) -> tuple[Lead, LeadTerm | None]:
+    async def _current_term(self) -> tuple[Lead, LeadTerm | None]:
         """Return the lead as this instance sees it, and its term if it is ours."""
         lead = await self.kernel.bus.ask(LeadView())
         if lead.instance != self.kernel.lane:
@@ -152,18 +152,22 @@
         elif self._term is None or self._term.epoch != lead.epoch:
             states = self._states
             self._term = LeadTerm(
-                lead.epoch, states.zone, states.cell, self._timing, self._before
+                lead.epoch,
+                states.zone,
+                states.cell,
+                self._timing,
+                self._previous_lead_read_at,
             )
             self._scheduler = self._new_scheduler()
         if self._term is not None:
-            self._term.list_workers(self._listed)
+            self._term.list_workers(self._listed_workers)
         return lead, self._term
 
     @Service.task
     async def _round_loop(self) -> None:
         while not self.should_stop:
             try:
-                lead, term = await self._current()
+                lead, term = await self._current_term()
                 if term is not None and lead.held and not self.kernel.stopping:
                     await self._round(term)
             except FirhookError as exc:
@@ -171,44 +175,46 @@
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._round_due.wait(), self.cfg.sync_s / 2)
             self._round_due.clear()
-            await self.sleep(ROUND_S)
+            await self.sleep(MIN_ROUND_INTERVAL_S)
 
     @Service.task
-    async def _talk_loop(self) -> None:
+    async def _poll_loop(self) -> None:
         while not self.should_stop:
-            lead, term = await self._current()
+            lead, term = await self._current_term()
             if term is not None:
-                self._talk_to_due(lead, term)
+                self._poll_due_workers(lead, term)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._talk_due.wait(), _TALK_S)
-            self._talk_due.clear()
+                await asyncio.wait_for(self._poll_due.wait(), _POLL_CHECK_INTERVAL_S)
+            self._poll_due.clear()
 
     async def on_stop(self) -> None:
         """Wait for orders on their way, so that no answer is cut."""
-        if self._talking:
-            await asyncio.wait(self._talking.values(), timeout=self.cfg.margin_s)
+        if self._open_polls:
+            await asyncio.wait(self._open_polls.values(), timeout=self.cfg.margin_s)
 
     # -- rounds: what is logged ----------------------------------------------------
 
     async def _round(self, term: LeadTerm) -> None:
         if not term.settled:
-            await self._settle(term)
-        self._planned.clear()
-        self._count_tasks()
-        await self._log_endings(term)
-        self._scheduler.mark_stops(term, self._parts(), self.kernel.clock())
+            await self._append_fence(term)
+        self._unread_starts.clear()
+        self._update_task_counts()
+        await self._append_endings(term)
+        self._scheduler.mark_stops(term, self._zone_limits(), self.kernel.clock())
         items, notes = self._scheduler.plan(
-            term, self._left(), self.kernel.clock(), time.time()
+            term, self._task_headroom(), self.kernel.clock(), time.time()
         )
         self.kernel.grants.promise(Counter(i.job_id.partition("/")[0] for i in items))
         if term.stopping:
-            self._eager |= {w for w, r, _ in self._attempts() if r in term.stopping}
-            self._talk_due.set()
-        await self._log_assigned(term, items)
-        await self._log_rest(term, notes)
+            self._urgent_polls |= {
+                w for w, r, _ in self._attempts() if r in term.stopping
+            }
+            self._poll_due.set()
+        await self._append_assignments(term, items)
+        await self._append_remaining(term, notes)
         await self._adopter.step(term.epoch, self._timing)
 
-    def _count_tasks(self) -> None:
+    def _update_task_counts(self) -> None:
         """Tell the book of grants what runs, or may once its record lands.
 
         Between a round's decision and the reading of its record the book goes
@@ -216,14 +222,14 @@
         the team above its limit.
         """
         counts = dict(self._states.zone.running)
-        for team, count in self._planned.items():
+        for team, count in self._unread_starts.items():
             counts[team] = counts.get(team, 0) + count
         self.kernel.grants.tasks = counts
 
     def _attempts(self) -> Iterable[Any]:
         return self._states.zone.attempts()
 
-    async def _settle(self, term: LeadTerm) -> None:
+    async def _append_fence(self, term: LeadTerm) -> None:
         """Append the term's first record, or one that settles a lost outcome."""
         body = ZoneFenced(term.epoch, self.kernel.lane)
         applied = await self.kernel.bus.ask(Append(self._stream, body, urgent=True))
@@ -243,76 +249,80 @@
             term.settled = False
             raise
 
-    async def _log_endings(self, term: LeadTerm) -> None:
+    async def _append_endings(self, term: LeadTerm) -> None:
         now = self.kernel.clock()
         endings = term.endings(now)
-        for i in range(0, len(endings), MAX_BATCH):
-            batch = endings[i : i + MAX_BATCH]
+        for i in range(0, len(endings), MAX_BATCH_TASKS):
+            batch = endings[i : i + MAX_BATCH_TASKS]
             await self._append(term, Ended(term.epoch, batch))
             self._scheduler.endings.note(batch, now)
             for mark in self._scheduler.endings.marks(batch, now):
                 log("worker.marked", worker=mark.worker, mark=mark.mark)
                 await self._append(term, mark)
 
-    async def _log_assigned(self, term: LeadTerm, items: Sequence[Assignment]) -> None:
+    async def _append_assignments(
+        self, term: LeadTerm, items: Sequence[Assignment]
+    ) -> None:
         for item in items:
             team = item.job_id.partition("/")[0]
-            self._planned[team] = self._planned.get(team, 0) + 1
-        self._count_tasks()
-        for batch in batches(items):
+            self._unread_starts[team] = self._unread_starts.get(team, 0) + 1
+        self._update_task_counts()
+        for batch in split_into_batches(items):
             await self._append(term, Assigned(term.epoch, tuple(batch)))
-        self._planned.clear()
-        self._count_tasks()
+        self._unread_starts.clear()
+        self._update_task_counts()
 
-    async def _log_rest(self, term: LeadTerm, notes: tuple[JobNote, ...]) -> None:
+    async def _append_remaining(
+        self, term: LeadTerm, notes: tuple[JobNote, ...]
+    ) -> None:
         """Append what no start waits for, together."""
-        waits = []
+        appends = []
         ended = self._scheduler.endings.ended_jobs()
         if ended:
             body = JobsEnded(self.cfg.zone, term.epoch, ended)
-            waits.append(self.kernel.bus.ask(Append("cell", body)))
+            appends.append(self.kernel.bus.ask(Append("cell", body)))
         if notes:
-            waits.append(self._append(term, JobsNoted(notes)))
+            appends.append(self._append(term, JobsNoted(notes)))
         closed = self._scheduler.endings.closable(self.kernel.clock())
         if closed:
-            waits.append(self._append(term, JobsClosed(term.epoch, closed)))
-        for result in await asyncio.gather(*waits, return_exceptions=True):
+            appends.append(self._append(term, JobsClosed(term.epoch, closed)))
+        for result in await asyncio.gather(*appends, return_exceptions=True):
             if isinstance(result, BaseException):
                 raise result
 
-    def _parts(self) -> dict[str, int]:
-        return {team: self._part(team) for team in self._states.zone.running}
+    def _zone_limits(self) -> dict[str, int]:
+        return {team: self._zone_limit(team) for team in self._states.zone.running}
 
-    def _part(self, team: str) -> int:
+    def _zone_limit(self, team: str) -> int:
         plan = self._states.config.plan_of(team)
         if plan is None:
             return 0
         moved = self._states.cell.moved.get(team, {})
         return zone_parts(plan.limit, self.cfg.zones, moved)[self.cfg.zone]
 
-    def _left(self) -> dict[str, int]:
+    def _task_headroom(self) -> dict[str, int]:
         now = self.kernel.clock()
         teams = {e.job.team for e in self._states.cell.jobs_of(self.cfg.zone)}
-        room = self.kernel.grants.room_for_tasks
-        return {team: room(team, self._part(team), now) for team in teams}
+        headroom = self.kernel.grants.room_for_tasks
+        return {team: headroom(team, self._zone_limit(team), now) for team in teams}
 
     # -- orders: what is said to workers ---------------------------------------------
 
-    def _talk_to_due(self, lead: Lead, term: LeadTerm) -> None:
+    def _poll_due_workers(self, lead: Lead, term: LeadTerm) -> None:
         now = self.kernel.clock()
         for name in list(term.workers):
-            if name in self._talking:
+            if name in self._open_polls:
                 continue
-            due = now >= self._spoke_at.get(name, float("-inf")) + self.cfg.sync_s
-            if due or name in self._eager:
-                self._eager.discard(name)
-                self._spoke_at[name] = now
-                task = asyncio.create_task(self._talk(term, name))
-                self._talking[name] = task
-                task.add_done_callback(lambda _, name=name: self._talking.pop(name))
+            due = now >= self._polled_at.get(name, float("-inf")) + self.cfg.sync_s
+            if due or name in self._urgent_polls:
+                self._urgent_polls.discard(name)
+                self._polled_at[name] = now
+                task = asyncio.create_task(self._poll_worker(term, name))
+                self._open_polls[name] = task
+                task.add_done_callback(lambda _, name=name: self._open_polls.pop(name))
                 task.add_done_callback(log_failure("worker.talk_failed", worker=name))
 
-    async def _talk(self, term: LeadTerm, name: str) -> None:
+    async def _poll_worker(self, term: LeadTerm, name: str) -> None:
         view = term.workers.get(name)
         if view is None or view.endpoint is None:
             return
@@ -320,7 +330,7 @@
         try:
             if view.report is None:
                 report = await workers.poll(view.endpoint)
-                self._eager.add(name)
+                self._urgent_polls.add(name)
             else:
                 lead = await self.kernel.bus.ask(LeadView())
                 order = self._order(term, name, lead)
@@ -332,7 +342,10 @@
             term.note_silence(name)
             return
         term.note_report(name, report, self.kernel.clock())
-        if any(task.state != "running" for task in report.tasks) or name in self._eager:
+        if (
+            any(task.state != "running" for task in report.tasks)
+            or name in self._urgent_polls
+        ):
             self._wake()
 
     def _order(self, term: LeadTerm, name: str, lead: Lead) -> Any:
@@ -342,17 +355,17 @@
         return term.order(name, standing, self.kernel.clock())
 
 
-def batches(items: Sequence[Assignment]) -> list[list[Assignment]]:
+def split_into_batches(items: Sequence[Assignment]) -> list[list[Assignment]]:
     """Split assignments into batches, each job's whole in one.
 
     A gang in two records would be left half placed by a death between them.
     """
-    found: list[list[Assignment]] = [[]]
+    batches: list[list[Assignment]] = [[]]
     by_job: dict[str, list[Assignment]] = {}
     for item in items:
         by_job.setdefault(item.job_id, []).append(item)
     for group in by_job.values():
-        if found[-1] and len(found[-1]) + len(group) > MAX_BATCH:
-            found.append([])
-        found[-1] += group
-    return [batch for batch in found if batch]
+        if batches[-1] and len(batches[-1]) + len(group) > MAX_BATCH_TASKS:
+            batches.append([])
+        batches[-1] += group
+    return [batch for batch in batches if batch]
--- a/tests/decide/test_adopt.py
+++ b/tests/decide/test_adopt.py
@@ -17,7 +17,7 @@
     encode_envelope,
 )
 from firhook.platform.clients import LogEntry, LogPage, LogService
-from firhook.roles._adopter import read_zone
+from firhook.roles._adopter import read_zone_state
 from firhook.state import ZoneState
 
 TIMING = Timing(lease_s=15.0, hold_s=45.0, margin_s=1.0, sync_s=2.0)
@@ -105,7 +105,7 @@
     At dawn the crew finds it finished elsewhere, not begun anew.
     """
     envelopes = [Envelope("i", n, b) for n, b in enumerate(giver_records(), 1)]
-    giver = asyncio.run(read_zone(FakeLog(envelopes), "lekki"))
+    giver = asyncio.run(read_zone_state(FakeLog(envelopes), "lekki"))
     own = ZoneState("yaba")
     items = tuple(carried(giver, ["t/a"]))
     own.apply(0, Envelope("k", 1, TasksCarried(7, "lekki", items)))
@@ -127,6 +127,6 @@
         for n, part in enumerate((text[:half], text[half:]))
     ]
     service = FakeLog([*records, *chunks], first=2)
-    giver = asyncio.run(read_zone(service, "lekki"))
+    giver = asyncio.run(read_zone_state(service, "lekki"))
     assert giver.tasks["t/a"][0].attempt == 2
     assert giver.tasks["t/a"][0].progress == 0.6
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -41,7 +41,7 @@
 TEAM = "t"
 LINGER_S = 5.0
 OUTAGE_S = 16.0
-NET_S = 0.002
+NETWORK_DELAY_S = 0.002
 
 
 @attrs.frozen
@@ -109,7 +109,7 @@
         self.alive = True
         self.cut = False
         self.log_cut = False
-        self.islands: set[str] | None = None
+        self.reachable_peers: set[str] | None = None
         self.gate = asyncio.Event()
         self.gate.set()
         self.seen_end_at = float("-inf")
@@ -129,7 +129,7 @@
         self.tasks = [
             loop.create_task(t)
             for t in (
-                self._follow(),
+                self._follow_log(),
                 self._every(0.25, self._lead_step),
                 self.keeper.run(),
                 self._every(1.0, self.lender.move_spare),
@@ -150,7 +150,7 @@
         if self.cut or other.cut or not other.alive:
             return False
         for one, two in ((self, other), (other, self)):
-            if one.islands is not None and two.name not in one.islands:
+            if one.reachable_peers is not None and two.name not in one.reachable_peers:
                 return False
         cut = self.fleet.cut_zones
         same = self.cfg.zone == other.cfg.zone
@@ -159,7 +159,7 @@
     async def _ask_peer(self, query):
         await self.gate.wait()
         other = self.fleet.nodes.get(query.peer)
-        await asyncio.sleep(NET_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         if other is None or not self.reaches(other):
             await asyncio.sleep(query.timeout_s)
             raise PeerUnreachableError(f"{query.peer}: cut")
@@ -169,7 +169,7 @@
             ZoneShort: other.lender.on_zone_short,
         }
         serve = self.fleet.loop.create_task(
-            other.served(kinds[type(query.body)], query)
+            other.serve_message(kinds[type(query.body)], query)
         )
         try:
             answer = await asyncio.wait_for(serve, query.timeout_s)
@@ -177,14 +177,14 @@
             raise PeerUnreachableError(f"{query.peer}: no answer") from exc
         except FirhookError as exc:
             raise PeerUnreachableError(f"{query.peer}: {exc.code}") from exc
-        await asyncio.sleep(NET_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         if not self.reaches(other) or self.fleet.lose_answers:
             await asyncio.sleep(query.timeout_s)
             raise PeerUnreachableError(f"{query.peer}: answer lost")
         await self.gate.wait()
         return answer
 
-    async def served(self, handler, query):
+    async def serve_message(self, handler, query):
         """Serve a peer's message, also late if this node is paused."""
         await self.gate.wait()
         if not self.alive:
@@ -231,21 +231,21 @@
             self.lender.settle_before(started)
         await self.lender.follow_lead()
 
-    async def _follow(self):
+    async def _follow_log(self):
         while True:
             await asyncio.sleep(0.05)
             await self.gate.wait()
             if self.reaches_log:
-                self.read_on()
+                self.read_to_end()
 
-    def take_state_of_a_peer(self):
+    def copy_peer_state(self):
         """Read what a peer has read, as at a boot while the log is out."""
         for peer in self.fleet.nodes.values():
             if peer is not self and peer.alive and self.reaches(peer):
                 self.read_to(peer.states.config.version, peer.states.cell.next_offset)
                 return
 
-    def read_on(self):
+    def read_to_end(self):
         """Apply what the streams hold beyond what was read."""
         log = self.fleet.log
         self.read_to(len(log.limits) - 1, len(log.records))
@@ -318,8 +318,8 @@
         self.running = 0
         self.took_s = 0.5
         self.runs = 0
-        self.worst: list[str] = []
-        self.lowered: list[tuple[float, int]] = []
+        self.violations: list[str] = []
+        self.versions_read: list[tuple[float, int]] = []
         self.nodes: dict[str, Node] = {}
         for zone in ZONES:
             for i in range(per_zone):
@@ -337,9 +337,9 @@
         self.runs += 1
         node = self.nodes[name] = Node(self, name, zone, self.runs)
         if self.log.down:
-            node.take_state_of_a_peer()
+            node.copy_peer_state()
 
-    def bound(self):
+    def max_running(self):
         """Return the most that may run at this moment.
 
         The limit itself, or the largest that a zone has not read away from
@@ -350,19 +350,19 @@
             (n.states.config.version for n in self.nodes.values() if n.alive),
             default=0,
         )
-        self.lowered.append((now, read))
+        self.versions_read.append((now, read))
         grace_s = self.nodes["a0"].cfg.grant_ttl_s + LINGER_S + 1.0
-        while len(self.lowered) > 1 and self.lowered[1][0] < now - grace_s:
-            self.lowered.pop(0)
-        oldest = min(version for _, version in self.lowered)
+        while len(self.versions_read) > 1 and self.versions_read[1][0] < now - grace_s:
+            self.versions_read.pop(0)
+        oldest = min(version for _, version in self.versions_read)
         return max(self.log.limits[oldest:])
 
     def start(self, node):
         """Count a request that a node dispatched."""
         self.running += 1
-        if self.running > self.bound():
-            self.worst.append(
-                f"{self.running} run of {self.bound()} at {self.loop.time():.3f} "
+        if self.running > self.max_running():
+            self.violations.append(
+                f"{self.running} run of {self.max_running()} at {self.loop.time():.3f} "
                 f"through {node.lane}"
             )
         self.loop.call_later(self.took_s, self._end, node)
@@ -373,10 +373,10 @@
 
     def run(self, seconds):
         """Let time pass."""
-        self.bound()
+        self.max_running()
         self.loop.run_until_complete(asyncio.sleep(seconds))
         assert not self.failures, self.failures
-        assert not self.worst, self.worst
+        assert not self.violations, self.violations
 
     def heal(self):
         """Mend everything and replace what died."""
--- a/tests/roles/mini.py
+++ b/tests/roles/instance.py
@@ -12,7 +12,7 @@
 from firhook.events import AskPeer, LogAge, Member, Members, ServePeer
 from firhook.model import Gossip, LeadClaimed, decode_message, encode_message
 from firhook.platform.clients import Platform
-from firhook.roles._config import Config, digest_of
+from firhook.roles._config import Config, digest_key
 from firhook.roles._journal import Journal
 from firhook.roles._once import Once
 from firhook.state import States
@@ -37,13 +37,13 @@
         "instances_expected": 1,
         "curve_public": "p" * 40,
         "curve_secret": "s" * 40,
-        "operator_digest": digest_of(OPERATOR),
+        "operator_digest": digest_key(OPERATOR),
         **changed,
     }
     return Settings(**options)
 
 
-class Mini:
+class Instance:
     """What the roles see of a kernel, and of the members role.
 
     :param cell: the instances by name; a test cuts some off by ``cut``.
@@ -58,8 +58,8 @@
         self.clock = time.monotonic
         self.ready = self.stopping = False
         self.cell = cell
-        self.cut: set[str] = set()
-        self.heard: dict[str, tuple[float, Gossip]] = {}
+        self.unreachable: set[str] = set()
+        self.last_gossip: dict[str, tuple[float, Gossip]] = {}
         self.handlers: dict[type, object] = {}
         cell[name] = self
         self.bus.register_handler(Members, self._members)
@@ -73,7 +73,7 @@
 
     async def _ask_peer(self, query: AskPeer):
         peer = self.cell.get(query.peer)
-        if peer is None or query.peer in self.cut:
+        if peer is None or query.peer in self.unreachable:
             raise PeerUnreachableError(f"{query.peer} is away")
         msg = decode_message(encode_message(query.body))
         return decode_message(encode_message(await peer.handlers[type(msg)](msg)))
@@ -82,11 +82,11 @@
         now = self.clock()
         return tuple(
             Member(name, g.zone, g.incarnation, now - at, g)
-            for name, (at, g) in self.heard.items()
+            for name, (at, g) in self.last_gossip.items()
             if now - at < self.cfg.member_timeout_s
         )
 
-    async def hear(self, *names: str) -> None:
+    async def receive_gossip(self, *names: str) -> None:
         """Take in the gossip of peers as the members role does."""
         for name in names:
             peer = self.cell[name]
@@ -102,7 +102,7 @@
                 stopping=False,
                 withdrawn=tuple(state.withdrawn),
             )
-            self.heard[name] = (self.clock(), gossip)
+            self.last_gossip[name] = (self.clock(), gossip)
             for key_id in gossip.withdrawn:
                 self.states.config.withdraw(key_id)
 
@@ -115,22 +115,22 @@
 
 
 @contextlib.asynccontextmanager
-async def running(*minis: Mini, ready: bool = True):
+async def running(*instances: Instance, ready: bool = True):
     """Run instances."""
-    for mini in minis:
-        for role in mini.roles:
+    for instance in instances:
+        for role in instance.roles:
             await role.start()
     try:
-        for mini in minis:
+        for instance in instances:
             if ready:
                 await until(
-                    lambda m=mini: all(x.ready for x in m.journal.lanes.values())
+                    lambda m=instance: all(x.ready for x in m.journal.lanes.values())
                 )
         yield
     finally:
-        for mini in minis:
-            mini.stopping = True
-            for role in reversed(mini.roles):
+        for instance in instances:
+            instance.stopping = True
+            for role in reversed(instance.roles):
                 await role.stop()
 
 
--- a/tests/roles/test_cell.py
+++ b/tests/roles/test_cell.py
@@ -6,9 +6,9 @@
 
 from firhook.errors import JobImpossibleError, LogUnavailableError, NotPermittedError
 from firhook.model import Assignment, JobSpec, Plan
-from firhook.roles._cell import check_possible, choose_zone
-from firhook.roles._fold import MAX_FOLDED, Folder
-from firhook.roles._zone_lead import MAX_BATCH, batches
+from firhook.roles._batcher import MAX_BATCH_SIZE, Batcher
+from firhook.roles._cell import check_plan_allows, choose_zone
+from firhook.roles._zone_lead import MAX_BATCH_TASKS, split_into_batches
 from tests.decide.shop import fleet
 
 WORKERS = (*fleet(4, cpus=16.0), *fleet(12, cpus=32.0, zone="lekki"))
@@ -36,9 +36,9 @@
 def test_what_a_plan_never_allows_is_refused():
     plan = Plan("small", 1.0, 4)
     with pytest.raises(JobImpossibleError, match="limit of 4"):
-        check_possible(JobSpec("j", "a", tasks=5, gang=True), plan)
+        check_plan_allows(JobSpec("j", "a", tasks=5, gang=True), plan)
     with pytest.raises(NotPermittedError):
-        check_possible(JobSpec("j", "a", priority="urgent"), plan)
+        check_plan_allows(JobSpec("j", "a", priority="urgent"), plan)
 
 
 def test_a_wave_of_cancellations_is_few_records():
@@ -52,12 +52,12 @@
         sent.append(names)
 
     async def wave():
-        folder = Folder(send)
-        await asyncio.gather(*(folder.add(f"a/{i}") for i in range(1200)))
-        await folder.add("a/0")
+        batcher = Batcher(send)
+        await asyncio.gather(*(batcher.add(f"a/{i}") for i in range(1200)))
+        await batcher.add("a/0")
 
     asyncio.run(wave())
-    assert [len(names) for names in sent] == [MAX_FOLDED, MAX_FOLDED, 200, 1]
+    assert [len(names) for names in sent] == [MAX_BATCH_SIZE, MAX_BATCH_SIZE, 200, 1]
 
 
 def test_the_error_of_a_wave_reaches_every_caller():
@@ -65,8 +65,8 @@
         raise LogUnavailableError("out")
 
     async def wave():
-        folder = Folder(send)
-        asks = (folder.add(f"a/{i}") for i in range(3))
+        batcher = Batcher(send)
+        asks = (batcher.add(f"a/{i}") for i in range(3))
         return await asyncio.gather(*asks, return_exceptions=True)
 
     answers = asyncio.run(wave())
@@ -77,6 +77,6 @@
     """A lead dies between two records and leaves half a gang placed."""
     items = [Assignment("a/small", i, 1, "w") for i in range(150)]
     items += [Assignment("a/gang", i, 1, "w") for i in range(500)]
-    found = batches(items)
+    found = split_into_batches(items)
     assert [len(batch) for batch in found] == [150, 500]
-    assert MAX_BATCH < 500
+    assert MAX_BATCH_TASKS < 500
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -20,7 +20,7 @@
     WithdrawKey,
 )
 from tests.fakelog import FakeLog, until
-from tests.roles.mini import OPERATOR, Mini, running
+from tests.roles.instance import OPERATOR, Instance, running
 
 PLAN = Row("plans", "small", {"share": "1", "limit": "4"})
 TEAM = Row("teams", "lisboa", {"plan": "small"})
@@ -32,7 +32,7 @@
 
     async def run():
         log, cell = FakeLog(), {}
-        a, b = Mini("a", log, cell, **changed), Mini("b", log, cell, **changed)
+        a, b = Instance("a", log, cell, **changed), Instance("b", log, cell, **changed)
         async with running(a, b):
             await a.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
             await until(lambda: b.states.config.version == 1)
@@ -41,10 +41,10 @@
     asyncio.run(run())
 
 
-def cut_off(mini: Mini) -> None:
+def cut_off(instance: Instance) -> None:
     """Cut an instance off from the log, but not from its peers."""
     log = FakeLog(out=True, append_fate="refuse")
-    for lane in mini.journal.lanes.values():
+    for lane in instance.journal.lanes.values():
         lane._service = log
 
 
@@ -107,7 +107,7 @@
         with pytest.raises(KeyRefusedError):
             await a.bus.ask(shown)
         assert (await b.bus.ask(shown)).team == "lisboa"
-        await b.hear("a")
+        await b.receive_gossip("a")
         with pytest.raises(KeyRefusedError):
             await b.bus.ask(shown)
 
@@ -132,9 +132,9 @@
         assert caught.value.ran == "no"
         assert (await b.bus.ask(shown)).team == "lisboa"
         await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
-        await b.hear("a")
+        await b.receive_gossip("a")
         await until(lambda: b.states.config.version == 2)
-        await b.hear("a")
+        await b.receive_gossip("a")
         await b.bus.ask(CheckFresh(idempotent=False))
 
     run_two(scenario, **SHORT)
@@ -163,7 +163,7 @@
     """
 
     async def scenario():
-        a = Mini("a", FakeLog(out=True), {})
+        a = Instance("a", FakeLog(out=True), {})
         async with running(a, ready=False):
             with pytest.raises(NotReadyError) as caught:
                 await a.bus.ask(Authenticate("Bearer fk_any"))
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -85,7 +85,7 @@
     return Settings(**values)
 
 
-class World:
+class GatewayHarness:
     """A gateway that listens, with everything around it faked."""
 
     def __init__(self, *outcomes, room=10, runners=RUNNERS, **changed):
@@ -110,18 +110,18 @@
         )
         bus.register_handler(Authenticate, self._authenticate)
         for kind in (OnceBegin, OnceFinish, OnceGiveBack, CheckFresh):
-            bus.register_handler(kind, self._note)
+            bus.register_handler(kind, self._record_query)
         bus.subscribe(OnceSending, self.events.append)
-        bus.subscribe(RoomWanted, self._lend)
+        bus.subscribe(RoomWanted, self._grant_room)
 
     async def _authenticate(self, query):
         return Principal("k", query.authorization.partition(" ")[2])
 
-    async def _note(self, query):
+    async def _record_query(self, query):
         if not isinstance(query, CheckFresh):
             self.events.append(query)
 
-    def _lend(self, event):
+    def _grant_room(self, event):
         self.kernel.account.room[event.team] = self.room
         if self.room:
             loop = asyncio.get_running_loop()
@@ -154,15 +154,15 @@
             )
 
 
-def in_world(scenario, *outcomes, **kw):
+def run_with_gateway(scenario, *outcomes, **kw):
     async def run():
-        async with World(*outcomes, **kw) as world:
-            return await scenario(world)
+        async with GatewayHarness(*outcomes, **kw) as harness:
+            return await scenario(harness)
 
     return asyncio.run(run())
 
 
-def cut(ran="unknown"):
+def broken_connection(ran="unknown"):
     return EndpointFailedError("cut", ran=ran)
 
 
@@ -171,9 +171,9 @@
     cannot be reached.  "ran: no" of the second try would be false of the whole.
     """
 
-    async def scenario(world):
-        answer = await world.call("PUT")
-        assert len(world.runners.sent) == 3
+    async def scenario(harness):
+        answer = await harness.call("PUT")
+        assert len(harness.runners.sent) == 3
         assert answer.problem["code"] == "endpoint.none"
         assert answer.problem["ran"] == "unknown"
 
@@ -182,7 +182,7 @@
         *RUNNERS,
         Endpoint("r3", "runner", "z", "10.0.0.3:80", service="svc"),
     )
-    in_world(scenario, cut(), *gone, runners=more)
+    run_with_gateway(scenario, broken_connection(), *gone, runners=more)
 
 
 def test_charge_is_not_sent_again_once_a_byte_may_have_left():
@@ -190,48 +190,48 @@
     again, the customer might be charged twice.
     """
 
-    async def scenario(world):
-        answer = await world.call("POST", data=b"charge")
+    async def scenario(harness):
+        answer = await harness.call("POST", data=b"charge")
         assert answer.status == 502
         assert answer.problem["ran"] == "unknown"
-        assert len(world.runners.sent) == 1
+        assert len(harness.runners.sent) == 1
 
-    in_world(scenario, cut())
+    run_with_gateway(scenario, broken_connection())
 
 
 def test_charge_goes_to_another_runner_if_certainly_not_sent():
-    async def scenario(world):
-        answer = await world.call("POST", data=b"charge")
+    async def scenario(harness):
+        answer = await harness.call("POST", data=b"charge")
         assert answer.body == b"fine"
-        names = [s.endpoint.name for s in world.runners.sent]
+        names = [s.endpoint.name for s in harness.runners.sent]
         assert sorted(names) == ["r1", "r2"]
 
-    in_world(scenario, NoEndpointError("gone"))
+    run_with_gateway(scenario, NoEndpointError("gone"))
 
 
 def test_keyed_charge_is_claimed_marked_and_finished_in_this_order():
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k1"}
-        await world.call("POST", headers=headers, data=b"charge")
-        assert world.kinds() == [
+        await harness.call("POST", headers=headers, data=b"charge")
+        assert harness.kinds() == [
             "OnceBegin",
             "OnceSending",
             "OnceSending",
             "OnceFinish",
         ]
 
-    in_world(scenario, NoEndpointError("gone"))
+    run_with_gateway(scenario, NoEndpointError("gone"))
 
 
 def test_claim_is_given_back_only_if_the_charge_certainly_did_not_run():
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k1"}
-        answer = await world.call("POST", headers=headers)
-        return answer.problem["ran"], world.kinds()[-1]
+        answer = await harness.call("POST", headers=headers)
+        return answer.problem["ran"], harness.kinds()[-1]
 
     gone = [NoEndpointError("gone") for _ in range(3)]
-    assert in_world(scenario, *gone) == ("no", "OnceGiveBack")
-    assert in_world(scenario, cut()) == ("unknown", "OnceSending")
+    assert run_with_gateway(scenario, *gone) == ("no", "OnceGiveBack")
+    assert run_with_gateway(scenario, broken_connection()) == ("unknown", "OnceSending")
 
 
 def test_late_answer_to_a_keyed_charge_is_stored_and_its_slot_counted_till_then():
@@ -240,20 +240,20 @@
     room stay used, and the outcome is kept for the caller's repeat.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k1", "X-Deadline-Ms": "100"}
-        answer = await world.call("POST", headers=headers)
+        answer = await harness.call("POST", headers=headers)
         assert answer.status == 504
         assert answer.problem["ran"] == "unknown"
-        account = world.kernel.account
+        account = harness.kernel.account
         assert account.running == {"team": 1}
-        assert "OnceFinish" not in world.kinds()
+        assert "OnceFinish" not in harness.kinds()
         held.set()
-        while account.running or "OnceFinish" not in world.kinds():
+        while account.running or "OnceFinish" not in harness.kinds():
             await asyncio.sleep(0.01)
 
     held = asyncio.Event()
-    in_world(scenario, held)
+    run_with_gateway(scenario, held)
 
 
 def test_keyed_charge_that_ends_after_its_handler_was_cut_off_is_kept():
@@ -262,20 +262,20 @@
     The runner's answer is still worth keeping: the caller's repeat asks for it.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k1"}
-        asking = asyncio.create_task(world.call("POST", headers=headers))
-        while not world.runners.sent:
+        asking = asyncio.create_task(harness.call("POST", headers=headers))
+        while not harness.runners.sent:
             await asyncio.sleep(0.01)
-        [conn] = world.gateway._runner.server.connections
+        [conn] = harness.gateway._runner.server.connections
         conn._task_handler.cancel()
         await asyncio.gather(asking, return_exceptions=True)
-        assert "OnceFinish" not in world.kinds()
+        assert "OnceFinish" not in harness.kinds()
         held.set()
-        await until(lambda: "OnceFinish" in world.kinds())
+        await until(lambda: "OnceFinish" in harness.kinds())
 
     held = asyncio.Event()
-    in_world(scenario, held)
+    run_with_gateway(scenario, held)
 
 
 def test_failure_that_nobody_foresaw_after_the_deadline_leaves_no_key_in_progress(
@@ -286,9 +286,9 @@
     Repeats of the request were told that it is in progress, for ever.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k1", "X-Deadline-Ms": "100"}
-        answer = await world.call("POST", headers=headers)
+        answer = await harness.call("POST", headers=headers)
         assert answer.status == 504
         assert lost == []
         held.set()
@@ -300,9 +300,9 @@
             raise RuntimeError("on purpose")
 
     async def run():
-        async with World(held) as world:
-            world.kernel.bus.subscribe(OnceLost, lost.append)
-            await scenario(world)
+        async with GatewayHarness(held) as harness:
+            harness.kernel.bus.subscribe(OnceLost, lost.append)
+            await scenario(harness)
 
     held, lost = Held(), []
     asyncio.run(run())
@@ -315,44 +315,44 @@
     belongs to those who still wait.
     """
 
-    async def scenario(world):
-        call = asyncio.create_task(world.call())
-        service = world.gateway._services["svc"]
+    async def scenario(harness):
+        call = asyncio.create_task(harness.call())
+        service = harness.gateway._services["svc"]
         while not len(service.queue):
             await asyncio.sleep(0.01)
         call.cancel()
         while len(service.queue):
             await asyncio.sleep(0.01)
-        world.kernel.account.room["team"] = 10
-        assert (await world.call(path="/r/svc/other")).body == b"fine"
-        assert [s.path for s in world.runners.sent] == ["/other"]
+        harness.kernel.account.room["team"] = 10
+        assert (await harness.call(path="/r/svc/other")).body == b"fine"
+        assert [s.path for s in harness.runners.sent] == ["/other"]
 
-    in_world(scenario, room=0)
+    run_with_gateway(scenario, room=0)
 
 
-def after_a_slow_one(method, headers=None):
+def send_after_slow_post(method, headers=None):
     """Send a request that gets its turn when a post of 3.5 s ends before it.
 
     Its deadline is 6 s and the post came just before it.  Return its answer and
     the methods that the runners got.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         loop = asyncio.get_running_loop()
-        first = asyncio.create_task(world.call("POST", data=b"1"))
-        while not world.runners.sent:
+        first = asyncio.create_task(harness.call("POST", data=b"1"))
+        while not harness.runners.sent:
             await asyncio.sleep(0.01)
-        call = world.call(method, headers=headers, data=b"2")
+        call = harness.call(method, headers=headers, data=b"2")
         second = asyncio.create_task(call)
-        while not len(world.gateway._services["svc"].queue):
+        while not len(harness.gateway._services["svc"].queue):
             await asyncio.sleep(0.01)
-        world.kernel.clock = lambda: loop.time() + 3.5
+        harness.kernel.clock = lambda: loop.time() + 3.5
         held.set()
         assert (await first).body == b"fine"
-        return await second, [sent.method for sent in world.runners.sent]
+        return await second, [sent.method for sent in harness.runners.sent]
 
     held = asyncio.Event()
-    return in_world(scenario, held, room=1, default_deadline_s=6.0)
+    return run_with_gateway(scenario, held, room=1, default_deadline_s=6.0)
 
 
 def test_post_is_not_started_so_late_that_its_outcome_would_be_unknown():
@@ -360,7 +360,7 @@
     its turn comes; the entry before it took 3.5 s.  Sent all the same, it may be
     recorded after its installer has been told that nobody knows.
     """
-    answer, sent = after_a_slow_one("POST")
+    answer, sent = send_after_slow_post("POST")
     assert sent == ["POST"]
     assert answer.problem["code"] == "queue.deadline"
     assert answer.problem["ran"] == "no"
@@ -374,7 +374,7 @@
     """
     keyed = {"Idempotency-Key": "k"}
     for method, headers in (("PUT", {}), ("POST", keyed)):
-        answer, sent = after_a_slow_one(method, headers)
+        answer, sent = send_after_slow_post(method, headers)
         assert answer.body == b"fine"
         assert sent == ["POST", method]
 
@@ -384,28 +384,28 @@
     caller is told to come back at once: the balancer picks another instance.
     """
 
-    async def scenario(world):
-        call = asyncio.create_task(world.call())
-        while not len(world.gateway._services["svc"].queue):
+    async def scenario(harness):
+        call = asyncio.create_task(harness.call())
+        while not len(harness.gateway._services["svc"].queue):
             await asyncio.sleep(0.01)
-        world.kernel.stopping = True
-        await world.gateway.drain()
+        harness.kernel.stopping = True
+        await harness.gateway.drain()
         answer = await call
         assert answer.problem["code"] == "instance.stopping"
         assert answer.problem["ran"] == "no"
         assert answer.headers["Retry-After"] == "0"
         assert answer.headers["Connection"] == "close"
 
-    in_world(scenario, room=0)
+    run_with_gateway(scenario, room=0)
 
 
 def test_request_in_flight_at_the_stop_gets_its_whole_answer():
-    async def scenario(world):
-        call = asyncio.create_task(world.call())
-        while not world.runners.sent:
+    async def scenario(harness):
+        call = asyncio.create_task(harness.call())
+        while not harness.runners.sent:
             await asyncio.sleep(0.01)
-        world.kernel.stopping = True
-        drained = asyncio.create_task(world.gateway.drain())
+        harness.kernel.stopping = True
+        drained = asyncio.create_task(harness.gateway.drain())
         await asyncio.sleep(0.05)
         held.set()
         answer = await call
@@ -414,7 +414,7 @@
         assert answer.headers["Connection"] == "close"
 
     held = asyncio.Event()
-    in_world(scenario, held, drain_max_s=5.0)
+    run_with_gateway(scenario, held, drain_max_s=5.0)
 
 
 def test_path_query_headers_and_packed_body_pass_as_they_were_sent():
@@ -422,19 +422,19 @@
     Unpacked or decoded on the way, another record would be written.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         packed = gzip.compress(b"entry")
         path = "/r/svc/a%2Fb/%C3%A9//c;d?x=%20&x=1+2"
         headers = {"Content-Encoding": "gzip", "X-Class": "bulk"}
-        await world.call("PUT", path, headers=headers, data=packed)
-        (sent,) = world.runners.sent
+        await harness.call("PUT", path, headers=headers, data=packed)
+        (sent,) = harness.runners.sent
         assert sent.path == path.removeprefix("/r/svc")
         assert sent.body == packed
         assert sent.headers["Content-Encoding"] == "gzip"
         assert "Authorization" not in sent.headers
         assert "X-Class" not in sent.headers
 
-    in_world(scenario)
+    run_with_gateway(scenario)
 
 
 def test_refusal_before_the_claim_speaks_of_its_own_attempt_only():
@@ -444,28 +444,28 @@
     caller would charge the customer again by another way.
     """
 
-    async def scenario(world):
+    async def scenario(harness):
         headers = {"Idempotency-Key": "k"}
-        first = await world.call("POST", path="/r/other/x", headers=headers)
+        first = await harness.call("POST", path="/r/other/x", headers=headers)
         assert first.problem["ran"] == "no"
-        assert world.kinds() == ["OnceBegin", "OnceGiveBack"]
+        assert harness.kinds() == ["OnceBegin", "OnceGiveBack"]
         assert "earlier_attempts" not in first.problem
 
         async def out(query):
             raise LogUnavailableError("the log is out", retry_after_s=1.0)
 
-        world.kernel.bus._handlers[OnceBegin] = out
-        again = await world.call("POST", path="/r/other/x", headers=headers)
+        harness.kernel.bus._handlers[OnceBegin] = out
+        again = await harness.call("POST", path="/r/other/x", headers=headers)
         assert again.problem["ran"] == "no"
         assert again.problem["earlier_attempts"] == "unknown"
 
-    in_world(scenario)
+    run_with_gateway(scenario)
 
 
 def test_bad_requests_get_typed_errors_that_say_what_to_mend():
-    async def scenario(world):
+    async def scenario(harness):
         async def code(**kw):
-            answer = await world.call(**kw)
+            answer = await harness.call(**kw)
             assert answer.problem["remedy"]
             assert answer.problem["ran"] == "no"
             return answer.status, answer.problem["code"]
@@ -483,14 +483,14 @@
             403,
             "key.not_permitted",
         )
-        assert world.runners.sent == []
+        assert harness.runners.sent == []
 
-    in_world(scenario, max_body_bytes=1000)
+    run_with_gateway(scenario, max_body_bytes=1000)
 
 
 def test_full_queue_of_a_team_is_refused_at_once_with_a_time_to_come_back():
-    async def scenario(world):
-        calls = [asyncio.create_task(world.call()) for _ in range(5)]
+    async def scenario(harness):
+        calls = [asyncio.create_task(harness.call()) for _ in range(5)]
         done, waiting = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
         answer = done.pop().result()
         assert answer.status == 429
@@ -499,19 +499,19 @@
             call.cancel()
         await asyncio.wait(waiting)
 
-    in_world(scenario, room=0, max_waiting_per_team=4)
+    run_with_gateway(scenario, room=0, max_waiting_per_team=4)
 
 
 def test_plan_shares_weigh_the_teams():
     """The lists give one team three times the share of another."""
 
-    async def scenario(world):
-        config = world.kernel.states.config
+    async def scenario(harness):
+        config = harness.kernel.states.config
         plans = parse_list("plans", "[p]\nshare=3\nlimit=9\n[q]\nshare=1\nlimit=9\n")
         teams = parse_list("teams", "[a]\nplan=p\n[b]\nplan=q\n")
         config.rows, config.plans, config.teams = config._merged(plans + teams)
-        world.gateway._rebalance(world.kernel.clock())
-        weights = world.gateway._services["svc"].weights
+        harness.gateway._rebalance(harness.kernel.clock())
+        weights = harness.gateway._services["svc"].weights
         assert weights == {"a": 3.0, "b": 1.0}
 
-    in_world(scenario)
+    run_with_gateway(scenario)
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -5,13 +5,13 @@
 from firhook.events import Append, StreamReady
 from firhook.model import KeyGiven, Row, SnapshotChunk, decode_envelope
 from firhook.queries import Authenticate, ChangeRows
-from firhook.roles._config import digest_of
+from firhook.roles._config import digest_key
 from tests.fakelog import FakeLog, until
-from tests.roles.mini import Mini, running
+from tests.roles.instance import Instance, running
 
 PLAN = Row("plans", "small", {"share": "1", "limit": "4"})
 TEAM = Row("teams", "lisboa", {"plan": "small"})
-KEY = KeyGiven("k1", "lisboa", digest_of("fk_one"))
+KEY = KeyGiven("k1", "lisboa", digest_key("fk_one"))
 
 
 def chunks(log: FakeLog, stream: str) -> list[SnapshotChunk]:
@@ -20,10 +20,10 @@
     return [b for b in bodies if isinstance(b, SnapshotChunk)]
 
 
-async def give_lists(mini: Mini) -> None:
+async def give_lists(instance: Instance) -> None:
     """Put lists and a key in force."""
-    await mini.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
-    await mini.bus.ask(Append("config", KEY))
+    await instance.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
+    await instance.bus.ask(Append("config", KEY))
 
 
 def test_lists_outlive_the_records_that_made_them():
@@ -35,7 +35,7 @@
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a = Mini("a", log, cell, carry_forward_records=20)
+        a = Instance("a", log, cell, carry_forward_records=20)
         async with running(a):
             a.lead(log)
             await give_lists(a)
@@ -43,7 +43,7 @@
                 await a.bus.ask(ChangeRows(version, (TEAM,), "root"))
             await until(lambda: a.states.config.carried_upto > 0)
             log.first["config"] = a.states.config.carried_upto
-            b = Mini("b", log, {})
+            b = Instance("b", log, {})
             async with running(b):
                 assert b.states.config.version == a.states.config.version == 25
                 who = await b.bus.ask(Authenticate("Bearer fk_one"))
@@ -60,17 +60,17 @@
 
     async def scenario():
         log, cell = FakeLog(), {}
-        minis = [
-            Mini(name, log, cell, zone=zone, carry_forward_records=20)
+        instances = [
+            Instance(name, log, cell, zone=zone, carry_forward_records=20)
             for name, zone in (("a", "lisboa"), ("b", "porto"), ("c", "lisboa"))
         ]
-        async with running(*minis):
-            minis[0].lead(log)
-            minis[1].lead(log)
-            await give_lists(minis[2])
+        async with running(*instances):
+            instances[0].lead(log)
+            instances[1].lead(log)
+            await give_lists(instances[2])
             for version in range(1, 21):
-                await minis[2].bus.ask(ChangeRows(version, (TEAM,), "root"))
-            await until(lambda: minis[2].states.config.carried_upto > 0)
+                await instances[2].bus.ask(ChangeRows(version, (TEAM,), "root"))
+            await until(lambda: instances[2].states.config.carried_upto > 0)
             lanes = {
                 decode_envelope(p).lane
                 for p in log.streams["config"]
@@ -90,17 +90,17 @@
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a = Mini("a", log, cell)
+        a = Instance("a", log, cell)
         async with running(a):
             await give_lists(a)
             log.out, log.append_fate = True, "refuse"
-            b = Mini("b", log, cell)
+            b = Instance("b", log, cell)
             async with running(b, ready=False):
-                await b.hear("a")
+                await b.receive_gossip("a")
                 await until(lambda: b.states.config.version == 1)
                 assert await b.bus.ask(StreamReady("config"))
                 assert not await b.bus.ask(StreamReady("once"))
-                await b.hear("a")
+                await b.receive_gossip("a")
                 who = await b.bus.ask(Authenticate("Bearer fk_one"))
                 assert who.team == "lisboa"
                 log.out, log.append_fate = False, "ok"
@@ -118,7 +118,7 @@
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a, b = Mini("a", log, cell), Mini("b", log, cell)
+        a, b = Instance("a", log, cell), Instance("b", log, cell)
         async with running(a, b):
             await give_lists(a)
             await until(lambda: b.states.config.version == 1)
--- a/tests/roles/test_members.py
+++ b/tests/roles/test_members.py
@@ -295,11 +295,11 @@
         for node in fleet.nodes.values():
             node.demand = 20
         fleet.run(4)
-        others[1].islands = lead.islands = {lead.name, others[1].name}
+        others[1].reachable_peers = lead.reachable_peers = {lead.name, others[1].name}
         lead.log_cut = others[1].log_cut = True
         fleet.run(25)
         assert lead_of(fleet, "a") is others[0]
-        lead.islands = others[1].islands = None
+        lead.reachable_peers = others[1].reachable_peers = None
         fleet.run(10)
 
 
@@ -318,7 +318,7 @@
         old.demand = 2
         fleet.run(1)
         old.log_cut = holder.log_cut = True
-        old.islands = {holder.name}
+        old.reachable_peers = {holder.name}
         holder.demand = 1
         fleet.boot("a2", "a")
         newcomer = fleet.nodes["a2"]
@@ -346,7 +346,7 @@
         fleet.run(6)
         fleet.took_s = LINGER_S
         peer.log_cut = False
-        old.islands = set()
+        old.reachable_peers = set()
         peer.demand = 20
         for _ in range(60):
             old.demand = min(old.demand + 1, 20)
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -24,7 +24,7 @@
 from firhook.roles import _once
 from firhook.state import OnceState
 from tests.fakelog import FakeLog, until
-from tests.roles.mini import Mini, running
+from tests.roles.instance import Instance, running
 from tests.state.test_config import feed
 
 CHARGE = OnceBegin("renewal-1", "lisboa", "body")
@@ -41,7 +41,7 @@
 
     async def run():
         log, cell = FakeLog(), {}
-        a, b = Mini("a", log, cell), Mini("b", log, cell)
+        a, b = Instance("a", log, cell), Instance("b", log, cell)
         async with running(a, b):
             await scenario(log, a, b)
 
@@ -94,7 +94,7 @@
 
     async def scenario(log, a, b):
         claim = OnceClaimed(CHARGE.key, "lisboa", "body", "a#1", 99)
-        monkeypatch.setattr(a.once, "_on_own_claim", lambda claim: None)
+        monkeypatch.setattr(a.once, "_release_unsent_claim", lambda claim: None)
         log.write("once", "a#0", 1, claim)
         await until(lambda: b.states.once.entries)
         with pytest.raises(OnceInProgressError) as caught:
@@ -144,7 +144,7 @@
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
         await until(lambda: b.states.once.entries)
-        assert b.heard == {}
+        assert b.last_gossip == {}
         with pytest.raises(OnceInProgressError):
             await b.bus.ask(CHARGE)
 
@@ -158,9 +158,9 @@
         assert await a.bus.ask(CHARGE) is None
         a.bus.publish(OnceSending(CHARGE.key))
         a.bus.publish(OnceLost(CHARGE.key))
-        for mini in (a, b):
+        for instance in (a, b):
             with pytest.raises(OnceUnknownError):
-                await mini.bus.ask(CHARGE)
+                await instance.bus.ask(CHARGE)
 
     run_two(scenario)
 
@@ -202,7 +202,7 @@
 
 def test_outcomes_held_back_by_an_outage_are_bounded(monkeypatch):
     """An outage lasts, and answers pile up in a process of 64 MB."""
-    monkeypatch.setattr(_once, "MAX_UNSTORED_BYTES", 6)
+    monkeypatch.setattr(_once, "MAX_PENDING_OUTCOME_BYTES", 6)
 
     async def scenario(log, a, b):
         other = OnceBegin("renewal-2", "lisboa", "body")
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -36,12 +36,12 @@
 class Workers:
     """Workers that answer every look and order, but for those that are cut."""
 
-    def __init__(self, cut=()):
-        self.cut = set(cut)
+    def __init__(self, unreachable=()):
+        self.unreachable = set(unreachable)
         self.orders = []
 
     async def poll(self, endpoint):
-        if endpoint.name in self.cut:
+        if endpoint.name in self.unreachable:
             await asyncio.sleep(30.0)
             raise WorkerUnreachableError(endpoint.name)
         return Report(endpoint.name, 1.0, 1, "boot", ())
@@ -51,7 +51,7 @@
         return Report(endpoint.name, 1.0, order.epoch, "boot", ())
 
 
-class Desk:
+class FakeKernel:
     """A kernel's part that the lead needs, with a log that a test can spoil."""
 
     def __init__(self, workers, limit=8):
@@ -72,21 +72,23 @@
         self.lane = "i#1"
         self.stopping = False
         self.records = []
-        self.spoil = lambda body: None
+        self.before_append = lambda body: None
         self.seq = 0
         self.bus.register_handler(LeadView, self._lead)
         self.bus.register_handler(LogAge, self._age)
         self.bus.register_handler(Append, self._append)
         self.lead = ZoneLead(self)
-        self.put("cell", LeadClaimed(ZONE, 1, self.lane, -1))
+        self.append_record("cell", LeadClaimed(ZONE, 1, self.lane, -1))
         plan = Row("plans", "p", {"share": "1", "limit": str(limit)})
-        self.put("config", RowsChanged(0, (plan, Row("teams", "a", {"plan": "p"}))))
+        self.append_record(
+            "config", RowsChanged(0, (plan, Row("teams", "a", {"plan": "p"})))
+        )
         self.bus.publish(InstancesListed(tuple(fleet(2))))
 
     def clock(self):
         return asyncio.get_event_loop().time()
 
-    def put(self, stream, body):
+    def append_record(self, stream, body):
         self.seq += 1
         state = self.states.by_stream[stream]
         offset, envelope = state.next_offset, Envelope(self.lane, self.seq, body)
@@ -102,8 +104,8 @@
         return 0.1
 
     async def _append(self, query):
-        self.spoil(query.body)
-        return self.put(query.stream, query.body)
+        self.before_append(query.body)
+        return self.append_record(query.stream, query.body)
 
     async def run(self, seconds):
         await self.lead.start()
@@ -119,16 +121,16 @@
     """
 
     async def scenario():
-        desk = Desk(Workers(), limit=8)
+        kernel = FakeKernel(Workers(), limit=8)
         seen = []
 
-        def spoil(body):
+        def before_append(body):
             if isinstance(body, Assigned):
-                seen.append(desk.grants.ask("a", "peer", 8, 0, 8, desk.clock()))
+                seen.append(kernel.grants.ask("a", "peer", 8, 0, 8, kernel.clock()))
 
-        desk.spoil = spoil
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 5), ZONE))
-        await desk.run(0.6)
+        kernel.before_append = before_append
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 5), ZONE))
+        await kernel.run(0.6)
         assert seen == [3]
 
     asyncio.run(scenario())
@@ -138,20 +140,20 @@
     """The log takes an assignment but its answer is lost."""
 
     async def scenario():
-        desk = Desk(Workers())
+        kernel = FakeKernel(Workers())
         lost = []
 
-        def spoil(body):
+        def before_append(body):
             if isinstance(body, Assigned) and not lost:
                 lost.append(body)
                 raise LogOutcomeUnknownError("lost")
 
-        desk.spoil = spoil
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
-        await desk.run(0.6)
+        kernel.before_append = before_append
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
+        await kernel.run(0.6)
         kinds = [
             type(r).__name__
-            for r in desk.records
+            for r in kernel.records
             if isinstance(r, (ZoneFenced, Assigned))
         ]
         assert kinds == ["ZoneFenced", "ZoneFenced", "Assigned"]
@@ -166,10 +168,10 @@
     """
 
     async def scenario():
-        workers = Workers(cut={"w000"})
-        desk = Desk(workers)
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
-        await desk.run(0.6)
+        workers = Workers(unreachable={"w000"})
+        kernel = FakeKernel(workers)
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
+        await kernel.run(0.6)
         started = [n for n, order in workers.orders if order.start]
         assert set(started) == {"w001"}
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,7 +4,7 @@
 import gc
 
 from firhook.errors import LogUnavailableError
-from firhook.roles._fold import Folder
+from firhook.roles._batcher import Batcher
 from firhook.tasks import log_failure
 
 
@@ -45,10 +45,10 @@
         raise LogUnavailableError("out")
 
     async def scenario():
-        folder = Folder(send)
-        request = asyncio.create_task(folder.add("a/1"))
+        batcher = Batcher(send)
+        request = asyncio.create_task(batcher.add("a/1"))
         await asyncio.sleep(0)
-        wave = folder._wave
+        wave = batcher._batch
         request.cancel()
         await asyncio.wait({request, wave})
         del wave
