--- a/tests/roles/test_cell.py
+++ b/tests/roles/test_cell.py
@@ -9,7 +9,7 @@
 from firhook.roles._batcher import MAX_BATCH_SIZE, Batcher
 from firhook.roles._cell import check_plan_allows, choose_zone
 from firhook.roles._zone_lead import MAX_BATCH_TASKS, split_into_batches
-from tests.decide.shop import fleet
+from tests.decide.zone_simulation import fleet
 
 WORKERS = (*fleet(4, cpus=16.0), *fleet(12, cpus=32.0, zone="lekki"))
 
