--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -70,10 +70,14 @@
         for list_name in ("plans", "teams"):
             if list_name not in data:
                 continue
-            given = {r.name: r for r in parse_list(list_name, str(data[list_name]))}
-            old = self.states.config.rows[list_name]
-            changed += [r for n, r in given.items() if old.get(n) != r.values]
-            changed += [Row(list_name, n, None) for n in old if n not in given]
+            listed = {r.name: r for r in parse_list(list_name, str(data[list_name]))}
+            current = self.states.config.rows[list_name]
+            changed += [
+                r for name, r in listed.items() if current.get(name) != r.values
+            ]
+            changed += [
+                Row(list_name, name, None) for name in current if name not in listed
+            ]
         return tuple(changed)
 
     async def _get_versions(self, req: web.Request) -> web.Response:
@@ -106,9 +110,10 @@
         data = await read_json(req)
         if not isinstance(data, dict) or not isinstance(data.get("team"), str):
             raise RequestMalformedError("give 'team', or '' for an operator's key")
-        given = await self.bus.ask(GiveKey(data["team"]))
+        created = await self.bus.ask(GiveKey(data["team"]))
         return json_response(
-            {"key_id": given.key_id, "team": given.team, "key": given.key}, status=201
+            {"key_id": created.key_id, "team": created.team, "key": created.key},
+            status=201,
         )
 
     async def _delete_key(self, req: web.Request) -> web.Response:
--- a/src/firhook/ops/_events.py
+++ b/src/firhook/ops/_events.py
@@ -62,8 +62,8 @@
     elif isinstance(body, Ended):
         for item in body.items:
             task = f"{item.job_id}[{item.index}]"
-            why = f": {item.reason}" if item.reason else ""
-            yield "ended", task, f"attempt {item.attempt} {item.outcome}{why}"
+            reason = f": {item.reason}" if item.reason else ""
+            yield "ended", task, f"attempt {item.attempt} {item.outcome}{reason}"
     elif isinstance(body, JobsAdopted):
         yield "adopted", f"zone {body.giver}", f"its jobs go to zone {body.receiver}"
     elif isinstance(body, WorkerMarked):
--- a/src/firhook/roles/_adopter.py
+++ b/src/firhook/roles/_adopter.py
@@ -36,30 +36,32 @@
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
         self._cell = kernel.states.cell
-        self._sight = LeadActivity()
+        self._lead_activity = LeadActivity()
         bus = kernel.bus
         bus.subscribe(RecordApplied, self._on_record)
-        bus.subscribe(StreamRebuilt, lambda _: self._sight.reset())
-        bus.subscribe(LoopStalled, lambda _: self._sight.reset())
+        bus.subscribe(StreamRebuilt, lambda _: self._lead_activity.reset())
+        bus.subscribe(LoopStalled, lambda _: self._lead_activity.reset())
 
     def _on_record(self, event: RecordApplied) -> None:
         body = event.envelope.body
         if not isinstance(body, (LeadClaimed, LeadRenewed, LeadReleased)):
             return
         if event.verdict is Verdict.APPLIED:
-            self._sight.record_lead(body.zone, self._kernel.clock())
+            self._lead_activity.record_lead(body.zone, self._kernel.clock())
 
     async def step(self, epoch: int, timing: Timing) -> None:
         """Adopt the jobs of the lost zones that fall to this one."""
         kernel, now = self._kernel, self._kernel.clock()
-        self._sight.record_log_age(await kernel.bus.ask(LogAge("cell")), now)
+        self._lead_activity.record_log_age(await kernel.bus.ask(LogAge("cell")), now)
         zones = kernel.cfg.zones
-        fresh_s = 2 * kernel.cfg.lead_lease_s
-        alive = {z: self._sight.inactive_s(z, now) <= fresh_s for z in zones}
+        max_inactive_s = 2 * kernel.cfg.lead_lease_s
+        alive = {
+            z: self._lead_activity.inactive_s(z, now) <= max_inactive_s for z in zones
+        }
         for zone in zones:
             if zone == kernel.cfg.zone or not self._cell.open_jobs(zone):
                 continue
-            if not self._sight.is_lost(zone, timing, now):
+            if not self._lead_activity.is_lost(zone, timing, now):
                 continue
             if choose_adopter(zones, zone, alive) == kernel.cfg.zone:
                 await self._adopt(zone, epoch)
@@ -70,16 +72,18 @@
         The attempts come first: were the jobs adopted before, a death of this
         lead between the two would have its successor start them from nothing.
         """
-        seen = self._cell.leads[zone].offset
+        lead_offset = self._cell.leads[zone].offset
         job_ids = [entry.job.key for entry in self._cell.open_jobs(zone)]
-        giver = await read_zone_state(self._kernel.platform.log, zone)
-        items = tasks_to_carry(giver, job_ids)
-        ask = self._kernel.bus.ask
-        own = self._kernel.cfg.zone
+        lost_state = await read_zone_state(self._kernel.platform.log, zone)
+        items = tasks_to_carry(lost_state, job_ids)
+        append = self._kernel.bus.ask
+        own_zone = self._kernel.cfg.zone
         for i in range(0, len(items), MAX_ATTEMPTS_PER_RECORD):
-            part = tuple(items[i : i + MAX_ATTEMPTS_PER_RECORD])
-            await ask(Append(f"zone.{own}", TasksCarried(epoch, zone, part)))
-        applied = await ask(Append("cell", JobsAdopted(zone, own, epoch, seen)))
+            batch = tuple(items[i : i + MAX_ATTEMPTS_PER_RECORD])
+            await append(Append(f"zone.{own_zone}", TasksCarried(epoch, zone, batch)))
+        applied = await append(
+            Append("cell", JobsAdopted(zone, own_zone, epoch, lead_offset))
+        )
         log(
             "zone.adopted",
             giver=zone,
@@ -99,14 +103,18 @@
     :raises LogUnavailableError: if the log cannot be reached.
     """
     state, offset = ZoneState(zone), 0
-    kept: list[tuple[int, Envelope]] = []
-    rebuild: SnapshotFinder | None = None
+    records: list[tuple[int, Envelope]] = []
+    snapshot_finder: SnapshotFinder | None = None
     while True:
         try:
             page = await service.read(f"zone.{zone}", offset, 0.0)
         except LogTrimmedError as exc:
             offset = int(exc.extra["first"])
-            state, kept, rebuild = ZoneState(zone), [], SnapshotFinder(offset)
+            state, records, snapshot_finder = (
+                ZoneState(zone),
+                [],
+                SnapshotFinder(offset),
+            )
             continue
         for entry in page.entries:
             offset = entry.offset + 1
@@ -114,24 +122,27 @@
                 envelope = decode_envelope(entry.payload)
             except RecordMalformedError:
                 continue
-            kept.append((entry.offset, envelope))
+            records.append((entry.offset, envelope))
             state.apply(entry.offset, envelope)
             chunk = envelope.body
-            if rebuild is not None and isinstance(chunk, SnapshotChunk):
-                snapshot = rebuild.add(envelope.lane, chunk)
+            if snapshot_finder is not None and isinstance(chunk, SnapshotChunk):
+                snapshot = snapshot_finder.add(envelope.lane, chunk)
                 if snapshot is not None:
-                    state, rebuild = _state_from_snapshot(zone, snapshot, kept), None
+                    state, snapshot_finder = (
+                        _state_from_snapshot(zone, snapshot, records),
+                        None,
+                    )
         if not page.entries or offset >= page.end:
             return state
 
 
 def _state_from_snapshot(
-    zone: str, snapshot: Snapshot, kept: list[tuple[int, Envelope]]
+    zone: str, snapshot: Snapshot, records: list[tuple[int, Envelope]]
 ) -> ZoneState:
     """Return a snapshot's state with the records after it applied."""
     state = ZoneState(zone)
     state.from_text(snapshot.upto, snapshot.text)
-    for offset, envelope in kept:
+    for offset, envelope in records:
         if offset >= snapshot.upto:
             state.apply(offset, envelope)
     return state
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -42,7 +42,7 @@
     def register_handlers(self) -> None:
         """Offer the jobs' routes."""
         self._workers: tuple[Endpoint, ...] = ()
-        self._lead = ZoneLead(self.kernel)
+        self._zone_lead = ZoneLead(self.kernel)
         self._cancel_batcher = Batcher(self._append_cancels)
         self.kernel.routes["api"] += [
             web.post("/v1/jobs", self._post_job),
@@ -54,14 +54,16 @@
 
     def on_init_dependencies(self) -> list[Any]:
         """Return the loops of the zone's lead."""
-        return [self._lead]
+        return [self._zone_lead]
 
     async def on_start(self) -> None:
         """Answer peers that ask for jobs of this zone."""
         self.bus.publish(RegisterPeerHandler(JobInquiry, self._on_inquiry))
 
     def _on_instances(self, event: InstancesListed) -> None:
-        self._workers = tuple(e for e in event.instances if e.kind == "worker")
+        self._workers = tuple(
+            endpoint for endpoint in event.instances if endpoint.kind == "worker"
+        )
 
     # -- submitting ------------------------------------------------------------
 
@@ -97,13 +99,13 @@
         team = await self._visible_team(req)
         jobs = [
             {
-                **to_builtins(e.job),
-                "zone": e.zone,
-                "cancelled": e.cancelled,
-                "ended": e.ended,
+                **to_builtins(entry.job),
+                "zone": entry.zone,
+                "cancelled": entry.cancelled,
+                "ended": entry.ended,
             }
-            for e in self.states.cell.jobs.values()
-            if not team or e.job.team == team
+            for entry in self.states.cell.jobs.values()
+            if not team or entry.job.team == team
         ]
         return json_response({"jobs": jobs})
 
@@ -180,7 +182,7 @@
         )
 
 
-def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own: str) -> str:
+def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own_zone: str) -> str:
     """Return the zone to place a job: the own one, unless it can never fit there.
 
     :param workers: all listed; the list lags, and while it is empty nothing
@@ -189,17 +191,25 @@
     """
     need = ResourceNeed.of(spec)
     slots: dict[str, int] = {}
-    for e in workers:
-        capacity = WorkerCapacity(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
-        slots[e.zone] = slots.get(e.zone, 0) + capacity.count_fitting(need)
-    wanted = spec.tasks if spec.gang else 1
-    if not workers or slots.get(own, 0) >= wanted:
-        return own
-    best = max(sorted(slots), key=lambda zone: slots[zone])
-    if slots[best] >= wanted:
-        return best
-    if slots[best] == 0:
+    for endpoint in workers:
+        capacity = WorkerCapacity(
+            endpoint.name,
+            endpoint.rack,
+            endpoint.cpus,
+            endpoint.memory_mb,
+            endpoint.accelerators,
+        )
+        slots[endpoint.zone] = slots.get(endpoint.zone, 0) + capacity.count_fitting(
+            need
+        )
+    required = spec.tasks if spec.gang else 1
+    if not workers or slots.get(own_zone, 0) >= required:
+        return own_zone
+    best_zone = max(sorted(slots), key=lambda zone: slots[zone])
+    if slots[best_zone] >= required:
+        return best_zone
+    if slots[best_zone] == 0:
         raise JobImpossibleError("each task is larger than any worker of the cell")
     raise JobImpossibleError(
-        f"a gang of {wanted} fits in no zone; the roomiest takes {slots[best]}"
+        f"a gang of {required} fits in no zone; the roomiest takes {slots[best_zone]}"
     )
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -140,9 +140,9 @@
             ServiceLevel.IDEMPOTENT if query.idempotent else ServiceLevel.ALL
         )
 
-    async def _require_fresh(self, wanted: ServiceLevel) -> None:
+    async def _require_fresh(self, required: ServiceLevel) -> None:
         age_s = await self._view_age()
-        if allowed_service(self._policy, age_s) < wanted:
+        if allowed_service(self._policy, age_s) < required:
             raise ZoneStaleError(
                 f"the last word of withdrawn keys came {age_s:.0f} s ago",
                 retry_after_s=_STALE_RETRY_S,
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -99,8 +99,8 @@
         if self._late_exchanges:
             # A keyed request's outcome is worth storing though its caller has
             # been told that it is unknown: the repeat will ask for it.
-            left_s = max(deadline - self.kernel.clock(), 0.1)
-            await asyncio.wait(self._late_exchanges, timeout=left_s)
+            remaining_s = max(deadline - self.kernel.clock(), 0.1)
+            await asyncio.wait(self._late_exchanges, timeout=remaining_s)
 
     def _reject_waiting(self) -> None:
         for service in self._services.values():
@@ -170,15 +170,21 @@
         may_have_run = False
         while True:
             try:
-                placed = await self._wait_for_slot(service, call, tried, allowed_s)
-                return await self._send(service, call, placed, once_key)
+                dispatched = await self._wait_for_slot(service, call, tried, allowed_s)
+                return await self._send(service, call, dispatched, once_key)
             except FirhookError as exc:
                 # Whatever a later try met, an earlier one may have been run,
                 # and the caller must not be told that it was not.
                 may_have_run = may_have_run or exc.ran != "no"
-                cut = isinstance(exc, _RESENDABLE_ERRORS) and len(tried) > 0
-                again = cut and may_resend(call.idempotent, exc.ran, len(tried))
-                if again and service.has_untried(tried) and service.budget.try_spend():
+                send_failed = isinstance(exc, _RESENDABLE_ERRORS) and len(tried) > 0
+                may_retry = send_failed and may_resend(
+                    call.idempotent, exc.ran, len(tried)
+                )
+                if (
+                    may_retry
+                    and service.has_untried(tried)
+                    and service.budget.try_spend()
+                ):
                     continue
                 if may_have_run:
                     exc.ran = "unknown"
@@ -205,12 +211,16 @@
         item.allowed_s = allowed_s
         service.admit(item, now, random.random())
         self._dispatch()
-        placed = await waiter.fut
-        tried.append(placed.view.key)
-        return placed
+        dispatched = await waiter.fut
+        tried.append(dispatched.view.key)
+        return dispatched
 
     async def _send(
-        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
+        self,
+        service: Dispatcher,
+        call: Call,
+        dispatched: DispatchedRequest,
+        once_key: str,
     ) -> EndpointResponse:
         """Send a request, and wait for its answer until the deadline.
 
@@ -219,10 +229,12 @@
         and the team's limit, until its end is known or it has lasted
         ``default_deadline_s``.
         """
-        exchange = asyncio.create_task(self._exchange(service, call, placed, once_key))
-        left_s = max(call.deadline - self.kernel.clock(), 0.0)
+        exchange = asyncio.create_task(
+            self._exchange(service, call, dispatched, once_key)
+        )
+        remaining_s = max(call.deadline - self.kernel.clock(), 0.0)
         try:
-            done, _ = await asyncio.wait({exchange}, timeout=left_s)
+            done, _ = await asyncio.wait({exchange}, timeout=remaining_s)
         except asyncio.CancelledError:
             self._track_late_exchange(exchange, once_key)
             raise
@@ -230,7 +242,7 @@
             return exchange.result()
         self._track_late_exchange(exchange, once_key)
         raise EndpointTimeoutError(
-            f"{placed.view.endpoint.name}: no answer in time",
+            f"{dispatched.view.endpoint.name}: no answer in time",
             retry_after_s=1.0,
         )
 
@@ -238,12 +250,12 @@
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
         self._late_once_keys.add(once_key)
-        late = asyncio.create_task(self._settle_late_exchange(exchange, once_key))
-        self._late_exchanges.add(late)
-        late.add_done_callback(self._late_exchanges.discard)
-        late.add_done_callback(log_failure("exchange.not_settled"))
+        task = asyncio.create_task(self._finish_late_exchange(exchange, once_key))
+        self._late_exchanges.add(task)
+        task.add_done_callback(self._late_exchanges.discard)
+        task.add_done_callback(log_failure("exchange.not_settled"))
 
-    async def _settle_late_exchange(
+    async def _finish_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
         """Wait for the end of an exchange whose caller was told "unknown".
@@ -264,11 +276,15 @@
             self._late_once_keys.discard(once_key)
 
     async def _exchange(
-        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
+        self,
+        service: Dispatcher,
+        call: Call,
+        dispatched: DispatchedRequest,
+        once_key: str,
     ) -> EndpointResponse:
         if once_key:
             self.bus.publish(OnceSending(once_key))
-        view = placed.view
+        view = dispatched.view
         try:
             answer = await self.platform.endpoints.send(
                 view.endpoint,
@@ -282,31 +298,31 @@
             service.router.note_failure(view, self.kernel.clock())
             raise
         else:
-            self._record_answer(service, call, placed, answer)
+            self._record_answer(service, call, dispatched, answer)
             return answer
         finally:
-            service.end(placed, self.kernel.clock())
+            service.end(dispatched, self.kernel.clock())
             self._dispatch()
 
     def _record_answer(
         self,
         service: Dispatcher,
         call: Call,
-        placed: DispatchedRequest,
+        dispatched: DispatchedRequest,
         answer: EndpointResponse,
     ) -> None:
         now = self.kernel.clock()
-        took_s = now - placed.started
-        view = placed.view
+        duration_s = now - dispatched.started
+        view = dispatched.view
         if answer.leaving:
             view.leaving = True
             self.kernel.load.leaving.add(view.key)
         expected_s = service.times.expected_s(call.kind)
-        service.router.note_answer(view, took_s, expected_s, now)
-        service.times.record(call.kind, took_s, now)
+        service.router.note_answer(view, duration_s, expected_s, now)
+        service.times.record(call.kind, duration_s, now)
         service.budget.note_answer()
         self.stats.count_answer(
-            call.team, call.klass, placed.started - call.arrived, took_s
+            call.team, call.klass, dispatched.started - call.arrived, duration_s
         )
 
     # -- the queue ---------------------------------------------------------
@@ -315,15 +331,15 @@
         """Give free slots to waiting requests."""
         now = self.kernel.clock()
         for service in self._services.values():
-            while (placed := service.dispatch_next(now, self._jitter)) is not None:
-                waiter = placed.item.token
-                if isinstance(placed, RefusedRequest):
-                    _reject(waiter.fut, placed.exc)
+            while (dispatched := service.dispatch_next(now, self._jitter)) is not None:
+                waiter = dispatched.item.token
+                if isinstance(dispatched, RefusedRequest):
+                    _reject(waiter.fut, dispatched.exc)
                 elif waiter.call.caller_gone or waiter.fut.done():
-                    service.end(placed, now)
+                    service.end(dispatched, now)
                     _reject(waiter.fut, CallerGoneError("its turn had come"))
                 else:
-                    waiter.fut.set_result(placed)
+                    waiter.fut.set_result(dispatched)
             for team in service.teams_awaiting_capacity():
                 running = self.kernel.account.running.get(team, 0)
                 wanted = running + service.queue.waiting(team)
@@ -347,8 +363,8 @@
                     service.queue.remove(item)
                     _reject(item.token.fut, CallerGoneError("it was waiting"))
             self._jitter = random.random()
-            for given_up in service.refuse_hopeless(now, self._jitter):
-                _reject(given_up.item.token.fut, given_up.exc)
+            for refused in service.refuse_hopeless(now, self._jitter):
+                _reject(refused.item.token.fut, refused.exc)
         self._fleet.update_load(
             self.kernel.account, self._services.values(), self.kernel.load, now
         )
@@ -375,7 +391,7 @@
             if endpoint.kind == "runner":
                 listed.setdefault(endpoint.service, []).append(endpoint)
         self._fleet.set_instances(event.instances)
-        fresh = not listed.keys() <= self._services.keys()
+        has_new_service = not listed.keys() <= self._services.keys()
         for name, endpoints in listed.items():
             if name not in self._services:
                 self._services[name] = self._new_service()
@@ -384,7 +400,7 @@
                 self._drop_service(name)
         # A service just listed needs its parts now; the others get them at the
         # next round, since the agreement of parts counts in rounds.
-        if fresh:
+        if has_new_service:
             self._rebalance(now)
         self._dispatch()
 
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -115,8 +115,8 @@
         lead = self.states.cell.leads[self.cfg.zone]
         if lead.released or lead.instance != self.kernel.lane:
             return False
-        own = lane.stream.startswith("zone.")
-        rank = 0 if own else snapshot_rank(self.cfg.zone, self.cfg.zones)
+        is_own_zone = lane.stream.startswith("zone.")
+        rank = 0 if is_own_zone else snapshot_rank(self.cfg.zone, self.cfg.zones)
         state = lane.stream_state
         return is_snapshot_due(
             state.next_offset - state.snapshot_offset,
@@ -181,10 +181,10 @@
         if lane.age_s <= self.cfg.log_poll_s + 2 * _CHECK_INTERVAL_S:
             return
         peers = await self._select_peers(lane)
-        asks = [self.bus.ask(AskPeer(p, SnapshotAsk(lane.stream))) for p in peers]
-        answers = await asyncio.gather(*asks, return_exceptions=True)
-        whole = [a for a in answers if isinstance(a, SnapshotAnswer)]
-        for answer in sorted(whole, key=lambda a: a.offset, reverse=True):
+        requests = [self.bus.ask(AskPeer(p, SnapshotAsk(lane.stream))) for p in peers]
+        answers = await asyncio.gather(*requests, return_exceptions=True)
+        snapshots = [a for a in answers if isinstance(a, SnapshotAnswer)]
+        for answer in sorted(snapshots, key=lambda a: a.offset, reverse=True):
             if answer.stream == lane.stream and lane.load_peer_snapshot(
                 answer.offset, answer.data
             ):
@@ -202,7 +202,9 @@
                 if m.gossip.config_offset > lane.stream_state.next_offset
             ]
             return {m.name for m in ahead[:1]}
-        names = self._listed_entries | {m.name for m in members}
-        names |= {str(seed) for seed in self.cfg.seeds}
-        names.discard(self.cfg.name)
-        return set(random.sample(sorted(names), min(len(names), MAX_PEER_REQUESTS)))
+        candidates = self._listed_entries | {m.name for m in members}
+        candidates |= {str(seed) for seed in self.cfg.seeds}
+        candidates.discard(self.cfg.name)
+        return set(
+            random.sample(sorted(candidates), min(len(candidates), MAX_PEER_REQUESTS))
+        )
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -78,7 +78,7 @@
         self._last_gossip: dict[str, tuple[float, Gossip]] = {}
         self._addresses: dict[str, str] = {}
         self._gossip_interval_s = self.cfg.gossip_s
-        self._was_held = False
+        self._lead_was_held = False
         self.leadership = Leadership(self.kernel)
         self.lender = CapacityLender(self.kernel, self.leadership)
         self.borrower = CapacityBorrower(
@@ -89,7 +89,7 @@
         bus.register_handler(AskPeer, self._ask_peer)
         bus.register_handler(Members, self._members)
         bus.register_handler(LeadView, self._lead_view)
-        bus.subscribe(RegisterPeerHandler, self._on_serve_peer)
+        bus.subscribe(RegisterPeerHandler, self._on_register_handler)
         bus.subscribe(RecordApplied, self._on_record)
         bus.subscribe(StreamRebuilt, self._on_rebuilt)
         bus.subscribe(InstancesListed, self._on_instances)
@@ -103,7 +103,7 @@
     async def on_start(self) -> None:
         """Bind the socket to the peers."""
         cfg = self.cfg
-        self._mesh = Mesh(cfg.curve_public, cfg.curve_secret, self._serve)
+        self._mesh = Mesh(cfg.curve_public, cfg.curve_secret, self._handle_request)
         bound = self._mesh.bind(cfg.peers)
         self.kernel.ports["peers"] = str(bound)
         mesh = self._mesh
@@ -207,13 +207,13 @@
         )
         return tuple(u for u in uses if u.running or u.waiting or u.served_s)
 
-    async def _serve(self, msg: Any) -> Any:
+    async def _handle_request(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
         if handler is None:
             raise FrameMalformedError(f"nobody serves {type(msg).__name__}")
         return await handler(msg)
 
-    def _on_serve_peer(self, event: RegisterPeerHandler) -> None:
+    def _on_register_handler(self, event: RegisterPeerHandler) -> None:
         self._handlers[event.kind] = event.handler
 
     async def _on_gossip(self, msg: Gossip) -> None:
@@ -236,16 +236,16 @@
         return max(self.cfg.member_timeout_s, 3 * min(gossip.every_s, 60.0))
 
     def _remove_expired_peers(self, now: float) -> None:
-        for name, (at, gossip) in list(self._last_gossip.items()):
-            if now - at > self._peer_timeout_s(gossip):
+        for name, (received_at, gossip) in list(self._last_gossip.items()):
+            if now - received_at > self._peer_timeout_s(gossip):
                 del self._last_gossip[name]
 
     async def _members(self, query: Members) -> tuple[Member, ...]:
         now = self.kernel.clock()
         self._remove_expired_peers(now)
         return tuple(
-            Member(name, gossip.zone, gossip.incarnation, now - at, gossip)
-            for name, (at, gossip) in sorted(self._last_gossip.items())
+            Member(name, gossip.zone, gossip.incarnation, now - received_at, gossip)
+            for name, (received_at, gossip) in sorted(self._last_gossip.items())
         )
 
     async def _ask_peer(self, query: AskPeer) -> Any:
@@ -255,27 +255,27 @@
         return await self._mesh.request(address, query.body, query.timeout_s)
 
     @Service.task
-    async def _list_loop(self) -> None:
+    async def _list_instances_loop(self) -> None:
         while not self.should_stop:
             try:
-                listed = await self.platform.instances.list()
+                instances = await self.platform.instances.list()
             except PlatformUnavailableError as exc:
                 log("instances.unavailable", level="warning", code=exc.code)
             else:
-                self.bus.publish(InstancesListed(listed))
+                self.bus.publish(InstancesListed(instances))
             await self.sleep(self.cfg.list_poll_s)
 
     def _on_instances(self, event: InstancesListed) -> None:
         assert self._mesh is not None
-        own = self.kernel.ports.get("peers")
+        own_address = self.kernel.ports.get("peers")
         self._addresses = {
             e.name: e.address for e in event.instances if e.kind == "entry"
         }
-        wanted = {a for a in self._addresses.values() if a != own}
-        wanted |= {str(s) for s in self.cfg.seeds} - {own}
-        for address in self._mesh.addresses - wanted:
+        wanted_addresses = {a for a in self._addresses.values() if a != own_address}
+        wanted_addresses |= {str(s) for s in self.cfg.seeds} - {own_address}
+        for address in self._mesh.addresses - wanted_addresses:
             self._mesh.disconnect(address)
-        for address in wanted:
+        for address in wanted_addresses:
             self._mesh.connect(address)
 
     # -- the zone's lead -----------------------------------------------
@@ -319,9 +319,9 @@
 
     def _publish_lead_change(self, now: float) -> None:
         held = self.leadership.is_held(now)
-        if held == self._was_held:
+        if held == self._lead_was_held:
             return
-        self._was_held = held
+        self._lead_was_held = held
         epoch = self.leadership.state.epoch
         log("lead.changed", epoch=epoch, held=held)
         self.bus.publish(LeadChanged(epoch, held))
@@ -329,13 +329,13 @@
     @Service.task
     async def _lead_loop(self) -> None:
         while not self.should_stop:
-            await self._run_step("lead", self._lead_step())
-            mine = self.leadership.is_lead
+            await self._run_step("lead", self._renew_or_claim_lead())
+            is_lead = self.leadership.is_lead
             await self._wait_for_next_step(
-                self.cfg.lead_lease_s / 3 if mine else _CLAIM_CHECK_INTERVAL_S
+                self.cfg.lead_lease_s / 3 if is_lead else _CLAIM_CHECK_INTERVAL_S
             )
 
-    async def _lead_step(self) -> None:
+    async def _renew_or_claim_lead(self) -> None:
         started = self.kernel.clock()
         self.leadership.wake.clear()
         await self.leadership.renew_or_claim(
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -66,11 +66,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._outcome_waiters: dict[str, set[asyncio.Future[None]]] = {}
         bus = self.bus
-        bus.register_handler(OnceBegin, self._begin)
-        bus.register_handler(OnceFinish, self._finish)
-        bus.register_handler(OnceRelease, self._give_back)
+        bus.register_handler(OnceBegin, self._on_begin)
+        bus.register_handler(OnceFinish, self._on_finish)
+        bus.register_handler(OnceRelease, self._on_release)
         bus.subscribe(OnceSending, self._on_sending)
-        bus.subscribe(OnceLost, self._on_lost)
+        bus.subscribe(OnceLost, self._on_outcome_lost)
         bus.subscribe(RecordApplied, self._on_record)
 
     async def on_start(self) -> None:
@@ -89,7 +89,7 @@
 
     # -- claiming --------------------------------------------------------
 
-    async def _begin(self, query: OnceBegin) -> EndpointResponse | None:
+    async def _on_begin(self, query: OnceBegin) -> EndpointResponse | None:
         entry = self.states.once.entries.get(query.key)
         if entry is None and self._claims.find(query.key) is None:
             if await self._claim(query):
@@ -206,21 +206,21 @@
         if entry.holder == self.kernel.lane:
             return self._claims.send_status(key, entry.nonce)
         peer = entry.holder.partition("#")[0]
-        ask = ClaimInquiry(key, entry.holder, entry.nonce)
+        inquiry = ClaimInquiry(key, entry.holder, entry.nonce)
         try:
-            answer = await self.bus.ask(AskPeer(peer, ask, _INQUIRY_TIMEOUT_S))
+            answer = await self.bus.ask(AskPeer(peer, inquiry, _INQUIRY_TIMEOUT_S))
             return SendStatus(answer.sent)
         except (FirhookError, ValueError, AttributeError):
             members = await self.bus.ask(Members())
-            alive = entry.holder in {m.incarnation for m in members}
-            return SendStatus.RUNNING if alive else SendStatus.UNKNOWN
+            holder_is_alive = entry.holder in {m.incarnation for m in members}
+            return SendStatus.RUNNING if holder_is_alive else SendStatus.UNKNOWN
 
-    async def _on_inquiry(self, ask: ClaimInquiry) -> ClaimInquiryAnswer:
-        if ask.holder != self.kernel.lane:
+    async def _on_inquiry(self, inquiry: ClaimInquiry) -> ClaimInquiryAnswer:
+        if inquiry.holder != self.kernel.lane:
             # An earlier run of this instance, which took its book with it.
-            return ClaimInquiryAnswer(ask.key, SendStatus.UNKNOWN.value)
+            return ClaimInquiryAnswer(inquiry.key, SendStatus.UNKNOWN.value)
         return ClaimInquiryAnswer(
-            ask.key, self._claims.send_status(ask.key, ask.nonce).value
+            inquiry.key, self._claims.send_status(inquiry.key, inquiry.nonce).value
         )
 
     # -- ends ------------------------------------------------------------
@@ -228,7 +228,7 @@
     def _on_sending(self, event: OnceSending) -> None:
         self._claims.set_phase(event.key, Phase.SENDING)
 
-    def _on_lost(self, event: OnceLost) -> None:
+    def _on_outcome_lost(self, event: OnceLost) -> None:
         claim = self._claims.find(event.key)
         if claim is None:
             return
@@ -237,14 +237,14 @@
         else:
             self._claims.set_phase(event.key, Phase.OUTCOME_UNKNOWN)
 
-    async def _finish(self, query: OnceFinish) -> None:
+    async def _on_finish(self, query: OnceFinish) -> None:
         """Store an outcome without making its caller wait for the log."""
         claim = self._claims.find(query.key)
         if claim is None:
             return
         size = len(query.answer.body)
-        full = self._pending_bytes + size > MAX_PENDING_OUTCOME_BYTES
-        if full or len(self._pending_outcomes) >= MAX_PENDING_OUTCOMES:
+        exceeds_bytes = self._pending_bytes + size > MAX_PENDING_OUTCOME_BYTES
+        if exceeds_bytes or len(self._pending_outcomes) >= MAX_PENDING_OUTCOMES:
             # The log has been out for long.  Repeats are told "unknown",
             # which is true of what they can be told, and nothing runs twice.
             log("once.outcome_dropped", level="error", key=query.key)
@@ -256,17 +256,19 @@
         self._start_task(self._store(query.key, claim.nonce, query.answer))
 
     async def _store(self, key: str, nonce: int, answer: EndpointResponse) -> None:
-        whole = len(answer.body) <= MAX_STORED_BODY_BYTES
-        data = base64.b64encode(answer.body).decode() if whole else ""
-        kind = dict(answer.headers).get("Content-Type", "")
+        is_body_stored = len(answer.body) <= MAX_STORED_BODY_BYTES
+        data = base64.b64encode(answer.body).decode() if is_body_stored else ""
+        content_type = dict(answer.headers).get("Content-Type", "")
         lane = self.kernel.lane
-        record = OnceDone(key, answer.status, kind, data, whole, lane, nonce)
+        record = OnceDone(
+            key, answer.status, content_type, data, is_body_stored, lane, nonce
+        )
         await self._append_with_retries(record)
         self._claims.settle(key)
         self._pending_outcomes.pop(key, None)
         self._pending_bytes -= len(answer.body)
 
-    async def _give_back(self, query: OnceRelease) -> None:
+    async def _on_release(self, query: OnceRelease) -> None:
         claim = self._claims.find(query.key)
         if claim is not None:
             self._abandon(query.key, claim.nonce)
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -84,13 +84,13 @@
         bus.subscribe(InstancesListed, self._on_instances)
         bus.subscribe(RecordApplied, self._on_record)
         bus.subscribe(StreamRebuilt, self._on_rebuilt)
-        bus.subscribe(LeadChanged, lambda _: self._wake())
+        bus.subscribe(LeadChanged, lambda _: self._wake_loops())
 
     def _new_scheduler(self) -> Scheduler:
         states = self._states
         return Scheduler(states.zone, states.cell, states.config)
 
-    def _wake(self) -> None:
+    def _wake_loops(self) -> None:
         self._round_due.set()
         self._poll_due.set()
 
@@ -101,12 +101,12 @@
     # -- what is heard ---------------------------------------------------------
 
     def _on_instances(self, event: InstancesListed) -> None:
-        listed = tuple(
+        workers = tuple(
             e for e in event.instances if e.kind == "worker" and e.zone == self.cfg.zone
         )
-        if listed != self._listed_workers:
-            self._listed_workers = listed
-            self._wake()
+        if workers != self._listed_workers:
+            self._listed_workers = workers
+            self._wake_loops()
 
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
         self._scheduler.invalidate()
@@ -119,11 +119,11 @@
         if event.stream == "cell":
             self._on_lead_record(event)
             if isinstance(body, (JobAccepted, JobCancelled, JobsAdopted)):
-                self._wake()
+                self._wake_loops()
         elif event.stream == self._stream and isinstance(body, (Assigned, Ended)):
             self._urgent_polls |= self._states.zone.changed_workers
             self._update_task_counts()
-            self._wake()
+            self._wake_loops()
 
     def _on_lead_record(self, event: RecordApplied) -> None:
         """Note when the zone's last lead was last heard of on the log.
@@ -209,7 +209,7 @@
         )
         if term.stopping:
             self._urgent_polls |= {
-                w for w, r, _ in self._attempts() if r in term.stopping
+                w for w, r, _ in self._live_attempts() if r in term.stopping
             }
             self._poll_due.set()
         await self._append_assignments(term, items)
@@ -228,7 +228,7 @@
             counts[team] = counts.get(team, 0) + count
         self.kernel.grants.tasks = counts
 
-    def _attempts(self) -> Iterable[Any]:
+    def _live_attempts(self) -> Iterable[Any]:
         return self._states.zone.live_attempts()
 
     async def _append_fence(self, term: LeadTerm) -> None:
@@ -348,13 +348,13 @@
             any(task.state != "running" for task in report.tasks)
             or name in self._urgent_polls
         ):
-            self._wake()
+            self._wake_loops()
 
     def _order(self, term: LeadTerm, name: str, lead: Lead) -> Any:
         if lead.epoch != term.epoch or lead.instance != self.kernel.lane:
             return None
-        standing = LeaseStatus(lead.held, lead.lease_left_s, lead.hold_left_s)
-        return term.next_order(name, standing, self.kernel.clock())
+        lease_status = LeaseStatus(lead.held, lead.lease_left_s, lead.hold_left_s)
+        return term.next_order(name, lease_status, self.kernel.clock())
 
 
 def split_into_batches(items: Sequence[Assignment]) -> list[list[Assignment]]:
