--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -55,7 +55,7 @@
         cfg = self.cfg
         budget = AppendRateLimiter(cfg.append_budget_per_s / cfg.instances_expected)
         self._listed_entries: set[str] = set()
-        self.lanes = {
+        self.clients = {
             stream: StreamClient(
                 stream,
                 self.kernel.lane,
@@ -75,20 +75,20 @@
 
     def on_init_dependencies(self) -> list[Any]:
         """Return the lanes, one for each stream."""
-        return list(self.lanes.values())
+        return list(self.clients.values())
 
     async def on_start(self) -> None:
         """Answer peers that boot while the log is out."""
         self.bus.publish(RegisterPeerHandler(SnapshotAsk, self._on_snapshot_ask))
 
     async def _append(self, query: Append) -> Applied:
-        return await self.lanes[query.stream].append(query)
+        return await self.clients[query.stream].append(query)
 
     async def _log_age(self, query: LogAge) -> float:
-        return self.lanes[query.stream].age_s
+        return self.clients[query.stream].age_s
 
     async def _stream_ready(self, query: StreamReady) -> bool:
-        return self.lanes[query.stream].ready
+        return self.clients[query.stream].ready
 
     def _on_instances(self, event: InstancesListed) -> None:
         self._listed_entries = {e.name for e in event.instances if e.kind == "entry"}
@@ -99,40 +99,44 @@
     async def _snapshot_loop(self) -> None:
         while not self.should_stop:
             await self.sleep(_CHECK_INTERVAL_S)
-            for lane in self.lanes.values():
+            for client in self.clients.values():
                 try:
-                    if self._is_snapshot_due(lane):
-                        await self._append_snapshot(lane)
+                    if self._is_snapshot_due(client):
+                        await self._append_snapshot(client)
                 except FirhookError as exc:
                     # Not appended in whole; due again at the next turn.
                     log("snapshot.failed", level="warning", code=exc.code)
                 except Exception as exc:
                     log("snapshot.failed", level="error", error=repr(exc))
 
-    def _is_snapshot_due(self, lane: StreamClient) -> bool:
-        if not lane.ready or self.kernel.stopping or not lane.stream_state.next_offset:
+    def _is_snapshot_due(self, client: StreamClient) -> bool:
+        if (
+            not client.ready
+            or self.kernel.stopping
+            or not client.stream_state.next_offset
+        ):
             return False
         lead = self.states.cell.leads[self.cfg.zone]
         if lead.released or lead.instance != self.kernel.lane:
             return False
-        is_own_zone = lane.stream.startswith("zone.")
+        is_own_zone = client.stream.startswith("zone.")
         rank = 0 if is_own_zone else snapshot_rank(self.cfg.zone, self.cfg.zones)
-        state = lane.stream_state
+        state = client.stream_state
         return is_snapshot_due(
             state.next_offset - state.snapshot_offset,
-            time.monotonic() - lane.snapshot_read_at,
+            time.monotonic() - client.snapshot_read_at,
             rank,
             state.snapshot_parts,
             self.cfg.carry_forward_records,
             self.cfg.carry_forward_s,
         )
 
-    async def _append_snapshot(self, lane: StreamClient) -> None:
-        state = lane.stream_state
+    async def _append_snapshot(self, client: StreamClient) -> None:
+        state = client.stream_state
         chunks = split_snapshot(state.next_offset, state.to_text())
         for i in range(0, len(chunks), _CHUNK_BATCH_SIZE):
             appends = [
-                lane.append(Append(lane.stream, chunk, _CHUNK_DEADLINE_S))
+                client.append(Append(client.stream, chunk, _CHUNK_DEADLINE_S))
                 for chunk in chunks[i : i + _CHUNK_BATCH_SIZE]
             ]
             outcomes = await asyncio.gather(*appends, return_exceptions=True)
@@ -141,7 +145,7 @@
                     raise outcome
         log(
             "snapshot.carried",
-            stream=lane.stream,
+            stream=client.stream,
             upto=chunks[0].upto,
             parts=len(chunks),
         )
@@ -149,17 +153,17 @@
     # -- peers, while the log is out -------------------------------------
 
     async def _on_snapshot_ask(self, ask: SnapshotAsk) -> SnapshotAnswer:
-        lane = self.lanes.get(ask.stream)
-        if lane is None:
+        client = self.clients.get(ask.stream)
+        if client is None:
             raise FrameMalformedError(f"stream {ask.stream!r} is not followed here")
-        if not lane.ready:
+        if not client.ready:
             raise NotReadyError(f"{ask.stream} has not been read whole")
-        text = lane.stream_state.to_text()
+        text = client.stream_state.to_text()
         if len(text) > MAX_PEER_SNAPSHOT_CHARS:
             raise NotReadyError(
                 f"{ask.stream} has {len(text)} characters; read the log"
             )
-        return SnapshotAnswer(ask.stream, lane.stream_state.next_offset, text)
+        return SnapshotAnswer(ask.stream, client.stream_state.next_offset, text)
 
     @Service.task
     async def _peer_loop(self) -> None:
@@ -167,39 +171,39 @@
             await self.sleep(_PEER_CHECK_INTERVAL_S)
             for stream in PEER_STREAMS:
                 try:
-                    await self._load_peer_state(self.lanes[stream])
+                    await self._load_peer_state(self.clients[stream])
                 except Exception as exc:
                     log("snapshot.peer_failed", level="error", error=repr(exc))
 
-    async def _load_peer_state(self, lane: StreamClient) -> None:
+    async def _load_peer_state(self, client: StreamClient) -> None:
         """Take over the furthest peer's state if the log does not show it.
 
         A zone that is cut off from the log but not from its peers goes on
         learning of changes this way, and so does an instance that starts
         during an outage.
         """
-        if lane.age_s <= self.cfg.log_poll_s + 2 * _CHECK_INTERVAL_S:
+        if client.age_s <= self.cfg.log_poll_s + 2 * _CHECK_INTERVAL_S:
             return
-        peers = await self._select_peers(lane)
-        requests = [self.bus.ask(AskPeer(p, SnapshotAsk(lane.stream))) for p in peers]
+        peers = await self._select_peers(client)
+        requests = [self.bus.ask(AskPeer(p, SnapshotAsk(client.stream))) for p in peers]
         answers = await asyncio.gather(*requests, return_exceptions=True)
         snapshots = [a for a in answers if isinstance(a, SnapshotAnswer)]
         for answer in sorted(snapshots, key=lambda a: a.offset, reverse=True):
-            if answer.stream == lane.stream and lane.load_peer_snapshot(
+            if answer.stream == client.stream and client.load_peer_snapshot(
                 answer.offset, answer.data
             ):
-                log("snapshot.from_peer", stream=lane.stream, offset=answer.offset)
+                log("snapshot.from_peer", stream=client.stream, offset=answer.offset)
                 return
 
-    async def _select_peers(self, lane: StreamClient) -> set[str]:
+    async def _select_peers(self, client: StreamClient) -> set[str]:
         members = await self.bus.ask(Members())
-        if lane.ready and lane.stream != "config":
+        if client.ready and client.stream != "config":
             return set()
-        if lane.ready:
+        if client.ready:
             ahead = [
                 m
                 for m in members
-                if m.gossip.config_offset > lane.stream_state.next_offset
+                if m.gossip.config_offset > client.stream_state.next_offset
             ]
             return {m.name for m in ahead[:1]}
         candidates = self._listed_entries | {m.name for m in members}
--- a/tests/roles/instance.py
+++ b/tests/roles/instance.py
@@ -124,7 +124,7 @@
         for instance in instances:
             if ready:
                 await until(
-                    lambda m=instance: all(x.ready for x in m.journal.lanes.values())
+                    lambda m=instance: all(x.ready for x in m.journal.clients.values())
                 )
         yield
     finally:
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -44,8 +44,8 @@
 def cut_off(instance: Instance) -> None:
     """Cut an instance off from the log, but not from its peers."""
     log = FakeLog(out=True, append_fate="refuse")
-    for lane in instance.journal.lanes.values():
-        lane._service = log
+    for client in instance.journal.clients.values():
+        client._service = log
 
 
 def test_racing_operators_get_one_change_and_one_conflict_that_names_it():
@@ -75,14 +75,14 @@
 
     async def scenario(log, a, b):
         bad = Row("teams", "porto", {"plan": "huge"})
-        lane = b.journal.lanes["config"]
-        service = lane._service
+        client = b.journal.clients["config"]
+        service = client._service
         cut_off(b)
         await asyncio.sleep(0.2)
         await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
         task = asyncio.create_task(b.bus.ask(ChangeRows(2, (bad,), "root")))
         await asyncio.sleep(0.1)
-        lane._service = service
+        client._service = service
         with pytest.raises(ListInvalidError):
             await task
 
@@ -125,7 +125,7 @@
         shown = Authenticate(f"Bearer {given.key}")
         await until(lambda: given.key_id in b.states.config.key_ids)
         cut_off(b)
-        await until(lambda: b.journal.lanes["config"].age_s > 0.5)
+        await until(lambda: b.journal.clients["config"].age_s > 0.5)
         with pytest.raises(ZoneStaleError) as caught:
             await b.bus.ask(CheckFresh(idempotent=False))
         assert caught.value.retry_after_s
@@ -147,7 +147,7 @@
         given = await a.bus.ask(GiveKey("lisboa"))
         await until(lambda: given.key_id in b.states.config.key_ids)
         cut_off(b)
-        await until(lambda: b.journal.lanes["config"].age_s > 0.5)
+        await until(lambda: b.journal.clients["config"].age_s > 0.5)
         with pytest.raises(ZoneStaleError):
             await b.bus.ask(Authenticate(f"Bearer {given.key}"))
         who = await b.bus.ask(Authenticate(f"Bearer {OPERATOR}"))
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -122,11 +122,11 @@
         async with running(a, b):
             await give_lists(a)
             await until(lambda: b.states.config.version == 1)
-            lane = b.journal.lanes["config"]
-            old = lane.stream_state.next_offset, lane.stream_state.to_text()
+            client = b.journal.clients["config"]
+            old = client.stream_state.next_offset, client.stream_state.to_text()
             await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
             await until(lambda: b.states.config.version == 2)
-            assert not lane.load_peer_snapshot(*old)
+            assert not client.load_peer_snapshot(*old)
             assert b.states.config.version == 2
 
     asyncio.run(scenario())
