--- a/src/firhook/ops/__init__.py
+++ b/src/firhook/ops/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP handlers, grouped by what they are about."""
+"""Operators' HTTP handlers, grouped by subject."""
 
 from firhook.ops._config import ConfigRoutes
 from firhook.ops._events import EventRoutes
--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -1,4 +1,4 @@
-"""Handlers for the two lists and for keys."""
+"""Handlers for the lists of plans and teams, and for keys."""
 
 from typing import Any
 
@@ -15,10 +15,10 @@
 
 
 class ConfigRoutes(Routes):
-    """Lists, their versions, and keys."""
+    """Handlers for the lists, their versions, and keys."""
 
     def api(self) -> list[web.RouteDef]:
-        """Return the routes; each wants an operator's key."""
+        """Return the routes for lists and keys, which require an operator's key."""
         return [
             web.get("/v1/config", self._get_config),
             web.post("/v1/config", self._post_config),
@@ -53,14 +53,14 @@
             )
         rows = self._changed_rows(data)
         if not rows and base == self.states.config.version:
-            # Applying the same files again is common in scripts; it must not
-            # cost an append nor make other operators' bases old.
+            # Scripts often apply unchanged files.  That must not cost an append
+            # nor outdate the base version of another operator's change.
             return json_response({"version": base})
         version = await self.bus.ask(ChangeRows(base, rows, who.key_id))
         return json_response({"version": version})
 
     def _changed_rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
-        """Return the rows that differ between the lists given and in force."""
+        """Return the rows that differ between the given lists and those in force."""
         if "rows" in data:
             try:
                 return msgspec.convert(data["rows"], tuple[Row, ...])
--- a/src/firhook/ops/_events.py
+++ b/src/firhook/ops/_events.py
@@ -1,4 +1,4 @@
-"""A stream of the steps by which the cell repairs itself."""
+"""An event stream of the cell's scheduling and recovery steps."""
 
 import asyncio
 import contextlib
@@ -27,21 +27,23 @@
 )
 from firhook.ops._routes import Routes
 
-#: Steps kept for those who connect later: a few minutes at 62 starts a second
-#: over seven zones, in under 2 MB.
+#: Steps kept for later connections: a few minutes at 62 starts a second over
+#: seven zones, in less than 2 MB.
 MAX_KEPT_STEPS = 2000
-#: Listeners beyond this are refused, so that forgotten ones cannot add up.
+#: Further listeners are refused, so that abandoned ones cannot accumulate.
 MAX_LISTENERS = 16
 MAX_WAIT_S = 300.0
 
 
 @attrs.frozen(slots=True)
-class RepairStep:
-    """One repair step as operators see it.
+class CellStep:
+    """One scheduling or recovery step as shown to operators.
 
-    :param seq: rises by one with each step at this instance.
+    :param seq: the sequence number, which counts the steps at this instance.
+    :param stream: the log stream of the record.
+    :param offset: the offset of the record in its stream.
     :param kind: such as ``assigned``, ``ended`` or ``adopted``.
-    :param subject: the task, zone, worker or team it is about.
+    :param subject: the task, zone, worker or team concerned.
     :param detail: what was done and why.
     """
 
@@ -54,7 +56,7 @@
 
 
 def describe_steps(body: Any) -> Iterable[tuple[str, str, str]]:
-    """Return kind, subject and detail of each step that a record stands for."""
+    """Yield the kind, subject and detail of each step in a record."""
     if isinstance(body, Assigned):
         for item in body.items:
             task = f"{item.job_id}[{item.index}]"
@@ -85,14 +87,14 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._steps: deque[RepairStep] = deque(maxlen=MAX_KEPT_STEPS)
+        self._steps: deque[CellStep] = deque(maxlen=MAX_KEPT_STEPS)
         self._seq = 0
         self._steps_added = asyncio.Event()
         self._listeners = 0
         self.bus.subscribe(RecordApplied, self._on_record)
 
     def api(self) -> list[web.RouteDef]:
-        """Return the route; it wants an operator's key."""
+        """Return the event route, which requires an operator's key."""
         return [web.get("/v1/events", self._get_events)]
 
     def ops(self) -> list[web.RouteDef]:
@@ -105,12 +107,12 @@
         for kind, subject, detail in describe_steps(event.envelope.body):
             self._seq += 1
             self._steps.append(
-                RepairStep(self._seq, event.stream, event.offset, kind, subject, detail)
+                CellStep(self._seq, event.stream, event.offset, kind, subject, detail)
             )
         self._steps_added.set()
 
     async def _get_events(self, req: web.Request) -> web.StreamResponse:
-        """Stream the steps after ``after``, waiting ``wait`` seconds for more."""
+        """Stream the steps after number ``after``, for ``wait`` seconds."""
         await require_operator(self.bus, req)
         after = _parse_number(req, "after", 0, 2**53)
         wait_s = _parse_number(req, "wait", 0, MAX_WAIT_S)
@@ -121,7 +123,7 @@
         await resp.prepare(req)
         self._listeners += 1
         try:
-            # A listener that went away is no fault of this instance.
+            # A listener that disconnects is not an error.
             with contextlib.suppress(ConnectionResetError):
                 await self._stream(resp, int(after), wait_s)
         finally:
--- a/src/firhook/ops/_health.py
+++ b/src/firhook/ops/_health.py
@@ -14,7 +14,7 @@
 
 
 class HealthRoutes(Routes):
-    """What this instance is, sees and does."""
+    """Handlers for an instance's health, status and listed endpoints."""
 
     def __init__(self, kernel: Any) -> None:
         super().__init__(kernel)
@@ -22,7 +22,7 @@
         self.bus.subscribe(InstancesListed, self._on_instances)
 
     def api(self) -> list[web.RouteDef]:
-        """Return the routes; each wants an operator's key."""
+        """Return the routes for status, which require an operator's key."""
         return [
             web.get("/v1/status", self._get_status),
             web.get("/v1/teams", self._get_teams),
@@ -30,7 +30,7 @@
         ]
 
     def ops(self) -> list[web.RouteDef]:
-        """Return the routes for the balancer and for stopping this instance."""
+        """Return the routes for health checks and for a graceful stop."""
         return [
             web.get("/healthz", self._healthz),
             web.get("/readyz", self._readyz),
@@ -48,7 +48,7 @@
         return json_response({"ready": ready}, status=200 if ready else 503)
 
     async def _post_drain(self, req: web.Request) -> web.Response:
-        """Begin the same graceful stop as SIGTERM does."""
+        """Start the same graceful stop as SIGTERM."""
         who = await require_operator(self.bus, req)
         log("instance.drain_asked", key_id=who.key_id)
         self.kernel.stop_requested.set()
@@ -79,7 +79,7 @@
         )
 
     async def _get_teams(self, req: web.Request) -> web.Response:
-        """Return each team's plan and what it uses, as the peers tell."""
+        """Return each team's plan and its usage, summed over the peers' gossip."""
         await require_operator(self.bus, req)
         running = dict(self.kernel.account.running)
         waiting = dict(self.kernel.load.waiting)
@@ -113,12 +113,12 @@
         rows = []
         for endpoint in sorted(self._listed, key=lambda e: (e.kind, e.zone, e.name)):
             row = to_builtins(endpoint)
-            # Peers tell of a runner by name and address, since one that comes
-            # back elsewhere under its old name is another one.
+            # Gossip identifies a runner by name and address: one that restarts
+            # at another address under its old name is a different runner.
             key = f"{endpoint.name}@{endpoint.address}"
             row["leaving"] = endpoint.leaving or key in leaving
-            # Peers do not say what they have within their parts, so this is
-            # what this instance alone has there.
+            # Gossip omits requests within each peer's part, so this counts only
+            # the requests of this instance.
             row["in_flight"] = self.kernel.load.local_in_flight.get(key, 0)
             row["mark"] = marks.get(endpoint.name, ("", ""))[0]
             rows.append(row)
--- a/src/firhook/ops/_metrics.py
+++ b/src/firhook/ops/_metrics.py
@@ -20,12 +20,12 @@
 
 
 class _KernelCollector(Collector):
-    """Reads this instance's counters when they are asked for.
+    """Reads this instance's counters when the metrics are collected.
 
-    Nothing is counted twice: a request only adds to the counters that the
-    report needs anyway, and the metrics show those.
+    The metrics show the counters that the report uses, so that a request
+    updates only one set of counters.
 
-    :param gauges: values that had to be asked for first, by name and help.
+    :param gauges: values queried before the collection, by name and help text.
     """
 
     def __init__(self, kernel: Kernel, gauges: dict[tuple[str, str], float]) -> None:
@@ -33,7 +33,7 @@
         self._gauges = gauges
 
     def collect(self) -> Iterable[Metric]:
-        """Return all metrics."""
+        """Yield all metrics."""
         stats = self._kernel.stats
         yield self._wait_summary()
         refused = CounterMetricFamily(
@@ -84,21 +84,21 @@
 
 
 def render_metrics(kernel: Kernel, gauges: dict[tuple[str, str], float]) -> bytes:
-    """Return all metrics as text, from a registry of this call's own."""
+    """Return all metrics as text, from a registry created for this call."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_KernelCollector(kernel, gauges))
     return generate_latest(registry)
 
 
 class MetricRoutes(Routes):
-    """Serves the metrics to the operators' collector."""
+    """Serves the metrics, and counts stalls of the event loop."""
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self.bus.subscribe(LoopStalled, self._on_stall)
 
     def ops(self) -> list[web.RouteDef]:
-        """Return the route for the collector of metrics."""
+        """Return the metrics route."""
         return [web.get("/metrics", self._get_metrics)]
 
     def _on_stall(self, event: LoopStalled) -> None:
--- a/src/firhook/ops/_reports.py
+++ b/src/firhook/ops/_reports.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, gathered from the whole fleet."""
+"""The report on error-budget burn, collected from all instances."""
 
 import asyncio
 
@@ -17,10 +17,10 @@
 
 
 class ReportRoutes(Routes):
-    """Asks every instance for its figures and merges them."""
+    """Requests the statistics of all instances and merges them into a report."""
 
     def api(self) -> list[web.RouteDef]:
-        """Return the route; it wants an operator's key."""
+        """Return the report route, which requires an operator's key."""
         return [web.get("/v1/report", self._get_report)]
 
     def ops(self) -> list[web.RouteDef]:
@@ -28,7 +28,7 @@
         return []
 
     def start(self) -> None:
-        """Answer peers that gather a report, and judge by the plans in force."""
+        """Register the handler for peers, and use the current plans' objectives."""
         self.bus.publish(RegisterPeerHandler(StatsAsk, self._on_stats_ask))
         self.kernel.stats.objective_ms = self._objective_ms
 
@@ -40,10 +40,11 @@
         return StatsAnswer(msgspec.json.encode(self.kernel.stats.dump()).decode())
 
     async def _gather(self) -> BurnReport:
-        """Return the fleet's report.
+        """Collect the statistics of all instances and return the report.
 
-        An instance that is cut off or paused cannot be waited for; the report
-        names it instead, so that nobody takes a part for the whole.
+        The report does not wait for an unreachable or paused instance.  It
+        names the instance as missing, so that the report is not mistaken for a
+        complete one.
         """
         fleet = FleetStats()
         fleet.merge(self.kernel.stats.dump())
@@ -62,8 +63,8 @@
                 raise answer
             fleet.merge(msgspec.json.decode(answer.data))
             answered.append(member.name)
-            # Merging all answers in one go would hold the loop for most of a
-            # second in a large cell, and a stall voids every lease.
+            # In a large cell, merging all answers without a pause would block
+            # the event loop for most of a second, and a stall voids every lease.
             await asyncio.sleep(0)
         config = self.states.config
         plans = {team: config.plans[t.plan] for team, t in config.teams.items()}
--- a/src/firhook/ops/_routes.py
+++ b/src/firhook/ops/_routes.py
@@ -1,4 +1,4 @@
-"""What all groups of operators' handlers share."""
+"""The base class of the groups of operators' handlers."""
 
 from abc import ABC, abstractmethod
 
@@ -8,9 +8,9 @@
 
 
 class Routes(ABC):
-    """A group of handlers.
+    """A group of HTTP handlers.
 
-    :param kernel: what the handlers read from and ask.
+    :param kernel: the settings, states and bus that the handlers use.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -20,9 +20,9 @@
         self.states = kernel.states
 
     def api(self) -> list[web.RouteDef]:
-        """Return the routes beside the callers' ones, for keys of any zone."""
+        """Return the routes of the callers' port, which accepts keys from any zone."""
         return []
 
     @abstractmethod
     def ops(self) -> list[web.RouteDef]:
-        """Return the routes of the port that only operators can reach."""
+        """Return the routes of the operators' port."""
--- a/src/firhook/roles/__init__.py
+++ b/src/firhook/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The roles of the daemon: plug-ins with I/O, thin over decisions and state."""
+"""Roles of the daemon: plug-ins that do the I/O around ``decide`` and ``state``."""
--- a/src/firhook/roles/_adopter.py
+++ b/src/firhook/roles/_adopter.py
@@ -1,4 +1,4 @@
-"""Takes over the jobs of a zone that was lost, from its stream on the log."""
+"""Takes over the jobs of a lost zone, whose state is read from its log stream."""
 
 from firhook.decide.adopt import LeadActivity, choose_adopter, tasks_to_carry
 from firhook.decide.orders import Timing
@@ -26,12 +26,15 @@
 from firhook.platform.clients import LogService
 from firhook.state import Snapshot, SnapshotFinder, ZoneState
 
-#: Attempts in one record, about 50 kB.
+#: Maximum number of attempts in one record, about 50 kB.
 MAX_ATTEMPTS_PER_RECORD = 500
 
 
 class Adopter:
-    """Watches the other zones' leads on behalf of this zone's lead."""
+    """Watches the other zones' leads and adopts the jobs of lost zones.
+
+    Used by this zone's lead.
+    """
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
@@ -50,7 +53,7 @@
             self._lead_activity.record_lead(body.zone, self._kernel.clock())
 
     async def step(self, epoch: int, timing: Timing) -> None:
-        """Adopt the jobs of the lost zones that fall to this one."""
+        """Adopt the jobs of each lost zone for which this zone is responsible."""
         kernel, now = self._kernel, self._kernel.clock()
         self._lead_activity.record_log_age(await kernel.bus.ask(LogAge("cell")), now)
         zones = kernel.cfg.zones
@@ -67,10 +70,11 @@
                 await self._adopt(zone, epoch)
 
     async def _adopt(self, zone: str, epoch: int) -> None:
-        """Bring a zone's attempts over, then have its jobs placed here.
+        """Copy a zone's attempts to this zone's stream, then adopt its jobs.
 
-        The attempts come first: were the jobs adopted before, a death of this
-        lead between the two would have its successor start them from nothing.
+        The attempts are recorded first.  If the jobs were adopted first and
+        this lead died before it recorded the attempts, its successor would
+        start the jobs from the beginning.
         """
         lead_offset = self._cell.leads[zone].offset
         job_ids = [entry.job.key for entry in self._cell.open_jobs(zone)]
@@ -94,11 +98,11 @@
 
 
 async def read_zone_state(service: LogService, zone: str) -> ZoneState:
-    """Return the state of another zone, read from its stream.
+    """Read the state of another zone from its stream.
 
-    Where its first records have expired, a snapshot that the stream carries
-    takes their place; without one, what is left of the attempts is returned.
-    They decide how much work is done again, not whether a task runs twice.
+    If the first records have expired, the state starts from a snapshot in the
+    stream.  Without one, only the attempts in the remaining records are
+    returned.  Missing attempts cost repeated work, but no task runs twice.
 
     :raises LogUnavailableError: if the log cannot be reached.
     """
@@ -139,7 +143,7 @@
 def _state_from_snapshot(
     zone: str, snapshot: Snapshot, records: list[tuple[int, Envelope]]
 ) -> ZoneState:
-    """Return a snapshot's state with the records after it applied."""
+    """Return a snapshot's state with the later records applied."""
     state = ZoneState(zone)
     state.from_text(snapshot.upto, snapshot.text)
     for offset, envelope in records:
--- a/src/firhook/roles/_batcher.py
+++ b/src/firhook/roles/_batcher.py
@@ -1,24 +1,24 @@
-"""Folds a wave of like calls into few records."""
+"""Batches calls that arrive together into a few records."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
 from firhook.tasks import log_failure
 
-#: How long the first of a wave waits for others.
+#: How long the first call of a batch waits for others.
 BATCH_WINDOW_S = 0.1
-#: Names in one record, about 20 kB.
+#: Maximum number of names in one record, about 20 kB.
 MAX_BATCH_SIZE = 500
 
 
 class Batcher:
-    """Collects names for a moment and hands them on together.
+    """Collects names for ``BATCH_WINDOW_S`` and passes them on together.
 
-    Cancellations arrive in waves, when a team stops a season's planning with
-    one script.  A record for each would use up the appends that starts need;
-    one would notice urgent work that waits behind them.
+    A script that stops all of a team's work cancels many jobs at once.  With a
+    record for each, the cancellations would use up the append budget, and the
+    start of urgent work would be delayed behind them.
 
-    :param send: takes the names of one wave.
+    :param send: called with the distinct names of one batch.
     """
 
     def __init__(self, send: Callable[[tuple[str, ...]], Awaitable[None]]) -> None:
@@ -27,7 +27,10 @@
         self._batch: asyncio.Future[None] | None = None
 
     async def add(self, name: str) -> None:
-        """Hand a name on with its wave; the wave's error reaches every caller."""
+        """Add a name and wait until its batch is sent.
+
+        If sending fails, every caller of the batch gets the error.
+        """
         if self._batch is None or len(self._names) >= MAX_BATCH_SIZE:
             self._names = []
             self._batch = asyncio.ensure_future(self._flush(self._names))
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -1,4 +1,4 @@
-"""The cell: jobs as callers see them, and the zone's lead beside it."""
+"""The cell role: the callers' interface to jobs, and the zone's lead."""
 
 import time
 from typing import Any
@@ -37,10 +37,10 @@
 
 @register_role("cell")
 class Cell(Role):
-    """Accepts jobs anywhere; its zone's lead places them."""
+    """Accepts jobs at any instance; the lead of the job's zone places them."""
 
     def register_handlers(self) -> None:
-        """Offer the jobs' routes."""
+        """Register the routes for jobs."""
         self._workers: tuple[Endpoint, ...] = ()
         self._zone_lead = ZoneLead(self.kernel)
         self._cancel_batcher = Batcher(self._append_cancels)
@@ -53,11 +53,11 @@
         self.bus.subscribe(InstancesListed, self._on_instances)
 
     def on_init_dependencies(self) -> list[Any]:
-        """Return the loops of the zone's lead."""
+        """Return the zone lead as a child service."""
         return [self._zone_lead]
 
     async def on_start(self) -> None:
-        """Answer peers that ask for jobs of this zone."""
+        """Register the handler for peers that inquire about jobs of this zone."""
         self.bus.publish(RegisterPeerHandler(JobInquiry, self._on_inquiry))
 
     def _on_instances(self, event: InstancesListed) -> None:
@@ -81,12 +81,12 @@
         body = JobAccepted(spec, zone, round(time.time(), 3))
         applied = await self.bus.ask(Append("cell", body))
         if applied.verdict is Verdict.CONFLICT:
-            raise JobConflictError(f"job {spec.job_id!r} has another body")
+            raise JobConflictError(f"job {spec.job_id!r} exists with a different body")
         entry = self.states.cell.jobs.get(spec.key)
         answer = {"job": spec.key, "zone": entry.zone if entry else ""}
         return json_response(answer, status=202)
 
-    # -- looking ----------------------------------------------------------------
+    # -- reading ----------------------------------------------------------------
 
     async def _visible_team(self, req: web.Request) -> str:
         who = await principal(self.bus, req)
@@ -136,10 +136,10 @@
         }
 
     async def _remote_view(self, key: str, zone: str) -> dict[str, Any]:
-        """Return the view of the zone that places the job.
+        """Return the view of a job from the lead of its zone.
 
-        If nobody there answers, what is known here is told, and so is that
-        the rest is not.
+        If that lead does not answer, return this instance's view, and name the
+        unreachable zone in its steps.
         """
         peer = self.states.cell.leads[zone].instance.partition("#")[0]
         try:
@@ -169,9 +169,9 @@
 
 
 def check_plan_allows(spec: JobSpec, plan: Plan) -> None:
-    """Refuse at once what the team's plan can never allow.
+    """Refuse a job that the team's plan can never allow.
 
-    :raises NotPermittedError: if the plan has no urgent work.
+    :raises NotPermittedError: if the job is urgent and the plan excludes that.
     :raises JobImpossibleError: if a gang is above the team's limit.
     """
     if spec.priority == "urgent" and not plan.urgent:
@@ -183,10 +183,11 @@
 
 
 def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own_zone: str) -> str:
-    """Return the zone to place a job: the own one, unless it can never fit there.
+    """Return the zone that places a job: its own, unless it can never fit there.
 
-    :param workers: all listed; the list lags, and while it is empty nothing
-        is known, so that a job is taken and held rather than refused.
+    :param workers: all listed workers.  The list lags.  While it is empty, a
+        job is accepted and waits, since nothing is known of the workers.
+    :param own_zone: this instance's zone.
     :raises JobImpossibleError: if no zone's workers could ever run it.
     """
     need = ResourceNeed.of(spec)
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -1,4 +1,4 @@
-"""Lists and keys: publishes changes and answers who may do what."""
+"""The config role: publishes changes to lists and keys, and authenticates callers."""
 
 import hashlib
 import secrets
@@ -41,23 +41,23 @@
     WithdrawKey,
 )
 
-#: A cut zone does not know when it will be joined again; callers come back at
-#: this interval, which another zone can bear if they all do.
+#: A zone that is cut off cannot know when it will be reachable again.  Another
+#: zone can carry the load if all its callers retry at this interval.
 _STALE_RETRY_S = 5.0
 _NOT_READY_RETRY_S = 1.0
 
 
 def digest_key(key: str) -> str:
-    """Return the digest under which a key is kept."""
+    """Return the digest that is stored in place of a key."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 @register_role("config")
 class Config(Role):
-    """Publishes changes of lists and keys, and knows those in force."""
+    """Publishes changes to lists and keys, and checks keys against those in force."""
 
     def register_handlers(self) -> None:
-        """Offer changes and checks of keys."""
+        """Register the handlers for changes and for key checks."""
         cfg = self.cfg
         self._policy = StalenessPolicy(
             cfg.stale == "refuse", cfg.key_stale_s, cfg.key_stale_max_s
@@ -83,7 +83,7 @@
         if applied.verdict is Verdict.APPLIED:
             return query.base + 1
         if applied.verdict is Verdict.IGNORED:
-            # It was made from a version not read here when it was checked.
+            # This instance had not read the base version when it checked the rows.
             raise ListInvalidError(
                 f"the change is not valid on version {query.base}, which is in force"
             )
@@ -107,7 +107,7 @@
         record = KeyGiven(key_id, query.team, digest_key(key))
         applied = await self.bus.ask(Append("config", record, urgent=True))
         if applied.verdict is not Verdict.APPLIED:
-            raise LogOutcomeUnknownError(f"key {key_id} was not taken", ran="no")
+            raise LogOutcomeUnknownError(f"key {key_id} was not accepted", ran="no")
         return GivenKey(key_id, query.team, key)
 
     async def _withdraw_key(self, query: WithdrawKey) -> int:
@@ -128,7 +128,7 @@
             return Principal("root", "")
         if not await self.bus.ask(StreamReady("config")):
             raise NotReadyError(
-                "the lists and keys are not read whole",
+                "the lists and keys are not fully read yet",
                 retry_after_s=_NOT_READY_RETRY_S,
             )
         entry = self.states.config.find_key(digest)
@@ -159,7 +159,7 @@
         ]
         return view_age_s(own_s, self.states.config.next_offset, views)
 
-    # -- what is in force ------------------------------------------------
+    # -- logging of applied records --------------------------------------
 
     def _on_record(self, event: RecordApplied) -> None:
         if event.stream != "config":
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: callers' requests to the runners of services."""
+"""The gateway role: forwards callers' requests to the runners of services."""
 
 import asyncio
 import random
@@ -42,18 +42,18 @@
 )
 from firhook.tasks import log_failure
 
-#: How often waiting requests are looked through for those to give up.
+#: How often waiting requests are checked for deadlines and closed connections.
 _TICK_INTERVAL_S = 0.05
-#: A request cut by its runner's end or by its timeout.
+#: Errors after which a request may be sent again to another runner.
 _RESENDABLE_ERRORS = (NoEndpointError, EndpointFailedError)
 
 
 @register_role("gateway")
 class Gateway(Role):
-    """Admits, queues, routes and answers requests; decide/ says how."""
+    """Admits, queues, routes and answers requests, as ``decide`` decides."""
 
     def register_handlers(self) -> None:
-        """Offer the callers' routes."""
+        """Register the callers' route and the event handlers."""
         self._services: dict[str, Dispatcher] = {}
         self._fleet = FleetView(
             self.cfg.name, self.cfg.member_timeout_s, self.kernel.clock()
@@ -74,7 +74,7 @@
         self.bus.subscribe(PeerMessage, self._on_peer_message)
 
     async def on_started(self) -> None:
-        """Listen for callers."""
+        """Start to listen for callers."""
         addr = self.cfg.gateway
         routes = self.kernel.routes["api"]
         self._runner, self._site = await serve(
@@ -84,9 +84,9 @@
         self.kernel.ports["gateway"] = f"{addr.host}:{port}"
 
     async def drain(self) -> None:
-        """Take no new connections, and finish every request that came."""
-        # The balancer learns of the stop with a lag; what it sends until then
-        # is served as before.
+        """Accept no new connections and finish all requests received."""
+        # The balancer notices the stop with a delay.  Requests that it sends
+        # until then are served as usual.
         await asyncio.sleep(self.cfg.drain_lag_s)
         if self._site is not None:
             await self._site.stop()
@@ -97,8 +97,8 @@
         if self._runner is not None:
             await wait_connections_closed(self._runner, self.cfg.drain_idle_s)
         if self._late_exchanges:
-            # A keyed request's outcome is worth storing though its caller has
-            # been told that it is unknown: the repeat will ask for it.
+            # Store the outcomes of keyed requests although their callers already
+            # got "outcome unknown": a repeat will ask for them.
             remaining_s = max(deadline - self.kernel.clock(), 0.1)
             await asyncio.wait(self._late_exchanges, timeout=remaining_s)
 
@@ -110,12 +110,12 @@
                 _reject(item.token.fut, exc)
 
     async def on_stop(self) -> None:
-        """Close what is left."""
+        """Close the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
         await self.platform.endpoints.close()
 
-    # -- from a caller to a runner and back ------------------------------
+    # -- one request -----------------------------------------------------
 
     async def _handle(self, req: web.Request) -> web.StreamResponse:
         self._open_requests += 1
@@ -160,11 +160,11 @@
         return answer
 
     async def _run(self, call: Call, once_key: str = "") -> EndpointResponse:
-        """Queue, send and, where that is safe, try again."""
+        """Queue and send a request, and retry it where that is safe."""
         service = self._service(call.service)
         allowed_s = 0.0
         if not call.repeatable:
-            # Its body has come: a repeat would have no more time than this.
+            # Counted from when the body is complete: a repeat would have no more.
             allowed_s = call.deadline - self.kernel.clock()
         tried: list[str] = []
         may_have_run = False
@@ -173,8 +173,8 @@
                 dispatched = await self._wait_for_slot(service, call, tried, allowed_s)
                 return await self._send(service, call, dispatched, once_key)
             except FirhookError as exc:
-                # Whatever a later try met, an earlier one may have been run,
-                # and the caller must not be told that it was not.
+                # If any attempt may have run, the caller must not get "not
+                # run", whatever the error of a later attempt says.
                 may_have_run = may_have_run or exc.ran != "no"
                 send_failed = isinstance(exc, _RESENDABLE_ERRORS) and len(tried) > 0
                 may_retry = send_failed and may_resend(
@@ -222,12 +222,11 @@
         dispatched: DispatchedRequest,
         once_key: str,
     ) -> EndpointResponse:
-        """Send a request, and wait for its answer until the deadline.
+        """Send a request and wait for the response until the deadline.
 
-        A runner goes on with a request whose caller has given up.  The
-        exchange therefore goes on as well, counted against the runner's slots
-        and the team's limit, until its end is known or it has lasted
-        ``default_deadline_s``.
+        A runner continues a request after its caller has given up.  The
+        exchange therefore continues too, and counts against the runner's slots
+        and the team's limit, until it ends or reaches ``default_deadline_s``.
         """
         exchange = asyncio.create_task(
             self._exchange(service, call, dispatched, once_key)
@@ -258,10 +257,10 @@
     async def _finish_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
-        """Wait for the end of an exchange whose caller was told "unknown".
+        """Wait for an exchange whose caller already got "outcome unknown".
 
-        A repeat of a keyed request is told "in progress" until then, and
-        gets the outcome after it.
+        Until it ends, a repeat of a keyed request gets "in progress";
+        afterwards the repeat gets the outcome.
         """
         try:
             answer = await exchange
@@ -337,7 +336,10 @@
                     _reject(waiter.fut, dispatched.exc)
                 elif waiter.call.caller_gone or waiter.fut.done():
                     service.end(dispatched, now)
-                    _reject(waiter.fut, CallerGoneError("its turn had come"))
+                    _reject(
+                        waiter.fut,
+                        CallerGoneError("closed before the request was sent"),
+                    )
                 else:
                     waiter.fut.set_result(dispatched)
             for team in service.teams_awaiting_capacity():
@@ -351,8 +353,8 @@
             try:
                 self._tick(self.kernel.clock())
             except Exception as exc:
-                # One request that upsets a round must not end the rounds of all
-                # others: waiting requests would be held past their deadlines.
+                # An error caused by one request must not end the loop: the other
+                # waiting requests would be kept past their deadlines.
                 log("gateway.tick_failed", level="error", error=repr(exc))
             await self.sleep(_TICK_INTERVAL_S)
 
@@ -361,7 +363,10 @@
             for item in list(service.queue):
                 if item.token.call.caller_gone:
                     service.queue.remove(item)
-                    _reject(item.token.fut, CallerGoneError("it was waiting"))
+                    _reject(
+                        item.token.fut,
+                        CallerGoneError("closed while the request was queued"),
+                    )
             self._jitter = random.random()
             for refused in service.refuse_hopeless(now, self._jitter):
                 _reject(refused.item.token.fut, refused.exc)
@@ -372,7 +377,7 @@
             self._rebalance(now)
         self._dispatch()
 
-    # -- what is known of the fleet ----------------------------------------
+    # -- the fleet's load --------------------------------------------------
 
     def _rebalance(self, now: float) -> None:
         self._rebalanced_at = now
@@ -398,8 +403,9 @@
             self._services[name].update(endpoints, now)
             if not endpoints and not self._services[name].running:
                 self._drop_service(name)
-        # A service just listed needs its parts now; the others get them at the
-        # next round, since the agreement of parts counts in rounds.
+        # A new service needs its parts of the runners' slots immediately.  The
+        # others wait for the next periodic rebalance: a part takes effect after
+        # several rounds agree, so extra rounds would distort that count.
         if has_new_service:
             self._rebalance(now)
         self._dispatch()
@@ -427,7 +433,7 @@
 
 @attrs.define(slots=True, eq=False)
 class _Waiter:
-    """The caller's side of a queued request."""
+    """The call of a queued request, and the future that its handler awaits."""
 
     call: Call
     fut: "asyncio.Future[DispatchedRequest]"
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -1,7 +1,7 @@
-"""The journal: keeps the states of all streams in step with the log.
+"""The journal role: keeps the states of all streams up to date with the log.
 
-Every other role learns what holds from records that were read back; nobody
-acts on a record because its append was answered.
+The other roles act only on records that were read back, never on the answer to
+an append.
 """
 
 import asyncio
@@ -30,28 +30,29 @@
 from firhook.model import SnapshotAnswer, SnapshotAsk
 from firhook.state import split_snapshot
 
-#: A peer's snapshot goes into one frame; a larger state has to come from the
-#: log, which sends it in chunks.
+#: A peer sends its snapshot in one frame.  A larger state has to be read from
+#: the log, where it is split into chunks.
 MAX_PEER_SNAPSHOT_CHARS = 3_000_000
-#: Streams whose state a peer's snapshot may give while the log is out.  Claims
-#: of requests are not among them: they are worth nothing without the log.
+#: Streams whose state may be loaded from a peer while the log is unavailable.
+#: Claims of requests are excluded: without the log they are useless.
 PEER_STREAMS = ("config", "cell")
-#: Chunks that are appended together.
+#: Number of snapshot chunks appended concurrently.
 _CHUNK_BATCH_SIZE = 4
 _CHUNK_DEADLINE_S = 30.0
 _CHECK_INTERVAL_S = 1.0
 _PEER_CHECK_INTERVAL_S = 0.5
-#: Peers asked for a whole state at once.  All of them would send megabytes to
-#: an instance that needs one; what a further peer has comes by gossip's offset.
+#: Number of peers asked for a snapshot at once.  If all of them answered, an
+#: instance that needs one snapshot would receive many megabytes.  Newer state
+#: of another peer is loaded later, when its gossip shows a higher offset.
 MAX_PEER_REQUESTS = 3
 
 
 @register_role("journal")
 class Journal(Role):
-    """Follows the streams, carries them forward, and asks peers without the log."""
+    """Follows the streams, appends snapshots, and falls back to peers' snapshots."""
 
     def register_handlers(self) -> None:
-        """Offer appends and the log's age."""
+        """Create the stream clients and register the handlers for the log."""
         cfg = self.cfg
         budget = AppendRateLimiter(cfg.append_budget_per_s / cfg.instances_expected)
         self._listed_entries: set[str] = set()
@@ -74,11 +75,11 @@
         self.bus.subscribe(InstancesListed, self._on_instances)
 
     def on_init_dependencies(self) -> list[Any]:
-        """Return the lanes, one for each stream."""
+        """Return the stream clients as child services."""
         return list(self.clients.values())
 
     async def on_start(self) -> None:
-        """Answer peers that boot while the log is out."""
+        """Register the handler for peers that start while the log is unavailable."""
         self.bus.publish(RegisterPeerHandler(SnapshotAsk, self._on_snapshot_ask))
 
     async def _append(self, query: Append) -> Applied:
@@ -93,7 +94,7 @@
     def _on_instances(self, event: InstancesListed) -> None:
         self._listed_entries = {e.name for e in event.instances if e.kind == "entry"}
 
-    # -- snapshots carried forward ---------------------------------------
+    # -- snapshots in the log --------------------------------------------
 
     @Service.task
     async def _snapshot_loop(self) -> None:
@@ -104,7 +105,7 @@
                     if self._is_snapshot_due(client):
                         await self._append_snapshot(client)
                 except FirhookError as exc:
-                    # Not appended in whole; due again at the next turn.
+                    # The snapshot is incomplete and stays due.
                     log("snapshot.failed", level="warning", code=exc.code)
                 except Exception as exc:
                     log("snapshot.failed", level="error", error=repr(exc))
@@ -150,18 +151,18 @@
             parts=len(chunks),
         )
 
-    # -- peers, while the log is out -------------------------------------
+    # -- snapshots from peers --------------------------------------------
 
     async def _on_snapshot_ask(self, ask: SnapshotAsk) -> SnapshotAnswer:
         client = self.clients.get(ask.stream)
         if client is None:
             raise FrameMalformedError(f"stream {ask.stream!r} is not followed here")
         if not client.ready:
-            raise NotReadyError(f"{ask.stream} has not been read whole")
+            raise NotReadyError(f"stream {ask.stream!r} has not been read completely")
         text = client.stream_state.to_text()
         if len(text) > MAX_PEER_SNAPSHOT_CHARS:
             raise NotReadyError(
-                f"{ask.stream} has {len(text)} characters; read the log"
+                f"the state of {ask.stream!r} has {len(text)} characters; read the log"
             )
         return SnapshotAnswer(ask.stream, client.stream_state.next_offset, text)
 
@@ -176,11 +177,10 @@
                     log("snapshot.peer_failed", level="error", error=repr(exc))
 
     async def _load_peer_state(self, client: StreamClient) -> None:
-        """Take over the furthest peer's state if the log does not show it.
+        """Load the most advanced peer snapshot if the log cannot be read.
 
-        A zone that is cut off from the log but not from its peers goes on
-        learning of changes this way, and so does an instance that starts
-        during an outage.
+        This keeps a zone up to date that is cut off from the log but not from
+        its peers, and serves an instance that starts during an outage.
         """
         if client.age_s <= self.cfg.log_poll_s + 2 * _CHECK_INTERVAL_S:
             return
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -1,4 +1,4 @@
-"""Members: peers, the zone's lead, and room under the teams' limits."""
+"""The members role: peers, the zone's lead, and capacity under the teams' limits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -47,32 +47,34 @@
     ZoneShort,
 )
 
-#: The loop is looked at this often for having stood still.
+#: How often to check whether the event loop was stalled.
 _STALL_CHECK_INTERVAL_S = 0.1
-#: Past this the clock was read before something that took too long to rely
-#: on what was believed then.
+#: After a longer stall, conclusions from an earlier reading of the clock, such
+#: as that a lease is held, are no longer reliable.
 _STALL_THRESHOLD_S = 0.5
-#: Between two looks at whether the lead is free to claim.
+#: How often to check whether the lead can be claimed.
 _CLAIM_CHECK_INTERVAL_S = 0.25
-#: Between two renewals that were hurried, so that joining instances cannot
-#: drive the lead over the append budget.
+#: Minimum time between two renewals.  Joining instances trigger early renewals
+#: and must not make the lead exceed its append budget.
 _MIN_RENEW_INTERVAL_S = 0.3
-#: Between two rounds of transfers to other zones.
+#: Time between two rounds of limit transfers to other zones.
 _TRANSFER_INTERVAL_S = 1.0
-#: What gossip may cost an instance in sending, of 14 KB/s for all of control.
+#: Limit on the gossip that an instance sends, out of 14 KB/s for all control
+#: traffic.
 GOSSIP_BYTES_PER_S = 4000.0
-#: Bytes that CURVE, the framing and TCP/IP add to a message.
+#: Bytes that CURVE, framing and TCP/IP add to a message.
 TRANSPORT_BYTES = 110
-#: Peers that are remembered; far above any cell, against a flood of names.
+#: Limit on the peers kept, so that a flood of names cannot exhaust memory.  No
+#: cell has nearly as many.
 MAX_PEERS = 1000
 
 
 @register_role("members")
 class MembersRole(Role):
-    """Knows the peers, holds or watches the zone's lead, lends and borrows room."""
+    """Tracks peers, holds or observes the zone's lead, lends and borrows capacity."""
 
     def register_handlers(self) -> None:
-        """Offer peers, lead and room."""
+        """Register handlers for peers, the lead and capacity."""
         self._mesh: Mesh | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {}
         self._last_gossip: dict[str, tuple[float, Gossip]] = {}
@@ -101,7 +103,7 @@
         self._handlers[HoldingsAsk] = self.borrower.on_holdings_ask
 
     async def on_start(self) -> None:
-        """Bind the socket to the peers."""
+        """Bind the peer socket and connect to the seeds."""
         cfg = self.cfg
         self._mesh = Mesh(cfg.curve_public, cfg.curve_secret, self._handle_request)
         bound = self._mesh.bind(cfg.peers)
@@ -112,20 +114,21 @@
             self._mesh.connect(str(seed))
 
     async def on_stop(self) -> None:
-        """Close the sockets."""
+        """Stop borrowing capacity and close the sockets."""
         self.borrower.stop()
         if self._mesh is not None:
             self._mesh.close()
 
     async def drain(self) -> None:
-        """Hand lead and room back, so that peers can use both at once."""
+        """Return capacity and lead, so that peers can use them immediately."""
         free = await self.borrower.leave()
         lead = self.leadership.state
         if lead.instance != self.kernel.lane:
             return
-        # The lead was released when the stop began, with this instance on the
-        # roster while it finished its requests.  Unless another has taken over
-        # meanwhile, the roster must not go on naming an instance that is gone.
+        # The lead was released when the stop began, but this instance stayed on
+        # the roster while it finished its requests.  If no other instance has
+        # taken over since, remove it from the roster, which must not continue
+        # to name a stopped instance.
         roster = frozenset(lead.roster)
         if free:
             roster -= {self.kernel.lane}
@@ -145,10 +148,11 @@
             await self.sleep(self._gossip_interval_s)
 
     async def _run_step(self, name: str, step: Coroutine[Any, Any, None]) -> None:
-        """Run one step of a loop, so that no error of it ends the loop.
+        """Run one step of a loop, and log its error instead of raising it.
 
-        A loop that dies takes the whole daemon with it, or, worse, leaves it
-        up and silent; the next round starts from the state as it then is.
+        An error that ended the loop would stop the whole daemon or leave it
+        running without gossip or lead renewal.  The next step starts from the
+        state at that time.
         """
         try:
             await step
@@ -210,7 +214,7 @@
     async def _handle_request(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
         if handler is None:
-            raise FrameMalformedError(f"nobody serves {type(msg).__name__}")
+            raise FrameMalformedError(f"no handler for {type(msg).__name__}")
         return await handler(msg)
 
     def _on_register_handler(self, event: RegisterPeerHandler) -> None:
@@ -250,7 +254,7 @@
 
     async def _ask_peer(self, query: AskPeer) -> Any:
         assert self._mesh is not None
-        # A seed is known by its address before it is known by its name.
+        # A seed is addressed directly until its name is listed.
         address = self._addresses.get(query.peer, query.peer)
         return await self._mesh.request(address, query.body, query.timeout_s)
 
@@ -297,8 +301,9 @@
             self.leadership.wake.set()
 
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
-        # The lead's last renewal is in the snapshot and was not read by
-        # itself; counting it as long ago would depose a lead that is well.
+        # The lead's last renewal is part of the snapshot and was not read as a
+        # record.  Without this it would count as old, and a healthy lead would
+        # be deposed.
         if event.stream == "cell":
             self.leadership.observe_record(self.kernel.clock())
 
@@ -354,7 +359,7 @@
         except TimeoutError:
             return
 
-    # -- room under the limits -----------------------------------------
+    # -- capacity under the limits -------------------------------------
 
     @Service.task
     async def _capacity_loop(self) -> None:
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -1,4 +1,4 @@
-"""Once: keyed non-idempotent requests run at most once over the fleet."""
+"""The once role: runs keyed non-idempotent requests at most once in the fleet."""
 
 import asyncio
 import base64
@@ -37,10 +37,12 @@
 from firhook.state import OnceEntry
 from firhook.tasks import log_failure
 
-#: Longer bodies are not stored: each would be in the log and in the memory of
-#: every instance.  A repeat then gets the status and is told so.
+#: Longer bodies are not stored, since each would take space in the log and in
+#: the memory of every instance.  A repeat then gets only the status, and a note
+#: that says so.
 MAX_STORED_BODY_BYTES = 64 * 1024
-#: Outcomes that wait for the log to come back, and the size of their bodies.
+#: Limits on outcomes that are not yet in the log: their number, and the size of
+#: their bodies.  They pile up during an outage of the log.
 MAX_PENDING_OUTCOMES = 2000
 MAX_PENDING_OUTCOME_BYTES = 4 << 20
 
@@ -48,7 +50,8 @@
 _STORE_DEADLINE_S = 5.0
 _STORE_RETRY_S = 1.0
 _INQUIRY_TIMEOUT_S = 1.0
-#: An outcome is in the log some milliseconds after its caller was answered.
+#: How long a repeat waits for an outcome that its holder is storing.  It is
+#: usually in the log some milliseconds after the caller was answered.
 _OUTCOME_TIMEOUT_S = 1.0
 _RETRY_AFTER_S = 1.0
 _LOG_RETRY_AFTER_S = 2.0
@@ -56,10 +59,10 @@
 
 @register_role("once")
 class Once(Role):
-    """Claims, stores and repeats outcomes."""
+    """Claims idempotency keys, and stores and repeats outcomes."""
 
     def register_handlers(self) -> None:
-        """Offer claims."""
+        """Register the handlers for claims."""
         self._claims = ClaimTable()
         self._pending_outcomes: dict[str, EndpointResponse] = {}
         self._pending_bytes = 0
@@ -74,16 +77,16 @@
         bus.subscribe(RecordApplied, self._on_record)
 
     async def on_start(self) -> None:
-        """Answer peers that ask what became of a claim."""
+        """Register the handler for peers that inquire about a claim."""
         self.bus.publish(RegisterPeerHandler(ClaimInquiry, self._on_inquiry))
 
     async def drain(self) -> None:
-        """Store the outcomes that are still on their way to the log."""
+        """Wait for the outcomes that are still being stored."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=_STORE_DEADLINE_S)
 
     async def on_stop(self) -> None:
-        """Stop storing; what is not stored is unknown to repeats."""
+        """Stop storing; repeats of requests not stored get an unknown outcome."""
         for task in self._tasks:
             task.cancel()
 
@@ -96,14 +99,14 @@
                 return None
             entry = self.states.once.entries.get(query.key)
         if entry is None:
-            # Being claimed here, or given back just now.
+            # The key is being claimed here or was just released.
             raise OnceInProgressError(
                 "a claim on the key is being settled", retry_after_s=_RETRY_AFTER_S
             )
         return await self._answer_repeat(query.key, entry, query.body)
 
     async def _claim(self, query: OnceBegin) -> bool:
-        """Claim the key; return whether the claim was seen to be first."""
+        """Claim the key and return whether the claim is confirmed to be the first."""
         nonce = self._claims.begin(query.key)
         claim = OnceClaimed(query.key, query.team, query.body, self.kernel.lane, nonce)
         is_first = False
@@ -112,11 +115,11 @@
             applied = await self.bus.ask(append)
             is_first = applied.verdict is Verdict.APPLIED
         except LogOutcomeUnknownError as exc:
-            # The claim may land yet, but its request is never sent: it is out
-            # of the book from now on, and given back as soon as it is read.
+            # The claim may still land, but its request is never sent: the claim
+            # is removed from the table now and released once it is read.
             raise LogUnavailableError(
                 "the log has not confirmed the claim in time; "
-                "this attempt is not sent, now or later",
+                "this attempt will not be sent",
                 retry_after_s=_LOG_RETRY_AFTER_S,
             ) from exc
         finally:
@@ -139,12 +142,12 @@
             self._release_unsent_claim(body)
 
     def _release_unsent_claim(self, claim: OnceClaimed) -> None:
-        """Give back a claim that was given up here and landed all the same."""
+        """Release a claim that landed after this instance had given it up."""
         if self._claims.send_status(claim.key, claim.nonce) is SendStatus.NEVER:
             self._start_task(self._release(claim.key, claim.holder, claim.nonce))
 
     def _release_own_entry(self, claim: OnceClaimed) -> None:
-        """Give back a claim that landed just as its caller went away."""
+        """Release a claim that landed while its caller disconnected."""
         entry = self.states.once.entries.get(claim.key)
         if entry is not None and (entry.holder, entry.nonce) == (
             claim.holder,
@@ -166,25 +169,25 @@
         sent = await self._query_holder(key, entry)
         if sent is SendStatus.DONE:
             await self._wait_for_outcome(key)
-        # The outcome may have been read while the holder was asked.
+        # The outcome may have been read during the inquiry.
         entry = self.states.once.entries.get(key, entry)
         if entry.done:
             return build_stored_response(entry)
         if sent in (SendStatus.RUNNING, SendStatus.DONE):
             raise OnceInProgressError(
-                "the first request is being run", retry_after_s=_RETRY_AFTER_S
+                "the first request is still running", retry_after_s=_RETRY_AFTER_S
             )
         if sent is SendStatus.NEVER:
             self._start_task(self._release(key, entry.holder, entry.nonce))
             raise OnceInProgressError(
-                "the first request was never sent; its claim is being given back",
+                "the first request was never sent; its claim is being released",
                 retry_after_s=_RETRY_AFTER_S,
                 ran="no",
             )
         raise OnceUnknownError("the outcome of the first request was lost")
 
     async def _wait_for_outcome(self, key: str) -> None:
-        """Wait a moment for an outcome that is on its way to the log."""
+        """Wait up to ``_OUTCOME_TIMEOUT_S`` for an outcome to be read from the log."""
         entry = self.states.once.entries.get(key)
         if entry is None or entry.done:
             return
@@ -198,10 +201,11 @@
                 del self._outcome_waiters[key]
 
     async def _query_holder(self, key: str, entry: OnceEntry) -> SendStatus:
-        """Return what the holder of a claim says became of its request.
+        """Ask the holder of a claim whether it sent the request.
 
-        A holder that does not answer may have gone after it sent the request,
-        or may just be cut off; that it is heard by gossip tells which.
+        A holder that does not answer may have died after it sent the request,
+        or may only be unreachable.  If its gossip still arrives, the request
+        counts as running; otherwise its outcome is unknown.
         """
         if entry.holder == self.kernel.lane:
             return self._claims.send_status(key, entry.nonce)
@@ -217,13 +221,13 @@
 
     async def _on_inquiry(self, inquiry: ClaimInquiry) -> ClaimInquiryAnswer:
         if inquiry.holder != self.kernel.lane:
-            # An earlier run of this instance, which took its book with it.
+            # An earlier incarnation of this instance; its claims were in memory.
             return ClaimInquiryAnswer(inquiry.key, SendStatus.UNKNOWN.value)
         return ClaimInquiryAnswer(
             inquiry.key, self._claims.send_status(inquiry.key, inquiry.nonce).value
         )
 
-    # -- ends ------------------------------------------------------------
+    # -- outcomes --------------------------------------------------------
 
     def _on_sending(self, event: OnceSending) -> None:
         self._claims.set_phase(event.key, Phase.SENDING)
@@ -238,15 +242,15 @@
             self._claims.set_phase(event.key, Phase.OUTCOME_UNKNOWN)
 
     async def _on_finish(self, query: OnceFinish) -> None:
-        """Store an outcome without making its caller wait for the log."""
+        """Store an outcome without making the caller wait for the log."""
         claim = self._claims.find(query.key)
         if claim is None:
             return
         size = len(query.answer.body)
         exceeds_bytes = self._pending_bytes + size > MAX_PENDING_OUTCOME_BYTES
         if exceeds_bytes or len(self._pending_outcomes) >= MAX_PENDING_OUTCOMES:
-            # The log has been out for long.  Repeats are told "unknown",
-            # which is true of what they can be told, and nothing runs twice.
+            # The log has been unavailable for too long.  Repeats get "outcome
+            # unknown", which is correct, and nothing runs twice.
             log("once.outcome_dropped", level="error", key=query.key)
             self._claims.set_phase(query.key, Phase.OUTCOME_UNKNOWN)
             return
@@ -281,10 +285,10 @@
         await self._append_with_retries(OnceReleased(key, holder, nonce))
 
     async def _append_with_retries(self, record: Any) -> None:
-        """Append a record until it has been read back, whatever the log does.
+        """Append a record, and retry on errors until it has been read back.
 
-        Both kinds of record name their claim, and count once at most, so one
-        that lands again after an unknown outcome does nothing.
+        Both kinds of record name their claim and take effect at most once, so
+        a second copy after an unknown outcome has no effect.
         """
         while not self.should_stop:
             try:
@@ -309,10 +313,10 @@
 
 
 def build_stored_response(entry: OnceEntry) -> EndpointResponse:
-    """Return a stored outcome as the answer to a repeat.
+    """Return the response to a repeat of a request whose outcome is stored.
 
-    A body that was too long to be kept is not made up: the caller gets the
-    status, which says whether it was run, and is told that this is all.
+    If the body was too long to store, the response gives the original status
+    in a JSON body and says that the original body is not kept.
     """
     if entry.whole:
         headers = (("Content-Type", entry.content_type), ("X-Repeated", "yes"))
--- a/src/firhook/roles/_ops.py
+++ b/src/firhook/roles/_ops.py
@@ -1,4 +1,4 @@
-"""Operators' interface: lists, keys, status, health, metrics and reports."""
+"""The ops role: the operators' interface to lists, keys, status and metrics."""
 
 from typing import Any
 
@@ -15,16 +15,16 @@
     ReportRoutes,
 )
 
-#: Operators send lists and small orders only.
+#: Operators send only lists and small commands.
 _MAX_BODY_BYTES = 1 << 20
 
 
 @register_role("ops")
 class Ops(Role):
-    """Serves operators and says whether this instance is ready."""
+    """Serves operators and determines whether this instance is ready."""
 
     def register_handlers(self) -> None:
-        """Offer the operators' routes."""
+        """Register the operators' routes."""
         self._runner: Any = None
         self._reports = ReportRoutes(self.kernel)
         for group in (
@@ -38,7 +38,7 @@
             self.kernel.routes["ops"] += group.ops()
 
     async def on_started(self) -> None:
-        """Listen for operators and health checks."""
+        """Start to listen for operators and health checks."""
         self._reports.start()
         addr = self.cfg.ops
         routes = self.kernel.routes["ops"]
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -1,4 +1,4 @@
-"""The loops of a zone's lead: it logs what was decided, and talks to workers."""
+"""The zone lead's loops: append decisions to the log, and poll the workers."""
 
 import asyncio
 import contextlib
@@ -45,12 +45,12 @@
 from firhook.roles._adopter import Adopter
 from firhook.tasks import log_failure
 
-#: Records of a round are split into batches of about so many tasks, so that
-#: one lost answer leaves little in doubt.
+#: Approximate number of tasks in one record.  A round is split into records of
+#: this size, so that one lost answer leaves few tasks with an unknown outcome.
 MAX_BATCH_TASKS = 200
-#: Rounds come at most so often; what arrives meanwhile shares one record.
+#: Minimum time between two rounds.  Changes that arrive meanwhile share a record.
 MIN_ROUND_INTERVAL_S = 0.05
-#: How often the workers are gone through for orders that are due.
+#: How often to check which workers are due for a poll.
 _POLL_CHECK_INTERVAL_S = 0.1
 
 
@@ -98,7 +98,7 @@
     def _stream(self) -> str:
         return f"zone.{self.cfg.zone}"
 
-    # -- what is heard ---------------------------------------------------------
+    # -- events ----------------------------------------------------------------
 
     def _on_instances(self, event: InstancesListed) -> None:
         workers = tuple(
@@ -111,7 +111,7 @@
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
         self._scheduler.invalidate()
         if event.stream == "cell":
-            # What the snapshot holds may have been recorded a moment ago.
+            # The snapshot may include a lead record from a moment ago.
             self._lead_read_at = self.kernel.clock()
 
     def _on_record(self, event: RecordApplied) -> None:
@@ -126,10 +126,10 @@
             self._wake_loops()
 
     def _on_lead_record(self, event: RecordApplied) -> None:
-        """Note when the zone's last lead was last heard of on the log.
+        """Record when the zone lead's latest record was read from the log.
 
-        Its hold counts from before it sent that record, and so is over a
-        known time after the record was read here.
+        The lead counts its hold from before it sent the record, so the hold
+        has certainly ended once that time has passed since the record was read.
         """
         body = event.envelope.body
         if not isinstance(body, (LeadClaimed, LeadRenewed, LeadReleased)):
@@ -142,10 +142,10 @@
             self._previous_lead_read_at = float("-inf") if body.epoch == 1 else last
         self._lead_read_at = now
 
-    # -- the two loops -----------------------------------------------------------
+    # -- loops -------------------------------------------------------------------
 
     async def _current_term(self) -> tuple[Lead, LeadTerm | None]:
-        """Return the lead as this instance sees it, and its term if it is ours."""
+        """Return the current lead, and its term if this instance is the lead."""
         lead = await self.kernel.bus.ask(LeadView())
         if lead.instance != self.kernel.lane:
             self._term = None
@@ -188,11 +188,11 @@
             self._poll_due.clear()
 
     async def on_stop(self) -> None:
-        """Wait for orders on their way, so that no answer is cut."""
+        """Wait for open polls, so that no worker's reply is lost."""
         if self._open_polls:
             await asyncio.wait(self._open_polls.values(), timeout=self.cfg.margin_s)
 
-    # -- rounds: what is logged ----------------------------------------------------
+    # -- rounds: decisions for the log ---------------------------------------------
 
     async def _round(self, term: LeadTerm) -> None:
         if not term.settled:
@@ -217,11 +217,11 @@
         await self._adopter.step(term.epoch, self._timing)
 
     def _update_task_counts(self) -> None:
-        """Tell the book of grants what runs, or may once its record lands.
+        """Update the grant table with tasks that run or whose start is unread.
 
-        Between a round's decision and the reading of its record the book goes
-        on lending to requests.  Room that it lent again meanwhile would take
-        the team above its limit.
+        The grant table lends capacity to requests also between a round's
+        decision and the reading of its record.  Lending the capacity of those
+        tasks again would take the team above its limit.
         """
         counts = dict(self._states.zone.running)
         for team, count in self._unread_starts.items():
@@ -232,7 +232,7 @@
         return self._states.zone.live_attempts()
 
     async def _append_fence(self, term: LeadTerm) -> None:
-        """Append the term's first record, or one that settles a lost outcome."""
+        """Append the term's first record, or a fence after an unknown outcome."""
         body = ZoneFenced(term.epoch, self.kernel.lane)
         applied = await self.kernel.bus.ask(Append(self._stream, body, urgent=True))
         term.settled = applied.verdict is Verdict.APPLIED
@@ -241,9 +241,10 @@
     async def _append(self, term: LeadTerm, body: Any) -> None:
         """Append to the zone's stream.
 
-        If its outcome stays unknown, what it assigned may land after the next
-        round has given the same room away.  Nothing is placed again until a
-        later record of ours was read back, which it can then only precede.
+        An append with an unknown outcome may still land after the next round
+        has assigned the same capacity.  Therefore nothing is placed until a
+        later record of this instance was read back: the doubtful record can
+        only precede it.
         """
         try:
             await self.kernel.bus.ask(Append(self._stream, body))
@@ -277,7 +278,7 @@
     async def _append_remaining(
         self, term: LeadTerm, notes: tuple[JobNote, ...]
     ) -> None:
-        """Append what no start waits for, together."""
+        """Append concurrently the records on which no start depends."""
         appends = []
         ended = self._scheduler.endings.ended_jobs()
         if ended:
@@ -308,7 +309,7 @@
         headroom = self.kernel.grants.set_aside_for_tasks
         return {team: headroom(team, self._zone_limit(team), now) for team in teams}
 
-    # -- orders: what is said to workers ---------------------------------------------
+    # -- polls and orders ------------------------------------------------------------
 
     def _poll_due_workers(self, lead: Lead, term: LeadTerm) -> None:
         now = self.kernel.clock()
@@ -358,9 +359,10 @@
 
 
 def split_into_batches(items: Sequence[Assignment]) -> list[list[Assignment]]:
-    """Split assignments into batches, each job's whole in one.
+    """Split assignments into batches without splitting any job.
 
-    A gang in two records would be left half placed by a death between them.
+    If a gang were split over two records and the lead died between them, the
+    gang would be left partly placed.
     """
     batches: list[list[Assignment]] = [[]]
     by_job: dict[str, list[Assignment]] = {}
