--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -44,7 +44,7 @@
         )
 
     async def _post_config(self, req: web.Request) -> web.Response:
-        who = await require_operator(self.bus, req)
+        caller = await require_operator(self.bus, req)
         data = await read_json(req)
         base = data.get("base") if isinstance(data, dict) else None
         if not isinstance(base, int) or isinstance(base, bool):
@@ -56,7 +56,7 @@
             # Scripts often apply unchanged files.  That must not cost an append
             # nor outdate the base version of another operator's change.
             return json_response({"version": base})
-        version = await self.bus.ask(ChangeRows(base, rows, who.key_id))
+        version = await self.bus.ask(ChangeRows(base, rows, caller.key_id))
         return json_response({"version": version})
 
     def _changed_rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
--- a/src/firhook/ops/_health.py
+++ b/src/firhook/ops/_health.py
@@ -49,8 +49,8 @@
 
     async def _post_drain(self, req: web.Request) -> web.Response:
         """Start the same graceful stop as SIGTERM."""
-        who = await require_operator(self.bus, req)
-        log("instance.drain_asked", key_id=who.key_id)
+        caller = await require_operator(self.bus, req)
+        log("instance.drain_asked", key_id=caller.key_id)
         self.kernel.stop_requested.set()
         return json_response({"instance": self.cfg.name, "draining": True}, status=202)
 
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -68,14 +68,14 @@
     # -- submitting ------------------------------------------------------------
 
     async def _post_job(self, req: web.Request) -> web.Response:
-        who = await principal(self.bus, req)
-        if who.is_operator:
+        caller = await principal(self.bus, req)
+        if caller.is_operator:
             raise NotPermittedError("submit a job with its team's key")
         await self.bus.ask(CheckFresh(idempotent=False))
-        spec = check_job(await read_json(req), who.team)
-        plan = self.states.config.plan_of(who.team)
+        spec = check_job(await read_json(req), caller.team)
+        plan = self.states.config.plan_of(caller.team)
         if plan is None:
-            raise NotPermittedError(f"team {who.team!r} is not in the list")
+            raise NotPermittedError(f"team {caller.team!r} is not in the list")
         check_plan_allows(spec, plan)
         zone = choose_zone(spec, self._workers, self.cfg.zone)
         body = JobAccepted(spec, zone, round(time.time(), 3))
@@ -89,9 +89,9 @@
     # -- reading ----------------------------------------------------------------
 
     async def _visible_team(self, req: web.Request) -> str:
-        who = await principal(self.bus, req)
-        team = req.query.get("team", who.team)
-        if not who.is_operator and team != who.team:
+        caller = await principal(self.bus, req)
+        team = req.query.get("team", caller.team)
+        if not caller.is_operator and team != caller.team:
             raise NotPermittedError(f"the key is not of team {team!r}")
         return team
 
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -144,9 +144,9 @@
         if not call.once_key:
             return await self._run(call)
         key, body = call.once_digests()
-        known = await self.bus.ask(OnceBegin(key, call.team, body))
-        if known is not None:
-            return known
+        earlier_answer = await self.bus.ask(OnceBegin(key, call.team, body))
+        if earlier_answer is not None:
+            return earlier_answer
         call.claimed = True
         try:
             answer = await self._run(call, key)
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -167,7 +167,7 @@
         return SnapshotAnswer(ask.stream, client.stream_state.next_offset, text)
 
     @Service.task
-    async def _peer_loop(self) -> None:
+    async def _peer_snapshot_loop(self) -> None:
         while not self.should_stop:
             await self.sleep(_PEER_CHECK_INTERVAL_S)
             for stream in PEER_STREAMS:
--- a/tests/roles/test_cell.py
+++ b/tests/roles/test_cell.py
@@ -14,14 +14,14 @@
 WORKERS = (*fleet(4, cpus=16.0), *fleet(12, cpus=32.0, zone="lekki"))
 
 
-def test_a_job_goes_to_its_own_zone_unless_it_can_never_fit_there():
+def test_job_goes_to_its_own_zone_unless_it_can_never_fit_there():
     assert choose_zone(JobSpec("j", "a", cpus=16.0), WORKERS, "ikeja") == "ikeja"
     assert choose_zone(JobSpec("j", "a", cpus=17.0), WORKERS, "ikeja") == "lekki"
     gang = JobSpec("j", "a", tasks=8, cpus=16.0, gang=True)
     assert choose_zone(gang, WORKERS, "ikeja") == "lekki"
 
 
-def test_a_job_larger_than_any_worker_is_refused_at_once():
+def test_job_larger_than_any_worker_is_refused_at_once():
     with pytest.raises(JobImpossibleError, match="larger than any worker"):
         choose_zone(JobSpec("j", "a", cpus=33.0), WORKERS, "ikeja")
     gang = JobSpec("j", "a", tasks=25, cpus=16.0, gang=True)
@@ -29,11 +29,11 @@
         choose_zone(gang, WORKERS, "ikeja")
 
 
-def test_a_job_is_taken_while_no_worker_is_known():
+def test_job_is_accepted_while_no_worker_is_listed():
     assert choose_zone(JobSpec("j", "a", cpus=99.0), (), "ikeja") == "ikeja"
 
 
-def test_what_a_plan_never_allows_is_refused():
+def test_job_that_its_plan_never_allows_is_refused():
     plan = Plan("small", 1.0, 4)
     with pytest.raises(JobImpossibleError, match="limit of 4"):
         check_plan_allows(JobSpec("j", "a", tasks=5, gang=True), plan)
@@ -41,7 +41,7 @@
         check_plan_allows(JobSpec("j", "a", priority="urgent"), plan)
 
 
-def test_a_wave_of_cancellations_is_few_records():
+def test_many_cancellations_share_few_records():
     """A team stops a season's planning with one script.
 
     A record for each would use up the appends that urgent starts need.
@@ -60,7 +60,7 @@
     assert [len(names) for names in sent] == [MAX_BATCH_SIZE, MAX_BATCH_SIZE, 200, 1]
 
 
-def test_the_error_of_a_wave_reaches_every_caller():
+def test_batch_error_reaches_every_caller():
     async def send(names):
         raise LogUnavailableError("out")
 
@@ -73,7 +73,7 @@
     assert all(isinstance(a, LogUnavailableError) for a in answers)
 
 
-def test_a_job_is_never_split_over_two_records():
+def test_job_is_never_split_over_two_records():
     """A lead dies between two records and leaves half a gang placed."""
     items = [Assignment("a/small", i, 1, "w") for i in range(150)]
     items += [Assignment("a/gang", i, 1, "w") for i in range(500)]
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -48,7 +48,7 @@
         client._service = log
 
 
-def test_racing_operators_get_one_change_and_one_conflict_that_names_it():
+def test_concurrent_changes_give_one_change_and_one_conflict_that_names_it():
     """Two operators change the lists at two instances at the same moment.
 
     Both made their change from version 1.  One is in force everywhere, the
@@ -89,7 +89,7 @@
     run_two(scenario)
 
 
-def test_withdrawn_key_is_refused_by_record_and_by_a_peers_word():
+def test_withdrawn_key_is_refused_by_record_and_by_gossip():
     """A key leaks and is withdrawn while one instance cannot reach the log.
 
     Those that can read the record refuse it; the one that cannot hears of it
@@ -114,7 +114,7 @@
     run_two(scenario)
 
 
-def test_cut_instance_catches_up_from_a_peer_and_is_fresh_again():
+def test_instance_cut_off_from_the_log_catches_up_from_a_peer():
     """A zone loses the log but not its peers, and the lists change meanwhile.
 
     The change is in force there, too, and its callers notice nothing.
@@ -156,7 +156,7 @@
     run_two(scenario, stale="refuse", **SHORT)
 
 
-def test_keys_are_refused_as_not_ready_until_the_lists_are_whole():
+def test_keys_are_refused_as_not_ready_until_the_lists_are_read():
     """An instance has just started and cannot tell an unknown key from a good one.
 
     "Refused" would send the caller to an operator; "come back" is true.
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -166,7 +166,7 @@
     return EndpointFailedError("cut", ran=ran)
 
 
-def test_refusal_after_a_cut_try_does_not_say_that_nothing_ran():
+def test_refusal_after_a_broken_attempt_does_not_claim_that_nothing_ran():
     """A quote's first runner is cut after it may have run it, and the second
     cannot be reached.  "ran: no" of the second try would be false of the whole.
     """
@@ -185,7 +185,7 @@
     run_with_gateway(scenario, broken_connection(), *gone, runners=more)
 
 
-def test_charge_is_not_sent_again_once_a_byte_may_have_left():
+def test_charge_is_not_resent_once_a_byte_may_have_been_sent():
     """The runner's connection breaks in the middle of a renewal charge.  Sent
     again, the customer might be charged twice.
     """
@@ -209,7 +209,7 @@
     run_with_gateway(scenario, NoEndpointError("gone"))
 
 
-def test_keyed_charge_is_claimed_marked_and_finished_in_this_order():
+def test_keyed_charge_is_claimed_marked_and_finished_in_order():
     async def scenario(harness):
         headers = {"Idempotency-Key": "k1"}
         await harness.call("POST", headers=headers, data=b"charge")
@@ -223,7 +223,7 @@
     run_with_gateway(scenario, NoEndpointError("gone"))
 
 
-def test_claim_is_given_back_only_if_the_charge_certainly_did_not_run():
+def test_claim_is_released_only_if_the_charge_certainly_did_not_run():
     async def scenario(harness):
         headers = {"Idempotency-Key": "k1"}
         answer = await harness.call("POST", headers=headers)
@@ -234,7 +234,7 @@
     assert run_with_gateway(scenario, broken_connection()) == ("unknown", "OnceSending")
 
 
-def test_late_answer_to_a_keyed_charge_is_stored_and_its_slot_counted_till_then():
+def test_late_response_to_a_keyed_charge_is_stored_and_its_slot_counted_until_then():
     """A charge takes longer than its caller waits.  The caller is told that the
     outcome is unknown; the runner still works on it, so its slot and the team's
     room stay used, and the outcome is kept for the caller's repeat.
@@ -256,7 +256,7 @@
     run_with_gateway(scenario, held)
 
 
-def test_keyed_charge_that_ends_after_its_handler_was_cut_off_is_kept():
+def test_keyed_charge_that_ends_after_its_handler_was_cancelled_is_stored():
     """An instance cuts its last requests off at a stop while a runner works.
 
     The runner's answer is still worth keeping: the caller's repeat asks for it.
@@ -278,7 +278,7 @@
     run_with_gateway(scenario, held)
 
 
-def test_failure_that_nobody_foresaw_after_the_deadline_leaves_no_key_in_progress(
+def test_unexpected_error_after_the_deadline_leaves_no_key_in_progress(
     caplog,
 ):
     """A late exchange fails otherwise than by an error of ours.
@@ -310,7 +310,7 @@
     assert "on purpose" in line.error
 
 
-def test_caller_that_goes_away_frees_its_place_and_is_never_run():
+def test_request_of_a_disconnected_caller_is_dequeued_and_never_run():
     """A page is closed while its quote waits for room.  Its place in the queue
     belongs to those who still wait.
     """
@@ -355,7 +355,7 @@
     return run_with_gateway(scenario, held, room=1, default_deadline_s=6.0)
 
 
-def test_post_is_not_started_so_late_that_its_outcome_would_be_unknown():
+def test_post_is_not_started_too_late_to_learn_its_outcome():
     """A logbook entry waits while its team has no room, and has 2.5 s left when
     its turn comes; the entry before it took 3.5 s.  Sent all the same, it may be
     recorded after its installer has been told that nobody knows.
@@ -367,7 +367,7 @@
     assert answer.problem["retry_after"] > 0
 
 
-def test_request_that_can_be_repeated_is_served_with_whatever_time_is_left():
+def test_repeatable_request_is_served_with_any_time_left():
     """A quote, and a charge that has a key, wait as long.  Their callers lose
     nothing if the outcome stays unknown, since they may ask again; refused, they
     would lose an answer that most likely comes in time.
@@ -399,7 +399,7 @@
     run_with_gateway(scenario, room=0)
 
 
-def test_request_in_flight_at_the_stop_gets_its_whole_answer():
+def test_request_in_flight_at_the_stop_gets_its_complete_response():
     async def scenario(harness):
         call = asyncio.create_task(harness.call())
         while not harness.runners.sent:
@@ -417,7 +417,7 @@
     run_with_gateway(scenario, held, drain_max_s=5.0)
 
 
-def test_path_query_headers_and_packed_body_pass_as_they_were_sent():
+def test_path_query_headers_and_compressed_body_pass_unchanged():
     """A logbook's record name holds a slash, "%2F", and its entry is packed.
     Unpacked or decoded on the way, another record would be written.
     """
@@ -437,7 +437,7 @@
     run_with_gateway(scenario)
 
 
-def test_refusal_before_the_claim_speaks_of_its_own_attempt_only():
+def test_refusal_before_the_claim_covers_only_its_own_attempt():
     """A renewal was charged, its answer was lost, and the log goes out.
 
     The repeat cannot be looked up and is not run.  Told no more than that, the
@@ -462,7 +462,7 @@
     run_with_gateway(scenario)
 
 
-def test_bad_requests_get_typed_errors_that_say_what_to_mend():
+def test_bad_requests_get_typed_errors_with_remedies():
     async def scenario(harness):
         async def code(**kw):
             answer = await harness.call(**kw)
@@ -488,7 +488,7 @@
     run_with_gateway(scenario, max_body_bytes=1000)
 
 
-def test_full_queue_of_a_team_is_refused_at_once_with_a_time_to_come_back():
+def test_full_team_queue_is_refused_at_once_with_a_retry_time():
     async def scenario(harness):
         calls = [asyncio.create_task(harness.call()) for _ in range(5)]
         done, waiting = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -26,7 +26,7 @@
     await instance.bus.ask(Append("config", KEY))
 
 
-def test_lists_outlive_the_records_that_made_them():
+def test_snapshots_keep_lists_after_their_records_expire():
     """The log keeps records for a limited time, and the lists rarely change.
 
     Without a snapshot carried forward, an instance that starts after the
@@ -52,7 +52,7 @@
     asyncio.run(scenario())
 
 
-def test_only_the_first_zones_lead_carries_forward():
+def test_only_the_first_zones_lead_appends_snapshots():
     """Each of nine instances making snapshots would cost nine times the bytes.
 
     The log's rate is for everyone together, and charges wait behind it.
@@ -110,7 +110,7 @@
     asyncio.run(scenario())
 
 
-def test_older_snapshot_of_a_peer_takes_nothing_back():
+def test_older_snapshot_of_a_peer_reverts_nothing():
     """Of two peers one lags behind, and an instance asks both.
 
     A list that was in force must not return to what it was before.
--- a/tests/roles/test_members.py
+++ b/tests/roles/test_members.py
@@ -45,7 +45,7 @@
         assert fleet.running >= 16
 
 
-def test_zone_goes_on_within_its_part_while_the_log_is_out():
+def test_zone_keeps_serving_within_its_part_while_the_log_is_down():
     """The platform's log is out for longer than a lead's lease.
 
     No lead can renew anywhere.  Unless leads go on lending, every zone stops
@@ -61,7 +61,7 @@
         assert fleet.running == 18
 
 
-def test_instance_that_starts_while_the_log_is_out_gets_room():
+def test_instance_that_starts_while_the_log_is_down_gets_capacity():
     """An instance is replaced during an outage of the platform's log.
 
     It has its state from a peer, but no record can name it as a holder.
@@ -89,7 +89,7 @@
         assert fleet.running >= 12
 
 
-def test_next_lead_counts_the_guests_of_a_lead_that_answers():
+def test_next_lead_counts_the_guests_of_an_answering_predecessor():
     """A lead that lent to a newcomer without the log is deposed, but lives.
 
     It tells its successor what it holds.  Unless it tells of its guests as
@@ -117,7 +117,7 @@
         assert other.grants.lent("t", other.clock()) >= running
 
 
-def test_zone_that_lost_its_lead_goes_on_within_a_few_seconds():
+def test_zone_that_lost_its_lead_serves_again_within_seconds():
     """The instance that leads a zone dies.
 
     Its successor does not know its book.  It asks the others what they hold,
@@ -153,7 +153,7 @@
         assert lead_of(fleet, "a") is not lead
 
 
-def test_paused_lead_believes_nothing_when_it_goes_on():
+def test_paused_lead_relies_on_nothing_when_it_resumes():
     """A lead is paused past its lease, and a peer takes over.
 
     When it goes on it must lend nothing, whichever coroutine runs first.
@@ -184,7 +184,7 @@
     )
 
 
-def test_paused_instance_dispatches_nothing_on_room_that_was_lent_on():
+def test_paused_instance_dispatches_nothing_on_relent_capacity():
     """An instance is paused while it has room, for longer than its grant.
 
     Its peer is lent the room.  When the instance goes on, the requests that
@@ -204,7 +204,7 @@
         fleet.run(2)
 
 
-def test_successor_of_a_dead_lead_counts_what_that_one_had_running():
+def test_successor_counts_the_running_requests_of_a_dead_lead():
     """A lead dies with long requests at the runners, which go on with them."""
     with fleet_of() as fleet:
         fleet.run(5)
@@ -220,7 +220,7 @@
         assert other.account.running.get("t", 0) >= 12
 
 
-def test_room_on_its_way_to_another_zone_is_not_lent_meanwhile():
+def test_capacity_in_transfer_to_another_zone_is_not_lent():
     """A zone gives room away while the log is slow to answer.
 
     Before the answer comes its own callers return.  The room is the other
@@ -261,7 +261,7 @@
         assert lead.account.running.get("t", 0) >= 12
 
 
-def test_lead_that_alone_lost_the_log_is_replaced_and_lends_no_more():
+def test_lead_that_alone_lost_the_log_is_replaced_and_stops_lending():
     """A lead cannot reach the log any more, but its peers can.
 
     A peer must take over, or nobody places the zone's tasks.  The lead is in
@@ -303,7 +303,7 @@
         fleet.run(10)
 
 
-def test_instance_that_answered_a_new_lead_takes_nothing_from_the_old_one():
+def test_instance_that_answered_a_new_lead_borrows_nothing_from_the_old_one():
     """Lead and instance have lost the log; a newcomer takes the lead over.
 
     The newcomer cannot reach the old lead but does reach the instance, which
@@ -330,7 +330,7 @@
         assert lead_of(fleet, "a") is newcomer
 
 
-def test_claim_waits_until_the_promise_to_the_old_lead_has_ended():
+def test_claim_waits_until_the_promise_to_the_old_lead_expires():
     """Lead and peer lose the log, and the peer promises not to claim.
 
     The peer gets the log back at the moment when it loses the lead.  The lead
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -67,7 +67,7 @@
     run_two(scenario)
 
 
-def test_claim_given_up_in_doubt_is_given_back_when_it_lands():
+def test_abandoned_claim_is_released_when_it_lands():
     """The claim's append times out, and its caller is told "not run".
 
     The claim lands all the same.  Left there, it would block the charge for
@@ -89,7 +89,7 @@
     run_two(scenario)
 
 
-def test_claim_that_was_never_sent_is_released_on_its_holders_word(monkeypatch):
+def test_claim_that_was_never_sent_is_released_on_its_holders_answer(monkeypatch):
     """The holder gave the claim up, but its give-back does not reach the log."""
 
     async def scenario(log, a, b):
@@ -106,7 +106,7 @@
     run_two(scenario)
 
 
-def test_claim_of_a_holder_that_vanished_is_never_run_again():
+def test_claim_of_a_vanished_holder_is_never_run_again():
     """The instance dies after it claimed; nobody knows whether it sent."""
 
     async def scenario(log, a, b):
@@ -121,7 +121,7 @@
     run_two(scenario)
 
 
-def test_holder_that_restarted_does_not_speak_for_its_earlier_run():
+def test_restarted_holder_does_not_answer_for_its_earlier_incarnation():
     """The new process of the same name knows nothing of what the old one sent.
 
     Its "never sent" would let a charge run that the old process had sent.
@@ -138,7 +138,7 @@
     run_two(scenario)
 
 
-def test_holder_out_of_gossip_is_known_through_its_answer():
+def test_holder_without_gossip_is_asked_directly():
     """Gossip is lost, but the holder still answers when asked directly."""
 
     async def scenario(log, a, b):
@@ -151,7 +151,7 @@
     run_two(scenario)
 
 
-def test_lost_answer_of_the_runner_leaves_the_outcome_unknown():
+def test_lost_response_of_the_runner_leaves_the_outcome_unknown():
     """The runner's connection breaks after the charge was sent to it."""
 
     async def scenario(log, a, b):
@@ -165,7 +165,7 @@
     run_two(scenario)
 
 
-def test_true_not_run_frees_the_key():
+def test_request_that_did_not_run_releases_its_key():
     """No runner could be reached, and the caller is told "not run"."""
 
     async def scenario(log, a, b):
@@ -178,7 +178,7 @@
     run_two(scenario)
 
 
-def test_outcome_outlives_an_outage_of_the_log():
+def test_outcome_survives_an_outage_of_the_log():
     """The log goes down between the claim and the outcome.
 
     The caller has its answer at once.  A repeat at the same instance gets it
@@ -219,7 +219,7 @@
     run_two(scenario)
 
 
-def test_long_answer_is_repeated_as_its_status_and_says_so():
+def test_long_response_is_repeated_as_its_status_only():
     """An answer of 100 kB would be in the memory of every instance."""
 
     async def scenario(log, a, b):
@@ -249,7 +249,7 @@
     assert state.entries["k"].nonce == 2
 
 
-def test_memory_is_bounded_and_bodies_go_before_keys(monkeypatch):
+def test_memory_is_bounded_and_bodies_are_dropped_before_keys(monkeypatch):
     """Charges of many days would fill the memory of every instance."""
     monkeypatch.setattr(OnceState, "MAX_ENTRIES", 3)
     monkeypatch.setattr(OnceState, "MAX_DATA", 10)
--- a/tests/roles/test_ops.py
+++ b/tests/roles/test_ops.py
@@ -49,7 +49,7 @@
         assert ask(kernel, "/readyz", port="ops")[0] == 503
 
 
-def test_runner_that_said_it_leaves_is_listed_as_leaving():
+def test_runner_that_announced_leaving_is_listed_as_leaving():
     """The platform's list lags; operators must see what the runner itself said."""
     with running_kernel() as kernel:
         kernel.load.leaving.add("runner-1@127.0.0.1:9")
@@ -58,7 +58,7 @@
         assert (runner["leaving"], runner["in_flight"]) == (True, 2)
 
 
-def test_refused_request_shows_in_its_teams_burn():
+def test_refused_request_counts_in_its_teams_burn():
     """A service's only runner is dead, and each of a team's requests is refused.
 
     The team's budget burns although no request was slow, and operators must see
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -113,7 +113,7 @@
         await self.lead.stop()
 
 
-def test_room_is_counted_as_used_before_its_assignment_is_on_the_log():
+def test_capacity_counts_as_used_before_its_assignment_is_read():
     """The lead also lends a team's room to requests.
 
     Were the room of an assignment on its way lent meanwhile, the team would
@@ -136,7 +136,7 @@
     asyncio.run(scenario())
 
 
-def test_after_a_lost_answer_a_fence_comes_before_the_next_assignment():
+def test_fence_precedes_the_next_assignment_after_a_lost_answer():
     """The log takes an assignment but its answer is lost."""
 
     async def scenario():
@@ -161,7 +161,7 @@
     asyncio.run(scenario())
 
 
-def test_one_worker_that_does_not_answer_holds_up_no_other():
+def test_unresponsive_worker_delays_no_other():
     """A worker's link swallows everything; the call to it hangs.
 
     Urgent work for another worker must not wait for that call to end.
