--- a/src/firhook/ops/_health.py
+++ b/src/firhook/ops/_health.py
@@ -79,7 +79,7 @@
         )
 
     async def _get_teams(self, req: web.Request) -> web.Response:
-        """Return each team's plan and its usage, summed over the peers' gossip."""
+        """Return each team's plan and its usage here and in the peers' gossip."""
         await require_operator(self.bus, req)
         running = dict(self.kernel.account.running)
         waiting = dict(self.kernel.load.waiting)
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -147,7 +147,7 @@
             self._start_task(self._release(claim.key, claim.holder, claim.nonce))
 
     def _release_own_entry(self, claim: OnceClaimed) -> None:
-        """Release a claim that landed while its caller disconnected."""
+        """Release a claim that landed just as its caller disconnected."""
         entry = self.states.once.entries.get(claim.key)
         if entry is not None and (entry.holder, entry.nonce) == (
             claim.holder,
--- a/src/firhook/roles/_ops.py
+++ b/src/firhook/roles/_ops.py
@@ -1,4 +1,7 @@
-"""The ops role: the operators' interface to lists, keys, status and metrics."""
+"""The ops role: the operators' HTTP interface.
+
+It covers lists, keys, status, health, metrics and reports.
+"""
 
 from typing import Any
 
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of members under a fake log, network and clock.
+"""A simulated fleet of instances with a fake log, network and clock.
 
-The lead, room and lending code is the real one, and so are the state of the
-cell, the book and the account.  Time is virtual: the event loop jumps to the
-next timer, so minutes pass in milliseconds and each run is the same.
+The code for the lead, for lending and borrowing capacity, the cell's state, the
+grant table and the account are real.  Time is virtual: the event loop jumps to
+the next timer, so that minutes pass in milliseconds and runs are reproducible.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Cfg:
-    """The settings that the members' code reads."""
+    """The settings that the tested code reads."""
 
     zone: str
     zones: tuple[str, ...] = ZONES
@@ -60,7 +60,12 @@
 
 
 class FakeLog:
-    """The two streams, which the members share."""
+    """The log shared by the instances: the cell stream and a team's limits.
+
+    :ivar sent: records that were appended.
+    :ivar records: records that can be read, after ``delay_s``.
+    :ivar limits: the team's limit in each version of the lists.
+    """
 
     def __init__(self, loop):
         self.loop = loop
@@ -72,14 +77,14 @@
 
 
 class Config:
-    """A node's reading of the lists: just one team's limit."""
+    """The lists as one node has read them, with one team's limit."""
 
     def __init__(self, log):
         self.log = log
         self.version = 0
 
     def plan_of(self, team):
-        """Return the team's plan at the version that was read."""
+        """Return the team's plan in the version that was read."""
         return Plan("p", 1.0, self.log.limits[self.version])
 
 
@@ -92,7 +97,14 @@
 
 
 class Node:
-    """One instance: the members' code with requests that run under it."""
+    """One instance: the code of the members role, and simulated requests.
+
+    :ivar cut: whether the node reaches neither the log nor its peers.
+    :ivar log_cut: whether the node does not reach the log.
+    :ivar reachable_peers: the peers it reaches; None means no restriction.
+    :ivar gate: closed while the process is paused.
+    :ivar demand: how many requests of the team it should run.
+    """
 
     def __init__(self, fleet, name, zone, run):
         self.fleet, self.name = fleet, name
@@ -139,16 +151,16 @@
             )
         ]
 
-    # -- the world around it ---------------------------------------------
+    # -- log and network -------------------------------------------------
 
     @property
     def reaches_log(self):
-        """Whether the log answers this node now."""
+        """Whether this node reaches the log."""
         zone_cut = self.cfg.zone in self.fleet.cut_zones
         return not (self.fleet.log.down or self.cut or self.log_cut or zone_cut)
 
     def reaches(self, other):
-        """Whether a message gets from this node to another now."""
+        """Return whether messages from this node reach another."""
         if self.cut or other.cut or not other.alive:
             return False
         for one, two in ((self, other), (other, self)):
@@ -187,7 +199,7 @@
         return answer
 
     async def serve_message(self, handler, query):
-        """Serve a peer's message, also late if this node is paused."""
+        """Handle a peer's message, after the pause if this node is paused."""
         await self.gate.wait()
         if not self.alive:
             raise PeerUnreachableError("gone")
@@ -217,7 +229,7 @@
     async def _log_age(self, query):
         return self.clock() - self.end_seen_at
 
-    # -- its loops -------------------------------------------------------
+    # -- loops -----------------------------------------------------------
 
     async def _every(self, seconds, step):
         while self.alive:
@@ -243,14 +255,14 @@
                 self.read_to_end()
 
     def copy_peer_state(self):
-        """Read what a peer has read, as at a boot while the log is out."""
+        """Copy a peer's state, as at a start while the log is down."""
         for peer in self.fleet.nodes.values():
             if peer is not self and peer.alive and self.reaches(peer):
                 self.read_to(peer.states.config.version, peer.states.cell.next_offset)
                 return
 
     def read_to_end(self):
-        """Apply what the streams hold beyond what was read."""
+        """Apply all records that were not read yet."""
         log = self.fleet.log
         self.read_to(len(log.limits) - 1, len(log.records))
         self.end_seen_at = self.clock()
@@ -281,7 +293,7 @@
             await asyncio.sleep(0.2)
 
     def serve(self):
-        """Start requests as far as there is demand and room."""
+        """Start requests as far as demand and capacity allow."""
         if not self.alive or not self.gate.is_set() or self.stopping:
             return
         while self.account.running.get(TEAM, 0) < self.demand:
@@ -293,26 +305,31 @@
         self.load.waiting = {}
 
     async def ended(self):
-        """Give room back once the answer is read."""
+        """Release the capacity of a request that has ended."""
         if self.alive:
             await self.gate.wait()
             self.account.release(TEAM)
 
     def kill(self):
-        """End the process; its requests run on at the runners."""
+        """End the process; its requests continue at the runners."""
         self.alive = False
-        # A task that is cancelled just as what it waits for is done goes on
-        # (asyncio.wait_for), so it must also find the gate closed for good.
+        # asyncio.wait_for may ignore a cancellation if its future completes at
+        # the same time.  The closed gate stops such a task for good.
         self.gate.clear()
         for task in self.tasks:
             task.cancel()
 
 
 class Fleet:
-    """Three zones of two instances each."""
+    """A simulated cell of three zones.
+
+    :param per_zone: instances in each zone.
+    :ivar took_s: how long each request runs.
+    :ivar violations: moments at which more requests ran than allowed.
+    """
 
     def __init__(self, per_zone=2):
-        # Claims are spread at random; the same run each time needs a seed.
+        # Claims are spread at random; the seed makes runs reproducible.
         random.seed(0)
         self.loop = VirtualLoop()
         asyncio.set_event_loop(self.loop)
@@ -337,17 +354,18 @@
             self.failures.append(repr(context))
 
     def boot(self, name, zone):
-        """Start an instance, afresh if it ran before."""
+        """Start an instance as a new process."""
         self.runs += 1
         node = self.nodes[name] = Node(self, name, zone, self.runs)
         if self.log.down:
             node.copy_peer_state()
 
     def max_running(self):
-        """Return the most that may run at this moment.
+        """Return how many requests may run at this moment.
 
-        The limit itself, or the largest that a zone has not read away from
-        long enough for everything under it to have ended.
+        This is the largest limit under which requests may still run: a lower
+        limit applies only once every zone has read it and everything started
+        under the higher one has certainly ended.
         """
         now = self.loop.time()
         read = min(
@@ -362,7 +380,7 @@
         return max(self.log.limits[oldest:])
 
     def start(self, node):
-        """Count a request that a node dispatched."""
+        """Count a dispatched request and check the limit."""
         self.running += 1
         if self.running > self.max_running():
             self.violations.append(
@@ -376,14 +394,14 @@
         self.loop.create_task(node.ended())
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time and check that nothing failed."""
         self.max_running()
         self.loop.run_until_complete(asyncio.sleep(seconds))
         assert not self.failures, self.failures
         assert not self.violations, self.violations
 
     def heal(self):
-        """Mend everything and replace what died."""
+        """Clear all faults and replace dead instances."""
         self.cut_zones.clear()
         self.lose_answers = False
         self.log.down, self.log.delay_s = False, 0.005
@@ -395,7 +413,7 @@
                 self.boot(node.name, node.cfg.zone)
 
     def close(self):
-        """End all tasks."""
+        """Stop all nodes and cancel all tasks."""
         for node in self.nodes.values():
             node.kill()
         for task in asyncio.all_tasks(self.loop):
--- a/tests/roles/instance.py
+++ b/tests/roles/instance.py
@@ -1,4 +1,4 @@
-"""An instance of the lasting roles only, with fake peers and a fake log."""
+"""A test instance with the journal, config and once roles, and a fake log."""
 
 import contextlib
 import time
@@ -23,7 +23,7 @@
 
 
 def settings(name: str, zone: str, **changed: object) -> Settings:
-    """Return settings with short times."""
+    """Return settings with short intervals."""
     options = {
         "name": name,
         "zone": zone,
@@ -44,9 +44,11 @@
 
 
 class Instance:
-    """What the roles see of a kernel, and of the members role.
+    """The kernel and the members role as the tested roles see them.
 
-    :param cell: the instances by name; a test cuts some off by ``cut``.
+    :param cell: all instances by name.
+    :ivar unreachable: names of the peers that this instance cannot reach.
+    :ivar last_gossip: by peer, when its last gossip was received, and the gossip.
     """
 
     def __init__(self, name: str, log: FakeLog, cell: dict, **changed) -> None:
@@ -87,7 +89,7 @@
         )
 
     async def receive_gossip(self, *names: str) -> None:
-        """Take in the gossip of peers as the members role does."""
+        """Receive the gossip of peers as the members role does."""
         for name in names:
             peer = self.cell[name]
             state = peer.states.config
@@ -107,7 +109,7 @@
                 self.states.config.withdraw(key_id)
 
     def lead(self, log: FakeLog) -> None:
-        """Have this instance hold its zone's lead by record."""
+        """Append a record by which this instance claims its zone's lead."""
         lead = self.states.cell.leads[self.cfg.zone]
         epoch = lead.epoch + 1
         claim = LeadClaimed(self.cfg.zone, epoch, self.lane, lead.offset)
@@ -116,7 +118,10 @@
 
 @contextlib.asynccontextmanager
 async def running(*instances: Instance, ready: bool = True):
-    """Run instances."""
+    """Start instances and stop them on exit.
+
+    :param ready: whether to wait until all streams have been read.
+    """
     for instance in instances:
         for role in instance.roles:
             await role.start()
@@ -136,7 +141,7 @@
 
 @attrs.define
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     now: float = 0.0
 
--- a/tests/roles/test_cell.py
+++ b/tests/roles/test_cell.py
@@ -1,4 +1,4 @@
-"""The callers' side of the cell: zones chosen, waves folded."""
+"""Tests of the cell role: choice of zone, checks of jobs, and batching."""
 
 import asyncio
 
@@ -42,9 +42,9 @@
 
 
 def test_many_cancellations_share_few_records():
-    """A team stops a season's planning with one script.
+    """A script cancels all of a team's jobs at once.
 
-    A record for each would use up the appends that urgent starts need.
+    A record for each would use up the append budget that urgent starts need.
     """
     sent = []
 
@@ -74,7 +74,7 @@
 
 
 def test_job_is_never_split_over_two_records():
-    """A lead dies between two records and leaves half a gang placed."""
+    """A lead that died between the two records would leave a gang partly placed."""
     items = [Assignment("a/small", i, 1, "w") for i in range(150)]
     items += [Assignment("a/gang", i, 1, "w") for i in range(500)]
     found = split_into_batches(items)
--- a/tests/roles/test_config.py
+++ b/tests/roles/test_config.py
@@ -1,4 +1,4 @@
-"""Racing operators, withdrawn keys and zones that are cut off."""
+"""Tests of the config role: concurrent changes, withdrawn keys, cut-off zones."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 def run_two(scenario, **changed) -> None:
-    """Run a scenario with two instances on one log each of its own view."""
+    """Run a scenario with two instances that read the same log."""
 
     async def run():
         log, cell = FakeLog(), {}
@@ -42,17 +42,17 @@
 
 
 def cut_off(instance: Instance) -> None:
-    """Cut an instance off from the log, but not from its peers."""
+    """Disconnect an instance from the log, but not from its peers."""
     log = FakeLog(out=True, append_fate="refuse")
     for client in instance.journal.clients.values():
         client._service = log
 
 
 def test_concurrent_changes_give_one_change_and_one_conflict_that_names_it():
-    """Two operators change the lists at two instances at the same moment.
+    """Two operators change version 1 of the lists at two instances at once.
 
-    Both made their change from version 1.  One is in force everywhere, the
-    other's author is told which rows came first.
+    One change is in force everywhere.  The author of the other gets a conflict
+    that names the rows changed first.
     """
 
     async def scenario(log, a, b):
@@ -71,7 +71,7 @@
 
 
 def test_change_on_a_version_read_elsewhere_is_refused_if_it_is_not_valid():
-    """An operator read the lists at an instance that is ahead of this one."""
+    """The change is based on a version that this instance has not read yet."""
 
     async def scenario(log, a, b):
         bad = Row("teams", "porto", {"plan": "huge"})
@@ -90,10 +90,10 @@
 
 
 def test_withdrawn_key_is_refused_by_record_and_by_gossip():
-    """A key leaks and is withdrawn while one instance cannot reach the log.
+    """A leaked key is withdrawn while one instance cannot reach the log.
 
-    Those that can read the record refuse it; the one that cannot hears of it
-    from a peer.
+    Instances that read the record refuse the key; the other one learns of the
+    withdrawal from a peer's gossip.
     """
 
     async def scenario(log, a, b):
@@ -115,9 +115,9 @@
 
 
 def test_instance_cut_off_from_the_log_catches_up_from_a_peer():
-    """A zone loses the log but not its peers, and the lists change meanwhile.
+    """The lists change while a zone reaches its peers but not the log.
 
-    The change is in force there, too, and its callers notice nothing.
+    The change takes effect there as well, and the zone's view is fresh again.
     """
 
     async def scenario(log, a, b):
@@ -141,7 +141,7 @@
 
 
 def test_strict_zone_refuses_every_key_once_it_is_stale():
-    """The operators chose that a withdrawn key must never work."""
+    """With ``stale = refuse``, a withdrawn key must never work."""
 
     async def scenario(log, a, b):
         given = await a.bus.ask(GiveKey("lisboa"))
@@ -157,9 +157,9 @@
 
 
 def test_keys_are_refused_as_not_ready_until_the_lists_are_read():
-    """An instance has just started and cannot tell an unknown key from a good one.
+    """An instance that just started cannot tell an unknown key from a valid one.
 
-    "Refused" would send the caller to an operator; "come back" is true.
+    "Not ready" makes the caller retry; "refused" would send it to an operator.
     """
 
     async def scenario():
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway before fake runners: what callers see, and what runners get."""
+"""Tests of the gateway role with fake runners and a fake bus."""
 
 import asyncio
 import gzip
@@ -42,9 +42,10 @@
 
 
 class FakeRunners:
-    """Answers each request with the next of its outcomes, then with ``FINE``.
+    """Runners that return the given outcomes in turn, and then ``FINE``.
 
-    An outcome is an answer, an error, or an event to wait for before ``FINE``.
+    An outcome is a response, an error to raise, or an event to wait for before
+    ``FINE`` is returned.
     """
 
     def __init__(self, *outcomes):
@@ -86,7 +87,11 @@
 
 
 class GatewayHarness:
-    """A gateway that listens, with everything around it faked."""
+    """A listening gateway with a fake kernel, bus and runners.
+
+    :ivar events: the once queries and events in the order received.
+    :ivar room: the capacity that a team gets once it asks for some.
+    """
 
     def __init__(self, *outcomes, room=10, runners=RUNNERS, **changed):
         self.runners = FakeRunners(*outcomes)
@@ -167,8 +172,8 @@
 
 
 def test_refusal_after_a_broken_attempt_does_not_claim_that_nothing_ran():
-    """A quote's first runner is cut after it may have run it, and the second
-    cannot be reached.  "ran: no" of the second try would be false of the whole.
+    """The first runner's connection breaks after it may have run the request, and
+    the next ones are unreachable.  The caller must not get their "ran: no".
     """
 
     async def scenario(harness):
@@ -186,8 +191,8 @@
 
 
 def test_charge_is_not_resent_once_a_byte_may_have_been_sent():
-    """The runner's connection breaks in the middle of a renewal charge.  Sent
-    again, the customer might be charged twice.
+    """The runner's connection breaks during a charge.  If the charge were sent
+    again, it could run twice.
     """
 
     async def scenario(harness):
@@ -235,9 +240,9 @@
 
 
 def test_late_response_to_a_keyed_charge_is_stored_and_its_slot_counted_until_then():
-    """A charge takes longer than its caller waits.  The caller is told that the
-    outcome is unknown; the runner still works on it, so its slot and the team's
-    room stay used, and the outcome is kept for the caller's repeat.
+    """A charge takes longer than its caller's deadline, and the caller gets
+    "outcome unknown".  The runner continues, so its slot and the team's capacity
+    stay in use, and the outcome is stored for a repeat.
     """
 
     async def scenario(harness):
@@ -257,9 +262,9 @@
 
 
 def test_keyed_charge_that_ends_after_its_handler_was_cancelled_is_stored():
-    """An instance cuts its last requests off at a stop while a runner works.
+    """A stopping instance cancels its last handlers while a runner still works.
 
-    The runner's answer is still worth keeping: the caller's repeat asks for it.
+    The runner's response must be stored, since the caller's repeat asks for it.
     """
 
     async def scenario(harness):
@@ -281,9 +286,9 @@
 def test_unexpected_error_after_the_deadline_leaves_no_key_in_progress(
     caplog,
 ):
-    """A late exchange fails otherwise than by an error of ours.
+    """A late exchange fails with an unexpected exception.
 
-    Repeats of the request were told that it is in progress, for ever.
+    Repeats of the request must not get "in progress" forever.
     """
 
     async def scenario(harness):
@@ -311,8 +316,8 @@
 
 
 def test_request_of_a_disconnected_caller_is_dequeued_and_never_run():
-    """A page is closed while its quote waits for room.  Its place in the queue
-    belongs to those who still wait.
+    """A caller disconnects while its request waits for capacity.  The request
+    must leave the queue and must not run.
     """
 
     async def scenario(harness):
@@ -331,10 +336,11 @@
 
 
 def send_after_slow_post(method, headers=None):
-    """Send a request that gets its turn when a post of 3.5 s ends before it.
+    """Send a request that waits while a POST of 3.5 s runs.
+
+    Its deadline is 6 s, and the POST was sent just before it.
 
-    Its deadline is 6 s and the post came just before it.  Return its answer and
-    the methods that the runners got.
+    :return: the response, and the methods that the runners received.
     """
 
     async def scenario(harness):
@@ -356,9 +362,9 @@
 
 
 def test_post_is_not_started_too_late_to_learn_its_outcome():
-    """A logbook entry waits while its team has no room, and has 2.5 s left when
-    its turn comes; the entry before it took 3.5 s.  Sent all the same, it may be
-    recorded after its installer has been told that nobody knows.
+    """A POST waits for its team's capacity and has 2.5 s left when it could be
+    sent; the POST before it took 3.5 s.  If it were sent, it could take effect
+    after its caller got "outcome unknown".
     """
     answer, sent = send_after_slow_post("POST")
     assert sent == ["POST"]
@@ -368,9 +374,9 @@
 
 
 def test_repeatable_request_is_served_with_any_time_left():
-    """A quote, and a charge that has a key, wait as long.  Their callers lose
-    nothing if the outcome stays unknown, since they may ask again; refused, they
-    would lose an answer that most likely comes in time.
+    """An idempotent request and a keyed POST wait as long.  Their callers may
+    repeat them if the outcome stays unknown.  A refusal would deny them a
+    response that most likely arrives in time.
     """
     keyed = {"Idempotency-Key": "k"}
     for method, headers in (("PUT", {}), ("POST", keyed)):
@@ -380,8 +386,8 @@
 
 
 def test_request_waiting_at_the_stop_is_refused_as_not_run():
-    """An instance stops while a request waits that cannot be served in time.  Its
-    caller is told to come back at once: the balancer picks another instance.
+    """An instance stops while a request waits that cannot be served in time.  The
+    caller must retry at once, since the balancer picks another instance.
     """
 
     async def scenario(harness):
@@ -418,8 +424,8 @@
 
 
 def test_path_query_headers_and_compressed_body_pass_unchanged():
-    """A logbook's record name holds a slash, "%2F", and its entry is packed.
-    Unpacked or decoded on the way, another record would be written.
+    """The path contains an encoded slash, "%2F", and the body is compressed.  If
+    either were decoded on the way, the runner would write another record.
     """
 
     async def scenario(harness):
@@ -438,10 +444,10 @@
 
 
 def test_refusal_before_the_claim_covers_only_its_own_attempt():
-    """A renewal was charged, its answer was lost, and the log goes out.
+    """A charge ran, its response was lost, and then the log fails.
 
-    The repeat cannot be looked up and is not run.  Told no more than that, the
-    caller would charge the customer again by another way.
+    The repeat cannot be checked and does not run.  If the refusal did not
+    mention earlier attempts, the caller would charge again in another way.
     """
 
     async def scenario(harness):
@@ -503,7 +509,7 @@
 
 
 def test_plan_shares_weigh_the_teams():
-    """The lists give one team three times the share of another."""
+    """One team's plan has three times the share of the other's."""
 
     async def scenario(harness):
         config = harness.kernel.states.config
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -1,4 +1,4 @@
-"""Snapshots carried forward, and instances that start while the log is out."""
+"""Tests of the journal role: snapshots in the log and from peers."""
 
 import asyncio
 
@@ -15,22 +15,22 @@
 
 
 def chunks(log: FakeLog, stream: str) -> list[SnapshotChunk]:
-    """Return the chunks that a stream got."""
+    """Return the snapshot chunks that were appended to a stream."""
     bodies = [decode_envelope(p).body for p in log.streams.get(stream, [])]
     return [b for b in bodies if isinstance(b, SnapshotChunk)]
 
 
 async def give_lists(instance: Instance) -> None:
-    """Put lists and a key in force."""
+    """Append lists and a key."""
     await instance.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
     await instance.bus.ask(Append("config", KEY))
 
 
 def test_snapshots_keep_lists_after_their_records_expire():
-    """The log keeps records for a limited time, and the lists rarely change.
+    """The log's records expire, and the lists rarely change.
 
-    Without a snapshot carried forward, an instance that starts after the
-    records expired would know no team and refuse every key.
+    Without a snapshot, an instance that starts after the records expired would
+    know no team and refuse every key.
     """
 
     async def scenario():
@@ -53,9 +53,9 @@
 
 
 def test_only_the_first_zones_lead_appends_snapshots():
-    """Each of nine instances making snapshots would cost nine times the bytes.
+    """Snapshots by each of nine instances would cost nine times the bytes.
 
-    The log's rate is for everyone together, and charges wait behind it.
+    All instances share the log's append rate, and charges wait for it.
     """
 
     async def scenario():
@@ -82,10 +82,10 @@
 
 
 def test_instance_that_starts_while_the_log_is_out_serves_from_a_peer():
-    """The platform's log is down, and an instance is replaced meanwhile.
+    """An instance is replaced while the platform's log is down.
 
-    The new one has no disk.  With a peer's state it serves requests at once;
-    when the log comes back it reads on, and no list goes back.
+    The new instance has no disk.  It loads a peer's state and serves at once.
+    When the log returns it continues to read, and no list reverts.
     """
 
     async def scenario():
@@ -111,9 +111,9 @@
 
 
 def test_older_snapshot_of_a_peer_reverts_nothing():
-    """Of two peers one lags behind, and an instance asks both.
+    """An instance asks two peers, of which one lags behind.
 
-    A list that was in force must not return to what it was before.
+    The older snapshot must not replace a newer list.
     """
 
     async def scenario():
--- a/tests/roles/test_members.py
+++ b/tests/roles/test_members.py
@@ -1,4 +1,4 @@
-"""No team has more running than its limit, whatever happens to the members."""
+"""Tests that no team runs more than its limit, whatever instances fail."""
 
 import random
 from contextlib import contextmanager
@@ -24,7 +24,7 @@
 
 
 def lead_of(fleet, zone):
-    """Return the node that the log names as a zone's lead."""
+    """Return the node that is a zone's lead by the log."""
     fleet.run(0.2)
     states = [n.states.cell for n in fleet.nodes.values() if n.alive]
     newest = max(states, key=lambda s: s.next_offset)
@@ -32,10 +32,10 @@
 
 
 def test_team_with_demand_in_one_zone_gets_most_of_its_limit_there():
-    """All of a team's callers come through one zone.
+    """All of a team's callers use one zone.
 
-    Its limit of 20 is split over three zones; unless the others lend their
-    spare within a few seconds, two thirds of what it pays for lies idle.
+    Its limit of 20 is split over three zones.  Unless the other zones transfer
+    their spare parts within seconds, two thirds of the limit stay unused.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -46,10 +46,10 @@
 
 
 def test_zone_keeps_serving_within_its_part_while_the_log_is_down():
-    """The platform's log is out for longer than a lead's lease.
+    """The platform's log is down for longer than a lead's lease.
 
-    No lead can renew anywhere.  Unless leads go on lending, every zone stops
-    serving requests together although nothing else is wrong.
+    No lead can renew.  Unless leads continue to lend, all zones stop serving
+    requests although nothing else fails.
     """
     with fleet_of() as fleet:
         for node in fleet.nodes.values():
@@ -64,9 +64,9 @@
 def test_instance_that_starts_while_the_log_is_down_gets_capacity():
     """An instance is replaced during an outage of the platform's log.
 
-    It has its state from a peer, but no record can name it as a holder.
-    Without room it refuses whatever the balancer sends it.  When the lead dies
-    before the log is back, the next lead knows nothing of what it holds.
+    It loads a peer's state, but no record can name it as a holder.  Without
+    capacity it would refuse all requests.  If the lead then dies before the
+    log has recovered, the next lead does not know what the instance holds.
     """
     with fleet_of() as fleet:
         fleet.run(6)
@@ -90,10 +90,10 @@
 
 
 def test_next_lead_counts_the_guests_of_an_answering_predecessor():
-    """A lead that lent to a newcomer without the log is deposed, but lives.
+    """A lead that lent to a new instance during an outage is deposed, but alive.
 
-    It tells its successor what it holds.  Unless it tells of its guests as
-    well, the successor lends their room to others while they still use it.
+    It reports its holdings to its successor.  Unless it also reports those of
+    its guests, the successor lends the same capacity to others.
     """
     with fleet_of() as fleet:
         fleet.run(6)
@@ -120,9 +120,9 @@
 def test_zone_that_lost_its_lead_serves_again_within_seconds():
     """The instance that leads a zone dies.
 
-    Its successor does not know its book.  It asks the others what they hold,
-    counts the dead one by its cap, and lends what is left at once; after the
-    longest request it lends everything.
+    Its successor does not know its grants.  It asks the others what they hold,
+    counts the dead lead with its cap, and lends the rest at once.  Once the
+    longest request has ended it lends everything.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -144,7 +144,7 @@
 
 
 def test_lead_that_stops_is_replaced_at_once():
-    """An instance is stopped for an update while it leads its zone."""
+    """An instance that leads its zone is stopped for an update."""
     with fleet_of() as fleet:
         fleet.run(5)
         lead = lead_of(fleet, "a")
@@ -154,9 +154,9 @@
 
 
 def test_paused_lead_relies_on_nothing_when_it_resumes():
-    """A lead is paused past its lease, and a peer takes over.
+    """A lead is paused for longer than its lease, and a peer takes over.
 
-    When it goes on it must lend nothing, whichever coroutine runs first.
+    When it resumes it must lend nothing, whichever coroutine runs first.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -171,24 +171,24 @@
 
 
 def fill_zones(fleet, *zones):
-    """Have zones use just their parts, so that none is moved."""
+    """Make zones use exactly their parts, so that no part is transferred."""
     for zone in zones:
         fleet.nodes[f"{zone}0"].demand = {"a": 4, "b": 4, "c": 3}[zone]
         fleet.nodes[f"{zone}1"].demand = 3
 
 
 def other_of(fleet, lead):
-    """Return the other node of a lead's zone."""
+    """Return another node of a lead's zone."""
     return next(
         n for n in fleet.nodes.values() if n.cfg.zone == lead.cfg.zone and n is not lead
     )
 
 
 def test_paused_instance_dispatches_nothing_on_relent_capacity():
-    """An instance is paused while it has room, for longer than its grant.
+    """An instance with capacity is paused for longer than its grant lasts.
 
-    Its peer is lent the room.  When the instance goes on, the requests that
-    waited in it are the first thing that runs.
+    The capacity is lent to its peer.  When the instance resumes, it first tries
+    to dispatch its waiting requests.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -205,7 +205,7 @@
 
 
 def test_successor_counts_the_running_requests_of_a_dead_lead():
-    """A lead dies with long requests at the runners, which go on with them."""
+    """A lead dies while runners still work on its long requests."""
     with fleet_of() as fleet:
         fleet.run(5)
         lead = lead_of(fleet, "a")
@@ -221,10 +221,10 @@
 
 
 def test_capacity_in_transfer_to_another_zone_is_not_lent():
-    """A zone gives room away while the log is slow to answer.
+    """A zone transfers capacity while the log answers slowly.
 
-    Before the answer comes its own callers return.  The room is the other
-    zone's as soon as that one reads of it.
+    Its own callers return before the answer arrives.  The capacity belongs to
+    the other zone as soon as that zone reads the record.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -243,9 +243,9 @@
 
 
 def test_long_requests_of_a_dead_instance_count_until_they_end():
-    """An instance dies, and its requests go on at the runners.
+    """An instance dies, and its requests continue at the runners.
 
-    Its grant lapses long before the last of them ends.
+    Its grant expires long before the last of them ends.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -262,10 +262,10 @@
 
 
 def test_lead_that_alone_lost_the_log_is_replaced_and_stops_lending():
-    """A lead cannot reach the log any more, but its peers can.
+    """A lead loses its connection to the log, but its peers do not.
 
-    A peer must take over, or nobody places the zone's tasks.  The lead is in
-    touch with its peers and learns of it; all room stays within the limit.
+    A peer must take over, or the zone's tasks are not placed.  The old lead
+    learns of it from its peers, and the zone stays within the limit.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -281,10 +281,10 @@
 
 
 def test_lead_cut_off_with_a_holder_cannot_double_what_its_successor_lends():
-    """A cut runs through the middle of a zone.
+    """A network partition splits a zone.
 
-    On one side the lead and an instance go on without the log; on the other an
-    instance reaches it and takes the lead over.  Both sides serve.
+    On one side the lead and an instance continue without the log.  On the other
+    an instance reaches the log and takes over the lead.  Both sides serve.
     """
     with fleet_of(per_zone=3) as fleet:
         fleet.run(6)
@@ -304,11 +304,11 @@
 
 
 def test_instance_that_answered_a_new_lead_borrows_nothing_from_the_old_one():
-    """Lead and instance have lost the log; a newcomer takes the lead over.
+    """A lead and an instance lose the log, and a new instance takes over.
 
-    The newcomer cannot reach the old lead but does reach the instance, which
-    tells it what it holds.  Were the instance to go on asking the old lead, it
-    would get more than the new one counts.
+    The new lead cannot reach the old one, but reaches the instance, which
+    reports its holdings.  If the instance continued to borrow from the old
+    lead, it would hold more than the new lead counts.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -331,10 +331,10 @@
 
 
 def test_claim_waits_until_the_promise_to_the_old_lead_expires():
-    """Lead and peer lose the log, and the peer promises not to claim.
+    """A lead and a peer lose the log, and the peer promises not to claim.
 
-    The peer gets the log back at the moment when it loses the lead.  The lead
-    relies on the promise for a while yet and goes on lending.
+    The peer reaches the log again at the moment when it loses the lead.  The
+    lead still relies on the promise and continues to lend.
     """
     with fleet_of() as fleet:
         fleet.run(5)
@@ -356,7 +356,7 @@
 
 
 class MembersMachine(RuleBasedStateMachine):
-    """Kills, pauses, cuts, lost answers, outages and changes of the limit."""
+    """Random crashes, pauses, partitions, lost answers, outages and limit changes."""
 
     def __init__(self):
         super().__init__()
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -1,4 +1,4 @@
-"""Keyed charges run at most once, through the failures of log and instances."""
+"""Tests that keyed requests run at most once if the log or instances fail."""
 
 import asyncio
 from unittest import mock
@@ -32,7 +32,7 @@
 
 
 def bodies(log: FakeLog) -> list[object]:
-    """Return what the stream of claims got."""
+    """Return the records of the claims' stream."""
     return [decode_envelope(p).body for p in log.streams.get("once", [])]
 
 
@@ -51,7 +51,7 @@
 
 
 def test_repeat_through_another_instance_gets_the_stored_outcome():
-    """A customer's connection breaks after her charge was taken."""
+    """A caller's connection breaks after its charge was run."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -68,10 +68,10 @@
 
 
 def test_abandoned_claim_is_released_when_it_lands():
-    """The claim's append times out, and its caller is told "not run".
+    """The claim's append times out, and its caller gets "not run".
 
-    The claim lands all the same.  Left there, it would block the charge for
-    good, held by an instance that never ran it.
+    The claim lands later.  If it stayed, an instance that never ran the charge
+    would block it forever.
     """
 
     async def scenario(log, a, b):
@@ -90,7 +90,7 @@
 
 
 def test_claim_that_was_never_sent_is_released_on_its_holders_answer(monkeypatch):
-    """The holder gave the claim up, but its give-back does not reach the log."""
+    """The holder abandoned the claim, but its release does not reach the log."""
 
     async def scenario(log, a, b):
         claim = OnceClaimed(CHARGE.key, "lisboa", "body", "a#1", 99)
@@ -107,7 +107,7 @@
 
 
 def test_claim_of_a_vanished_holder_is_never_run_again():
-    """The instance dies after it claimed; nobody knows whether it sent."""
+    """The holder dies after its claim, and it is unknown whether it sent."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -122,9 +122,10 @@
 
 
 def test_restarted_holder_does_not_answer_for_its_earlier_incarnation():
-    """The new process of the same name knows nothing of what the old one sent.
+    """A new process of the same name does not know what the old one sent.
 
-    Its "never sent" would let a charge run that the old process had sent.
+    If it answered "never sent", a charge that the old process sent would run
+    again.
     """
 
     async def scenario(log, a, b):
@@ -139,7 +140,7 @@
 
 
 def test_holder_without_gossip_is_asked_directly():
-    """Gossip is lost, but the holder still answers when asked directly."""
+    """Gossip is lost, but the holder still answers a direct inquiry."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -166,7 +167,7 @@
 
 
 def test_request_that_did_not_run_releases_its_key():
-    """No runner could be reached, and the caller is told "not run"."""
+    """No runner is reachable, and the caller gets "not run"."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -179,10 +180,10 @@
 
 
 def test_outcome_survives_an_outage_of_the_log():
-    """The log goes down between the claim and the outcome.
+    """The log fails between the claim and the outcome.
 
-    The caller has its answer at once.  A repeat at the same instance gets it
-    from there, and once the log is back everybody knows it.
+    The caller gets its response at once.  A repeat gets it from the same
+    instance, and from every instance once the log has recovered.
     """
 
     async def scenario(log, a, b):
@@ -201,7 +202,7 @@
 
 
 def test_outcomes_held_back_by_an_outage_are_bounded(monkeypatch):
-    """An outage lasts, and answers pile up in a process of 64 MB."""
+    """During a long outage, responses pile up in a process of 64 MB."""
     monkeypatch.setattr(_once, "MAX_PENDING_OUTCOME_BYTES", 6)
 
     async def scenario(log, a, b):
@@ -220,7 +221,7 @@
 
 
 def test_long_response_is_repeated_as_its_status_only():
-    """An answer of 100 kB would be in the memory of every instance."""
+    """A body of 100 kB would be kept in the memory of every instance."""
 
     async def scenario(log, a, b):
         long = EndpointResponse(201, (("Content-Type", "text/plain"),), b"x" * 100_000)
@@ -236,9 +237,9 @@
 
 
 def test_late_release_does_not_free_a_later_claim():
-    """A give-back is appended twice, its second copy after the key's next claim.
+    """A release is appended twice, the second time after the key's next claim.
 
-    If it freed that claim, a third caller would run the charge again.
+    If it released that claim, a third caller would run the charge again.
     """
     state = OnceState()
     first = OnceClaimed("k", "lisboa", "body", "a#1", 1)
@@ -250,7 +251,7 @@
 
 
 def test_memory_is_bounded_and_bodies_are_dropped_before_keys(monkeypatch):
-    """Charges of many days would fill the memory of every instance."""
+    """Without a limit, old charges would fill the memory of every instance."""
     monkeypatch.setattr(OnceState, "MAX_ENTRIES", 3)
     monkeypatch.setattr(OnceState, "MAX_DATA", 10)
     state = OnceState()
@@ -267,9 +268,9 @@
 
 
 def test_claim_while_the_log_is_out_is_refused_as_not_run():
-    """The platform's log is down, and a charge comes with its key.
+    """A keyed charge arrives while the platform's log is down.
 
-    It is refused, and must not be in the log when that is back.
+    It is refused, and its claim must not be in the log after the outage.
     """
 
     async def scenario(log, a, b):
--- a/tests/roles/test_ops.py
+++ b/tests/roles/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' interface, asked over HTTP."""
+"""Tests of the operators' interface over HTTP."""
 
 import json
 
@@ -42,7 +42,7 @@
 
 
 def test_stopping_instance_is_not_ready():
-    """The balancer must see the stop before any connection is refused."""
+    """The balancer must notice the stop before any connection is refused."""
     with running_kernel() as kernel:
         assert ask(kernel, "/readyz", port="ops")[0] == 200
         kernel.stopping = True
@@ -50,7 +50,7 @@
 
 
 def test_runner_that_announced_leaving_is_listed_as_leaving():
-    """The platform's list lags; operators must see what the runner itself said."""
+    """The platform's list lags, so the runner's own announcement must show."""
     with running_kernel() as kernel:
         kernel.load.leaving.add("runner-1@127.0.0.1:9")
         kernel.load.local_in_flight["runner-1@127.0.0.1:9"] = 2
@@ -59,10 +59,10 @@
 
 
 def test_refused_request_counts_in_its_teams_burn():
-    """A service's only runner is dead, and each of a team's requests is refused.
+    """A service has no runner, and all requests of a team are refused.
 
-    The team's budget burns although no request was slow, and operators must see
-    whose it is.
+    The team's error budget burns although no request was slow, and the report
+    must name the team.
     """
     lists = {"base": 0, "plans": "[p]\nshare=1\nlimit=5\n", "teams": "[t]\nplan=p\n"}
     with running_kernel() as kernel:
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -1,4 +1,4 @@
-"""The zone's lead with its loops, on a log that answers at once or not at all."""
+"""Tests of the zone lead's loops with a fake log and fake workers."""
 
 import asyncio
 import types
@@ -34,7 +34,7 @@
 
 
 class Workers:
-    """Workers that answer every look and order, but for those that are cut."""
+    """Workers that answer every poll and order, except the unreachable ones."""
 
     def __init__(self, unreachable=()):
         self.unreachable = set(unreachable)
@@ -52,7 +52,10 @@
 
 
 class FakeKernel:
-    """A kernel's part that the lead needs, with a log that a test can spoil."""
+    """The kernel as the zone lead uses it.
+
+    :ivar before_append: called with each record; an error makes the append fail.
+    """
 
     def __init__(self, workers, limit=8):
         self.cfg = types.SimpleNamespace(
@@ -114,10 +117,10 @@
 
 
 def test_capacity_counts_as_used_before_its_assignment_is_read():
-    """The lead also lends a team's room to requests.
+    """The lead also lends a team's capacity to requests.
 
-    Were the room of an assignment on its way lent meanwhile, the team would
-    have more running than its limit.
+    If it lent the capacity of an assignment whose record is not yet read, the
+    team would run more than its limit.
     """
 
     async def scenario():
@@ -137,7 +140,7 @@
 
 
 def test_fence_precedes_the_next_assignment_after_a_lost_answer():
-    """The log takes an assignment but its answer is lost."""
+    """The outcome of appending an assignment is unknown."""
 
     async def scenario():
         kernel = FakeKernel(Workers())
@@ -162,9 +165,9 @@
 
 
 def test_unresponsive_worker_delays_no_other():
-    """A worker's link swallows everything; the call to it hangs.
+    """A worker's link drops all packets, so the call to it hangs.
 
-    Urgent work for another worker must not wait for that call to end.
+    Urgent work for another worker must not wait until that call ends.
     """
 
     async def scenario():
