--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -176,7 +176,7 @@
         await asyncio.sleep(NETWORK_DELAY_S)
         if other is None or not self.reaches(other):
             await asyncio.sleep(query.timeout_s)
-            raise PeerUnreachableError(f"{query.peer}: cut")
+            raise PeerUnreachableError(f"{query.peer}: unreachable")
         kinds = {
             GrantAsk: other.lender.on_grant_ask,
             HoldingsAsk: other.borrower.on_holdings_ask,
@@ -222,7 +222,7 @@
             applied = await asyncio.wait_for(fut, query.deadline_s)
         except TimeoutError as exc:
             await self.gate.wait()
-            raise LogOutcomeUnknownError("no word") from exc
+            raise LogOutcomeUnknownError("not confirmed in time") from exc
         await self.gate.wait()
         return applied
 
--- a/tests/roles/instance.py
+++ b/tests/roles/instance.py
@@ -76,7 +76,7 @@
     async def _ask_peer(self, query: AskPeer):
         peer = self.cell.get(query.peer)
         if peer is None or query.peer in self.unreachable:
-            raise PeerUnreachableError(f"{query.peer} is away")
+            raise PeerUnreachableError(f"{query.peer} is unreachable")
         msg = decode_message(encode_message(query.body))
         return decode_message(encode_message(await peer.handlers[type(msg)](msg)))
 
--- a/tests/roles/test_gateway.py
+++ b/tests/roles/test_gateway.py
@@ -90,14 +90,14 @@
     """A listening gateway with a fake kernel, bus and runners.
 
     :ivar events: the once queries and events in the order received.
-    :ivar room: the capacity that a team gets once it asks for some.
+    :ivar capacity: the capacity that a team gets once it asks for some.
     """
 
-    def __init__(self, *outcomes, room=10, runners=RUNNERS, **changed):
+    def __init__(self, *outcomes, capacity=10, runners=RUNNERS, **changed):
         self.runners = FakeRunners(*outcomes)
         self.listed = runners
         self.events = []
-        self.room = room
+        self.capacity = capacity
         bus = Bus()
         cfg = settings(**changed)
         self.kernel = SimpleNamespace(
@@ -127,8 +127,8 @@
             self.events.append(query)
 
     def _grant_room(self, event):
-        self.kernel.account.capacity[event.team] = self.room
-        if self.room:
+        self.kernel.account.capacity[event.team] = self.capacity
+        if self.capacity:
             loop = asyncio.get_running_loop()
             loop.call_soon(self.kernel.bus.publish, CapacityChanged(event.team))
 
@@ -168,7 +168,7 @@
 
 
 def broken_connection(ran="unknown"):
-    return EndpointFailedError("cut", ran=ran)
+    return EndpointFailedError("connection broken", ran=ran)
 
 
 def test_refusal_after_a_broken_attempt_does_not_claim_that_nothing_ran():
@@ -332,7 +332,7 @@
         assert (await harness.call(path="/r/svc/other")).body == b"fine"
         assert [s.path for s in harness.runners.sent] == ["/other"]
 
-    run_with_gateway(scenario, room=0)
+    run_with_gateway(scenario, capacity=0)
 
 
 def send_after_slow_post(method, headers=None):
@@ -358,7 +358,7 @@
         return await second, [sent.method for sent in harness.runners.sent]
 
     held = asyncio.Event()
-    return run_with_gateway(scenario, held, room=1, default_deadline_s=6.0)
+    return run_with_gateway(scenario, held, capacity=1, default_deadline_s=6.0)
 
 
 def test_post_is_not_started_too_late_to_learn_its_outcome():
@@ -402,7 +402,7 @@
         assert answer.headers["Retry-After"] == "0"
         assert answer.headers["Connection"] == "close"
 
-    run_with_gateway(scenario, room=0)
+    run_with_gateway(scenario, capacity=0)
 
 
 def test_request_in_flight_at_the_stop_gets_its_complete_response():
@@ -505,7 +505,7 @@
             call.cancel()
         await asyncio.wait(waiting)
 
-    run_with_gateway(scenario, room=0, max_waiting_per_team=4)
+    run_with_gateway(scenario, capacity=0, max_waiting_per_team=4)
 
 
 def test_plan_shares_weigh_the_teams():
