--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -1,4 +1,4 @@
-"""Handlers for the two lists and for keys."""
+"""Handlers for the lists of plans and teams, and for keys."""
 
 from typing import Any
 
@@ -15,10 +15,10 @@
 
 
 class ConfigRoutes(Routes):
-    """Lists, their versions, and keys."""
+    """Handlers for the lists, their versions, and keys."""
 
     def api(self) -> list[web.RouteDef]:
-        """Return the routes; each wants an operator's key."""
+        """Return the routes for lists and keys, which require an operator's key."""
         return [
             web.get("/v1/config", self._get_config),
             web.post("/v1/config", self._post_config),
@@ -44,23 +44,23 @@
         )
 
     async def _post_config(self, req: web.Request) -> web.Response:
-        who = await require_operator(self.bus, req)
+        caller = await require_operator(self.bus, req)
         data = await read_json(req)
         base = data.get("base") if isinstance(data, dict) else None
         if not isinstance(base, int) or isinstance(base, bool):
             raise RequestMalformedError(
                 "give 'base', the version the change is made from"
             )
-        rows = self._rows(data)
+        rows = self._changed_rows(data)
         if not rows and base == self.states.config.version:
-            # Applying the same files again is common in scripts; it must not
-            # cost an append nor make other operators' bases old.
+            # Scripts often apply unchanged files.  That must not cost an append
+            # nor outdate the base version of another operator's change.
             return json_response({"version": base})
-        version = await self.bus.ask(ChangeRows(base, rows, who.key_id))
+        version = await self.bus.ask(ChangeRows(base, rows, caller.key_id))
         return json_response({"version": version})
 
-    def _rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
-        """Return the rows that differ between the lists given and in force."""
+    def _changed_rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
+        """Return the rows that differ between the given lists and those in force."""
         if "rows" in data:
             try:
                 return msgspec.convert(data["rows"], tuple[Row, ...])
@@ -70,10 +70,14 @@
         for list_name in ("plans", "teams"):
             if list_name not in data:
                 continue
-            given = {r.name: r for r in parse_list(list_name, str(data[list_name]))}
-            old = self.states.config.rows[list_name]
-            changed += [r for n, r in given.items() if old.get(n) != r.values]
-            changed += [Row(list_name, n, None) for n in old if n not in given]
+            listed = {r.name: r for r in parse_list(list_name, str(data[list_name]))}
+            current = self.states.config.rows[list_name]
+            changed += [
+                r for name, r in listed.items() if current.get(name) != r.values
+            ]
+            changed += [
+                Row(list_name, name, None) for name in current if name not in listed
+            ]
         return tuple(changed)
 
     async def _get_versions(self, req: web.Request) -> web.Response:
@@ -106,9 +110,10 @@
         data = await read_json(req)
         if not isinstance(data, dict) or not isinstance(data.get("team"), str):
             raise RequestMalformedError("give 'team', or '' for an operator's key")
-        given = await self.bus.ask(GiveKey(data["team"]))
+        created = await self.bus.ask(GiveKey(data["team"]))
         return json_response(
-            {"key_id": given.key_id, "team": given.team, "key": given.key}, status=201
+            {"key_id": created.key_id, "team": created.team, "key": created.key},
+            status=201,
         )
 
     async def _delete_key(self, req: web.Request) -> web.Response:
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -1,4 +1,4 @@
-"""The cell: jobs as callers see them, and the zone's lead beside it."""
+"""The cell role: the callers' interface to jobs, and the zone's lead."""
 
 import time
 from typing import Any
@@ -31,19 +31,19 @@
     to_builtins,
 )
 from firhook.queries import CheckFresh
-from firhook.roles._fold import Folder
+from firhook.roles._batcher import Batcher
 from firhook.roles._zone_lead import ZoneLead
 
 
 @register_role("cell")
 class Cell(Role):
-    """Accepts jobs anywhere; its zone's lead places them."""
+    """Accepts jobs at any instance; the lead of the job's zone places them."""
 
     def register_handlers(self) -> None:
-        """Offer the jobs' routes."""
+        """Register the routes for jobs."""
         self._workers: tuple[Endpoint, ...] = ()
-        self._lead = ZoneLead(self.kernel)
-        self._cancels = Folder(self._append_cancels)
+        self._zone_lead = ZoneLead(self.kernel)
+        self._cancel_batcher = Batcher(self._append_cancels)
         self.kernel.routes["api"] += [
             web.post("/v1/jobs", self._post_job),
             web.get("/v1/jobs", self._list_jobs),
@@ -53,75 +53,77 @@
         self.bus.subscribe(InstancesListed, self._on_instances)
 
     def on_init_dependencies(self) -> list[Any]:
-        """Return the loops of the zone's lead."""
-        return [self._lead]
+        """Return the zone lead as a child service."""
+        return [self._zone_lead]
 
     async def on_start(self) -> None:
-        """Answer peers that ask for jobs of this zone."""
+        """Register the handler for peers that inquire about jobs of this zone."""
         self.bus.publish(RegisterPeerHandler(JobInquiry, self._on_inquiry))
 
     def _on_instances(self, event: InstancesListed) -> None:
-        self._workers = tuple(e for e in event.instances if e.kind == "worker")
+        self._workers = tuple(
+            endpoint for endpoint in event.instances if endpoint.kind == "worker"
+        )
 
     # -- submitting ------------------------------------------------------------
 
     async def _post_job(self, req: web.Request) -> web.Response:
-        who = await principal(self.bus, req)
-        if who.is_operator:
+        caller = await principal(self.bus, req)
+        if caller.is_operator:
             raise NotPermittedError("submit a job with its team's key")
         await self.bus.ask(CheckFresh(idempotent=False))
-        spec = check_job(await read_json(req), who.team)
-        plan = self.states.config.plan_of(who.team)
+        spec = check_job(await read_json(req), caller.team)
+        plan = self.states.config.plan_of(caller.team)
         if plan is None:
-            raise NotPermittedError(f"team {who.team!r} is not in the list")
-        check_possible(spec, plan)
+            raise NotPermittedError(f"team {caller.team!r} is not in the list")
+        check_plan_allows(spec, plan)
         zone = choose_zone(spec, self._workers, self.cfg.zone)
         body = JobAccepted(spec, zone, round(time.time(), 3))
         applied = await self.bus.ask(Append("cell", body))
         if applied.verdict is Verdict.CONFLICT:
-            raise JobConflictError(f"job {spec.job_id!r} has another body")
+            raise JobConflictError(f"job {spec.job_id!r} exists with a different body")
         entry = self.states.cell.jobs.get(spec.key)
         answer = {"job": spec.key, "zone": entry.zone if entry else ""}
         return json_response(answer, status=202)
 
-    # -- looking ----------------------------------------------------------------
+    # -- reading ----------------------------------------------------------------
 
-    async def _visible(self, req: web.Request) -> str:
-        who = await principal(self.bus, req)
-        team = req.query.get("team", who.team)
-        if not who.is_operator and team != who.team:
+    async def _visible_team(self, req: web.Request) -> str:
+        caller = await principal(self.bus, req)
+        team = req.query.get("team", caller.team)
+        if not caller.is_operator and team != caller.team:
             raise NotPermittedError(f"the key is not of team {team!r}")
         return team
 
     async def _list_jobs(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
+        team = await self._visible_team(req)
         jobs = [
             {
-                **to_builtins(e.job),
-                "zone": e.zone,
-                "cancelled": e.cancelled,
-                "ended": e.ended,
+                **to_builtins(entry.job),
+                "zone": entry.zone,
+                "cancelled": entry.cancelled,
+                "ended": entry.ended,
             }
-            for e in self.states.cell.jobs.values()
-            if not team or e.job.team == team
+            for entry in self.states.cell.jobs.values()
+            if not team or entry.job.team == team
         ]
         return json_response({"jobs": jobs})
 
-    def _key(self, team: str, job_id: str) -> str:
+    def _require_job_key(self, team: str, job_id: str) -> str:
         key = f"{team}/{job_id}"
         if key not in self.states.cell.jobs:
             raise JobUnknownError(f"job {job_id!r} of team {team!r}")
         return key
 
     async def _get_job(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
-        key = self._key(team, req.match_info["job_id"])
+        team = await self._visible_team(req)
+        key = self._require_job_key(team, req.match_info["job_id"])
         zone = self.states.cell.jobs[key].zone
         if zone != self.cfg.zone:
-            return json_response(await self._far_view(key, zone))
-        return json_response(self._view(key))
+            return json_response(await self._remote_view(key, zone))
+        return json_response(self._local_view(key))
 
-    def _view(self, key: str) -> dict[str, Any]:
+    def _local_view(self, key: str) -> dict[str, Any]:
         entry = self.states.cell.jobs[key]
         tasks = self.states.zone.tasks.get(key, {})
         return {
@@ -133,43 +135,43 @@
             "steps": self.states.zone.notes.get(key, []),
         }
 
-    async def _far_view(self, key: str, zone: str) -> dict[str, Any]:
-        """Return the view of the zone that places the job.
+    async def _remote_view(self, key: str, zone: str) -> dict[str, Any]:
+        """Return the view of a job from the lead of its zone.
 
-        If nobody there answers, what is known here is told, and so is that
-        the rest is not.
+        If that lead does not answer, return this instance's view, and name the
+        unreachable zone in its steps.
         """
         peer = self.states.cell.leads[zone].instance.partition("#")[0]
         try:
             answer = await self.bus.ask(AskPeer(peer, JobInquiry(key)))
             view = msgspec.json.decode(answer.view)
         except (FirhookError, msgspec.MsgspecError, AttributeError):
-            view = self._view(key)
+            view = self._local_view(key)
             view["steps"] = [f"zone {zone} does not answer: ask again later"]
         return view
 
     async def _on_inquiry(self, ask: JobInquiry) -> JobInquiryAnswer:
         if ask.job_id not in self.states.cell.jobs:
             raise JobUnknownError(f"job {ask.job_id!r}")
-        view = msgspec.json.encode(self._view(ask.job_id)).decode()
+        view = msgspec.json.encode(self._local_view(ask.job_id)).decode()
         return JobInquiryAnswer(ask.job_id, view)
 
     # -- cancelling ----------------------------------------------------------------
 
     async def _delete_job(self, req: web.Request) -> web.Response:
-        team = await self._visible(req)
-        key = self._key(team, req.match_info["job_id"])
-        await self._cancels.add(key)
+        team = await self._visible_team(req)
+        key = self._require_job_key(team, req.match_info["job_id"])
+        await self._cancel_batcher.add(key)
         return json_response({"job": key, "cancelled": True}, status=202)
 
     async def _append_cancels(self, keys: tuple[str, ...]) -> None:
         await self.bus.ask(Append("cell", JobCancelled(keys)))
 
 
-def check_possible(spec: JobSpec, plan: Plan) -> None:
-    """Refuse at once what the team's plan can never allow.
+def check_plan_allows(spec: JobSpec, plan: Plan) -> None:
+    """Refuse a job that the team's plan can never allow.
 
-    :raises NotPermittedError: if the plan has no urgent work.
+    :raises NotPermittedError: if the job is urgent and the plan excludes that.
     :raises JobImpossibleError: if a gang is above the team's limit.
     """
     if spec.priority == "urgent" and not plan.urgent:
@@ -180,26 +182,35 @@
         )
 
 
-def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own: str) -> str:
-    """Return the zone to place a job: the own one, unless it can never fit there.
+def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own_zone: str) -> str:
+    """Return the zone that places a job: its own, unless it can never fit there.
 
-    :param workers: all listed; the list lags, and while it is empty nothing
-        is known, so that a job is taken and held rather than refused.
+    :param workers: all listed workers.  The list lags.  While it is empty, a
+        job is accepted and waits, since nothing is known of the workers.
+    :param own_zone: this instance's zone.
     :raises JobImpossibleError: if no zone's workers could ever run it.
     """
     need = ResourceNeed.of(spec)
     slots: dict[str, int] = {}
-    for e in workers:
-        capacity = WorkerCapacity(e.name, e.rack, e.cpus, e.memory_mb, e.accelerators)
-        slots[e.zone] = slots.get(e.zone, 0) + capacity.count_fitting(need)
-    wanted = spec.tasks if spec.gang else 1
-    if not workers or slots.get(own, 0) >= wanted:
-        return own
-    best = max(sorted(slots), key=lambda zone: slots[zone])
-    if slots[best] >= wanted:
-        return best
-    if slots[best] == 0:
+    for endpoint in workers:
+        capacity = WorkerCapacity(
+            endpoint.name,
+            endpoint.rack,
+            endpoint.cpus,
+            endpoint.memory_mb,
+            endpoint.accelerators,
+        )
+        slots[endpoint.zone] = slots.get(endpoint.zone, 0) + capacity.count_fitting(
+            need
+        )
+    required = spec.tasks if spec.gang else 1
+    if not workers or slots.get(own_zone, 0) >= required:
+        return own_zone
+    best_zone = max(sorted(slots), key=lambda zone: slots[zone])
+    if slots[best_zone] >= required:
+        return best_zone
+    if slots[best_zone] == 0:
         raise JobImpossibleError("each task is larger than any worker of the cell")
     raise JobImpossibleError(
-        f"a gang of {wanted} fits in no zone; the roomiest takes {slots[best]}"
+        f"a gang of {required} fits in no zone; the roomiest takes {slots[best_zone]}"
     )
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: callers' requests to the runners of services."""
+"""The gateway role: forwards callers' requests to the runners of services."""
 
 import asyncio
 import random
@@ -42,26 +42,26 @@
 )
 from firhook.tasks import log_failure
 
-#: How often waiting requests are looked through for those to give up.
-_TICK_S = 0.05
-#: A request cut by its runner's end or by its timeout.
-_SEND_ERRORS = (NoEndpointError, EndpointFailedError)
+#: How often waiting requests are checked for deadlines and closed connections.
+_TICK_INTERVAL_S = 0.05
+#: Errors after which a request may be sent again to another runner.
+_RESENDABLE_ERRORS = (NoEndpointError, EndpointFailedError)
 
 
 @register_role("gateway")
 class Gateway(Role):
-    """Admits, queues, routes and answers requests; decide/ says how."""
+    """Admits, queues, routes and answers requests, as ``decide`` decides."""
 
     def register_handlers(self) -> None:
-        """Offer the callers' routes."""
+        """Register the callers' route and the event handlers."""
         self._services: dict[str, Dispatcher] = {}
         self._fleet = FleetView(
             self.cfg.name, self.cfg.member_timeout_s, self.kernel.clock()
         )
-        self._callers = 0
-        self._late: set[asyncio.Task[Any]] = set()
-        self._late_keys: set[str] = set()
-        self._balanced = -1e9
+        self._open_requests = 0
+        self._late_exchanges: set[asyncio.Task[Any]] = set()
+        self._late_once_keys: set[str] = set()
+        self._rebalanced_at = -1e9
         self._jitter = 0.5
         self._runner: Any = None
         self._site: Any = None
@@ -70,11 +70,11 @@
             web.route("*", "/r/{service}/{path:.*}", self._handle)
         )
         self.bus.subscribe(InstancesListed, self._on_instances)
-        self.bus.subscribe(CapacityChanged, lambda event: self._pump())
-        self.bus.subscribe(PeerMessage, self._on_peer)
+        self.bus.subscribe(CapacityChanged, lambda event: self._dispatch())
+        self.bus.subscribe(PeerMessage, self._on_peer_message)
 
     async def on_started(self) -> None:
-        """Listen for callers."""
+        """Start to listen for callers."""
         addr = self.cfg.gateway
         routes = self.kernel.routes["api"]
         self._runner, self._site = await serve(
@@ -84,41 +84,41 @@
         self.kernel.ports["gateway"] = f"{addr.host}:{port}"
 
     async def drain(self) -> None:
-        """Take no new connections, and finish every request that came."""
-        # The balancer learns of the stop with a lag; what it sends until then
-        # is served as before.
+        """Accept no new connections and finish all requests received."""
+        # The balancer notices the stop with a delay.  Requests that it sends
+        # until then are served as usual.
         await asyncio.sleep(self.cfg.drain_lag_s)
         if self._site is not None:
             await self._site.stop()
         deadline = self.kernel.clock() + self.cfg.drain_max_s
-        while self._callers and self.kernel.clock() < deadline:
+        while self._open_requests and self.kernel.clock() < deadline:
             await asyncio.sleep(0.02)
-        self._refuse_waiting()
+        self._reject_waiting()
         if self._runner is not None:
             await wait_connections_closed(self._runner, self.cfg.drain_idle_s)
-        if self._late:
-            # A keyed request's outcome is worth storing though its caller has
-            # been told that it is unknown: the repeat will ask for it.
-            left_s = max(deadline - self.kernel.clock(), 0.1)
-            await asyncio.wait(self._late, timeout=left_s)
+        if self._late_exchanges:
+            # Store the outcomes of keyed requests although their callers already
+            # got "outcome unknown": a repeat will ask for them.
+            remaining_s = max(deadline - self.kernel.clock(), 0.1)
+            await asyncio.wait(self._late_exchanges, timeout=remaining_s)
 
-    def _refuse_waiting(self) -> None:
+    def _reject_waiting(self) -> None:
         for service in self._services.values():
             for item in list(service.queue):
                 service.queue.remove(item)
                 exc = StoppingError("the instance is stopping", retry_after_s=0.0)
-                _refuse(item.token.fut, exc)
+                _reject(item.token.fut, exc)
 
     async def on_stop(self) -> None:
-        """Close what is left."""
+        """Close the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
         await self.platform.endpoints.close()
 
-    # -- from a caller to a runner and back ------------------------------
+    # -- one request -----------------------------------------------------
 
     async def _handle(self, req: web.Request) -> web.StreamResponse:
-        self._callers += 1
+        self._open_requests += 1
         call: Call | None = None
         try:
             call = await read_call(
@@ -138,47 +138,53 @@
                 resp.force_close()
             return resp
         finally:
-            self._callers -= 1
+            self._open_requests -= 1
 
     async def _answer(self, call: Call) -> EndpointResponse:
         if not call.once_key:
             return await self._run(call)
         key, body = call.once_digests()
-        known = await self.bus.ask(OnceBegin(key, call.team, body))
-        if known is not None:
-            return known
+        earlier_answer = await self.bus.ask(OnceBegin(key, call.team, body))
+        if earlier_answer is not None:
+            return earlier_answer
         call.claimed = True
         try:
             answer = await self._run(call, key)
         except BaseException as exc:
             if isinstance(exc, FirhookError) and exc.ran == "no":
                 await self.bus.ask(OnceRelease(key))
-            elif key not in self._late_keys:
+            elif key not in self._late_once_keys:
                 self.bus.publish(OnceLost(key))
             raise
         await self.bus.ask(OnceFinish(key, answer))
         return answer
 
     async def _run(self, call: Call, once_key: str = "") -> EndpointResponse:
-        """Queue, send and, where that is safe, try again."""
+        """Queue and send a request, and retry it where that is safe."""
         service = self._service(call.service)
         allowed_s = 0.0
         if not call.repeatable:
-            # Its body has come: a repeat would have no more time than this.
+            # Counted from when the body is complete: a repeat would have no more.
             allowed_s = call.deadline - self.kernel.clock()
         tried: list[str] = []
         may_have_run = False
         while True:
             try:
-                placed = await self._wait_for_slot(service, call, tried, allowed_s)
-                return await self._send(service, call, placed, once_key)
+                dispatched = await self._wait_for_slot(service, call, tried, allowed_s)
+                return await self._send(service, call, dispatched, once_key)
             except FirhookError as exc:
-                # Whatever a later try met, an earlier one may have been run,
-                # and the caller must not be told that it was not.
+                # If any attempt may have run, the caller must not get "not
+                # run", whatever the error of a later attempt says.
                 may_have_run = may_have_run or exc.ran != "no"
-                cut = isinstance(exc, _SEND_ERRORS) and len(tried) > 0
-                again = cut and may_resend(call.idempotent, exc.ran, len(tried))
-                if again and service.has_untried(tried) and service.budget.try_spend():
+                send_failed = isinstance(exc, _RESENDABLE_ERRORS) and len(tried) > 0
+                may_retry = send_failed and may_resend(
+                    call.idempotent, exc.ran, len(tried)
+                )
+                if (
+                    may_retry
+                    and service.has_untried(tried)
+                    and service.budget.try_spend()
+                ):
                     continue
                 if may_have_run:
                     exc.ran = "unknown"
@@ -204,52 +210,57 @@
         item.tried = list(tried)
         item.allowed_s = allowed_s
         service.admit(item, now, random.random())
-        self._pump()
-        placed = await waiter.fut
-        tried.append(placed.view.key)
-        return placed
+        self._dispatch()
+        dispatched = await waiter.fut
+        tried.append(dispatched.view.key)
+        return dispatched
 
     async def _send(
-        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
+        self,
+        service: Dispatcher,
+        call: Call,
+        dispatched: DispatchedRequest,
+        once_key: str,
     ) -> EndpointResponse:
-        """Send a request, and wait for its answer until the deadline.
+        """Send a request and wait for the response until the deadline.
 
-        A runner goes on with a request whose caller has given up.  The
-        exchange therefore goes on as well, counted against the runner's slots
-        and the team's limit, until its end is known or it has lasted
-        ``default_deadline_s``.
+        A runner continues a request after its caller has given up.  The
+        exchange therefore continues too, and counts against the runner's slots
+        and the team's limit, until it ends or reaches ``default_deadline_s``.
         """
-        exchange = asyncio.create_task(self._exchange(service, call, placed, once_key))
-        left_s = max(call.deadline - self.kernel.clock(), 0.0)
+        exchange = asyncio.create_task(
+            self._exchange(service, call, dispatched, once_key)
+        )
+        remaining_s = max(call.deadline - self.kernel.clock(), 0.0)
         try:
-            done, _ = await asyncio.wait({exchange}, timeout=left_s)
+            done, _ = await asyncio.wait({exchange}, timeout=remaining_s)
         except asyncio.CancelledError:
-            self._keep_late(exchange, once_key)
+            self._track_late_exchange(exchange, once_key)
             raise
         if done:
             return exchange.result()
-        self._keep_late(exchange, once_key)
+        self._track_late_exchange(exchange, once_key)
         raise EndpointTimeoutError(
-            f"{placed.view.endpoint.name}: no answer in time",
+            f"{dispatched.view.endpoint.name}: no answer in time",
             retry_after_s=1.0,
         )
 
-    def _keep_late(
+    def _track_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
-        self._late_keys.add(once_key)
-        late = asyncio.create_task(self._finish_late(exchange, once_key))
-        self._late.add(late)
-        late.add_done_callback(self._late.discard)
-        late.add_done_callback(log_failure("exchange.not_settled"))
+        self._late_once_keys.add(once_key)
+        task = asyncio.create_task(self._finish_late_exchange(exchange, once_key))
+        self._late_exchanges.add(task)
+        task.add_done_callback(self._late_exchanges.discard)
+        task.add_done_callback(log_failure("exchange.not_settled"))
 
-    async def _finish_late(
+    async def _finish_late_exchange(
         self, exchange: "asyncio.Task[EndpointResponse]", once_key: str
     ) -> None:
-        """Wait for the end of an exchange whose caller was told "unknown".
+        """Wait for an exchange whose caller already got "outcome unknown".
 
-        A repeat of a keyed request is told "in progress" until then, and
-        gets the outcome after it.
+        Until it ends, a repeat of a keyed request gets "in progress";
+        afterwards the repeat gets the outcome.
         """
         try:
             answer = await exchange
@@ -261,14 +272,18 @@
             if once_key:
                 await self.bus.ask(OnceFinish(once_key, answer))
         finally:
-            self._late_keys.discard(once_key)
+            self._late_once_keys.discard(once_key)
 
     async def _exchange(
-        self, service: Dispatcher, call: Call, placed: DispatchedRequest, once_key: str
+        self,
+        service: Dispatcher,
+        call: Call,
+        dispatched: DispatchedRequest,
+        once_key: str,
     ) -> EndpointResponse:
         if once_key:
             self.bus.publish(OnceSending(once_key))
-        view = placed.view
+        view = dispatched.view
         try:
             answer = await self.platform.endpoints.send(
                 view.endpoint,
@@ -282,48 +297,51 @@
             service.router.note_failure(view, self.kernel.clock())
             raise
         else:
-            self._learn(service, call, placed, answer)
+            self._record_answer(service, call, dispatched, answer)
             return answer
         finally:
-            service.end(placed, self.kernel.clock())
-            self._pump()
+            service.end(dispatched, self.kernel.clock())
+            self._dispatch()
 
-    def _learn(
+    def _record_answer(
         self,
         service: Dispatcher,
         call: Call,
-        placed: DispatchedRequest,
+        dispatched: DispatchedRequest,
         answer: EndpointResponse,
     ) -> None:
         now = self.kernel.clock()
-        took_s = now - placed.started
-        view = placed.view
+        duration_s = now - dispatched.started
+        view = dispatched.view
         if answer.leaving:
             view.leaving = True
             self.kernel.load.leaving.add(view.key)
         expected_s = service.times.expected_s(call.kind)
-        service.router.note_answer(view, took_s, expected_s, now)
-        service.times.record(call.kind, took_s, now)
+        service.router.note_answer(view, duration_s, expected_s, now)
+        service.times.record(call.kind, duration_s, now)
         service.budget.note_answer()
         self.stats.count_answer(
-            call.team, call.klass, placed.started - call.arrived, took_s
+            call.team, call.klass, dispatched.started - call.arrived, duration_s
         )
 
     # -- the queue ---------------------------------------------------------
 
-    def _pump(self) -> None:
+    def _dispatch(self) -> None:
         """Give free slots to waiting requests."""
         now = self.kernel.clock()
         for service in self._services.values():
-            while (placed := service.dispatch_next(now, self._jitter)) is not None:
-                waiter = placed.item.token
-                if isinstance(placed, RefusedRequest):
-                    _refuse(waiter.fut, placed.exc)
+            while (dispatched := service.dispatch_next(now, self._jitter)) is not None:
+                waiter = dispatched.item.token
+                if isinstance(dispatched, RefusedRequest):
+                    _reject(waiter.fut, dispatched.exc)
                 elif waiter.call.caller_gone or waiter.fut.done():
-                    service.end(placed, now)
-                    _refuse(waiter.fut, CallerGoneError("its turn had come"))
+                    service.end(dispatched, now)
+                    _reject(
+                        waiter.fut,
+                        CallerGoneError("closed before the request was sent"),
+                    )
                 else:
-                    waiter.fut.set_result(placed)
+                    waiter.fut.set_result(dispatched)
             for team in service.teams_awaiting_capacity():
                 running = self.kernel.account.running.get(team, 0)
                 wanted = running + service.queue.waiting(team)
@@ -335,31 +353,34 @@
             try:
                 self._tick(self.kernel.clock())
             except Exception as exc:
-                # One request that upsets a round must not end the rounds of all
-                # others: waiting requests would be held past their deadlines.
+                # An error caused by one request must not end the loop: the other
+                # waiting requests would be kept past their deadlines.
                 log("gateway.tick_failed", level="error", error=repr(exc))
-            await self.sleep(_TICK_S)
+            await self.sleep(_TICK_INTERVAL_S)
 
     def _tick(self, now: float) -> None:
         for service in self._services.values():
             for item in list(service.queue):
                 if item.token.call.caller_gone:
                     service.queue.remove(item)
-                    _refuse(item.token.fut, CallerGoneError("it was waiting"))
+                    _reject(
+                        item.token.fut,
+                        CallerGoneError("closed while the request was queued"),
+                    )
             self._jitter = random.random()
-            for given_up in service.refuse_hopeless(now, self._jitter):
-                _refuse(given_up.item.token.fut, given_up.exc)
+            for refused in service.refuse_hopeless(now, self._jitter):
+                _reject(refused.item.token.fut, refused.exc)
         self._fleet.update_load(
             self.kernel.account, self._services.values(), self.kernel.load, now
         )
-        if now - self._balanced >= REBALANCE_S:
+        if now - self._rebalanced_at >= REBALANCE_S:
             self._rebalance(now)
-        self._pump()
+        self._dispatch()
 
-    # -- what is known of the fleet ----------------------------------------
+    # -- the fleet's load --------------------------------------------------
 
     def _rebalance(self, now: float) -> None:
-        self._balanced = now
+        self._rebalanced_at = now
         use = self._fleet.fleet_use(self.kernel.account, self.kernel.load, now)
         config = self.states.config
         shares = {
@@ -375,18 +396,19 @@
             if endpoint.kind == "runner":
                 listed.setdefault(endpoint.service, []).append(endpoint)
         self._fleet.set_instances(event.instances)
-        fresh = not listed.keys() <= self._services.keys()
+        has_new_service = not listed.keys() <= self._services.keys()
         for name, endpoints in listed.items():
             if name not in self._services:
                 self._services[name] = self._new_service()
             self._services[name].update(endpoints, now)
             if not endpoints and not self._services[name].running:
                 self._drop_service(name)
-        # A service just listed needs its parts now; the others get them at the
-        # next round, since the agreement of parts counts in rounds.
-        if fresh:
+        # A new service needs its parts of the runners' slots immediately.  The
+        # others wait for the next periodic rebalance: a part takes effect after
+        # several rounds agree, so extra rounds would distort that count.
+        if has_new_service:
             self._rebalance(now)
-        self._pump()
+        self._dispatch()
 
     def _new_service(self) -> Dispatcher:
         limits = QueueLimits(self.cfg.max_waiting, self.cfg.max_waiting_per_team)
@@ -397,7 +419,7 @@
         if not len(service.queue):
             del self._services[name]
 
-    def _on_peer(self, event: PeerMessage) -> None:
+    def _on_peer_message(self, event: PeerMessage) -> None:
         if not isinstance(event.body, Gossip):
             return
         now = self.kernel.clock()
@@ -411,12 +433,12 @@
 
 @attrs.define(slots=True, eq=False)
 class _Waiter:
-    """The caller's side of a queued request."""
+    """The call of a queued request, and the future that its handler awaits."""
 
     call: Call
     fut: "asyncio.Future[DispatchedRequest]"
 
 
-def _refuse(fut: "asyncio.Future[DispatchedRequest]", exc: FirhookError) -> None:
+def _reject(fut: "asyncio.Future[DispatchedRequest]", exc: FirhookError) -> None:
     if not fut.done():
         fut.set_exception(exc)
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -1,4 +1,4 @@
-"""Members: peers, the zone's lead, and room under the teams' limits."""
+"""The members role: peers, the zone's lead, and capacity under the teams' limits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -47,38 +47,40 @@
     ZoneShort,
 )
 
-#: The loop is looked at this often for having stood still.
-_TICK_S = 0.1
-#: Past this the clock was read before something that took too long to rely
-#: on what was believed then.
-_STALL_S = 0.5
-#: Between two looks at whether the lead is free to claim.
-_LOOK_S = 0.25
-#: Between two renewals that were hurried, so that joining instances cannot
-#: drive the lead over the append budget.
-_HURRY_S = 0.3
-#: Between two rounds of transfers to other zones.
-_MOVE_EVERY_S = 1.0
-#: What gossip may cost an instance in sending, of 14 KB/s for all of control.
+#: How often to check whether the event loop was stalled.
+_STALL_CHECK_INTERVAL_S = 0.1
+#: After a longer stall, conclusions from an earlier reading of the clock, such
+#: as that a lease is held, are no longer reliable.
+_STALL_THRESHOLD_S = 0.5
+#: How often to check whether the lead can be claimed.
+_CLAIM_CHECK_INTERVAL_S = 0.25
+#: Minimum time between two renewals.  Joining instances trigger early renewals
+#: and must not make the lead exceed its append budget.
+_MIN_RENEW_INTERVAL_S = 0.3
+#: Time between two rounds of limit transfers to other zones.
+_TRANSFER_INTERVAL_S = 1.0
+#: Limit on the gossip that an instance sends, out of 14 KB/s for all control
+#: traffic.
 GOSSIP_BYTES_PER_S = 4000.0
-#: Bytes that CURVE, the framing and TCP/IP add to a message.
+#: Bytes that CURVE, framing and TCP/IP add to a message.
 TRANSPORT_BYTES = 110
-#: Peers that are remembered; far above any cell, against a flood of names.
-MAX_HEARD = 1000
+#: Limit on the peers kept, so that a flood of names cannot exhaust memory.  No
+#: cell has nearly as many.
+MAX_PEERS = 1000
 
 
 @register_role("members")
 class MembersRole(Role):
-    """Knows the peers, holds or watches the zone's lead, lends and borrows room."""
+    """Tracks peers, holds or observes the zone's lead, lends and borrows capacity."""
 
     def register_handlers(self) -> None:
-        """Offer peers, lead and room."""
+        """Register handlers for peers, the lead and capacity."""
         self._mesh: Mesh | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {}
-        self._heard: dict[str, tuple[float, Gossip]] = {}
+        self._last_gossip: dict[str, tuple[float, Gossip]] = {}
         self._addresses: dict[str, str] = {}
-        self._every_s = self.cfg.gossip_s
-        self._was_held = False
+        self._gossip_interval_s = self.cfg.gossip_s
+        self._lead_was_held = False
         self.leadership = Leadership(self.kernel)
         self.lender = CapacityLender(self.kernel, self.leadership)
         self.borrower = CapacityBorrower(
@@ -89,7 +91,7 @@
         bus.register_handler(AskPeer, self._ask_peer)
         bus.register_handler(Members, self._members)
         bus.register_handler(LeadView, self._lead_view)
-        bus.subscribe(RegisterPeerHandler, self._on_serve_peer)
+        bus.subscribe(RegisterPeerHandler, self._on_register_handler)
         bus.subscribe(RecordApplied, self._on_record)
         bus.subscribe(StreamRebuilt, self._on_rebuilt)
         bus.subscribe(InstancesListed, self._on_instances)
@@ -101,9 +103,9 @@
         self._handlers[HoldingsAsk] = self.borrower.on_holdings_ask
 
     async def on_start(self) -> None:
-        """Bind the socket to the peers."""
+        """Bind the peer socket and connect to the seeds."""
         cfg = self.cfg
-        self._mesh = Mesh(cfg.curve_public, cfg.curve_secret, self._serve)
+        self._mesh = Mesh(cfg.curve_public, cfg.curve_secret, self._handle_request)
         bound = self._mesh.bind(cfg.peers)
         self.kernel.ports["peers"] = str(bound)
         mesh = self._mesh
@@ -112,20 +114,21 @@
             self._mesh.connect(str(seed))
 
     async def on_stop(self) -> None:
-        """Close the sockets."""
+        """Stop borrowing capacity and close the sockets."""
         self.borrower.stop()
         if self._mesh is not None:
             self._mesh.close()
 
     async def drain(self) -> None:
-        """Hand lead and room back, so that peers can use both at once."""
+        """Return capacity and lead, so that peers can use them immediately."""
         free = await self.borrower.leave()
         lead = self.leadership.state
         if lead.instance != self.kernel.lane:
             return
-        # The lead was released when the stop began, with this instance on the
-        # roster while it finished its requests.  Unless another has taken over
-        # meanwhile, the roster must not go on naming an instance that is gone.
+        # The lead was released when the stop began, but this instance stayed on
+        # the roster while it finished its requests.  If no other instance has
+        # taken over since, remove it from the roster, which must not continue
+        # to name a stopped instance.
         roster = frozenset(lead.roster)
         if free:
             roster -= {self.kernel.lane}
@@ -141,14 +144,15 @@
     @Service.task
     async def _gossip_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("gossip", self._gossip_once())
-            await self.sleep(self._every_s)
+            await self._run_step("gossip", self._gossip_once())
+            await self.sleep(self._gossip_interval_s)
 
-    async def _guarded(self, what: str, step: Coroutine[Any, Any, None]) -> None:
-        """Run one step of a loop, so that no error of it ends the loop.
+    async def _run_step(self, name: str, step: Coroutine[Any, Any, None]) -> None:
+        """Run one step of a loop, and log its error instead of raising it.
 
-        A loop that dies takes the whole daemon with it, or, worse, leaves it
-        up and silent; the next round starts from the state as it then is.
+        An error that ended the loop would stop the whole daemon or leave it
+        running without gossip or lead renewal.  The next step starts from the
+        state at that time.
         """
         try:
             await step
@@ -156,22 +160,22 @@
             log(
                 "members.step_failed",
                 level="warning",
-                step=what,
+                step=name,
                 code=exc.code,
                 detail=exc.detail,
             )
         except Exception as exc:
-            log("members.step_crashed", level="error", step=what, error=repr(exc))
+            log("members.step_crashed", level="error", step=name, error=repr(exc))
 
     async def _gossip_once(self) -> None:
         assert self._mesh is not None
-        size = self._mesh.broadcast(await self._word()) + TRANSPORT_BYTES
+        size = self._mesh.broadcast(await self._build_gossip()) + TRANSPORT_BYTES
         peers = len(self._mesh.addresses)
-        self._every_s = gossip_interval_s(
+        self._gossip_interval_s = gossip_interval_s(
             size, peers, self.cfg.gossip_s, GOSSIP_BYTES_PER_S
         )
 
-    async def _word(self) -> Gossip:
+    async def _build_gossip(self) -> Gossip:
         config = self.states.config
         load = self.kernel.load
         return Gossip(
@@ -191,7 +195,7 @@
                 )
                 for name in sorted({*load.excess_in_flight, *load.leaving})
             ),
-            every_s=round(self._every_s, 3),
+            every_s=round(self._gossip_interval_s, 3),
         )
 
     def _team_uses(self) -> tuple[TeamUse, ...]:
@@ -207,72 +211,75 @@
         )
         return tuple(u for u in uses if u.running or u.waiting or u.served_s)
 
-    async def _serve(self, msg: Any) -> Any:
+    async def _handle_request(self, msg: Any) -> Any:
         handler = self._handlers.get(type(msg))
         if handler is None:
-            raise FrameMalformedError(f"nobody serves {type(msg).__name__}")
+            raise FrameMalformedError(f"no handler for {type(msg).__name__}")
         return await handler(msg)
 
-    def _on_serve_peer(self, event: RegisterPeerHandler) -> None:
+    def _on_register_handler(self, event: RegisterPeerHandler) -> None:
         self._handlers[event.kind] = event.handler
 
     async def _on_gossip(self, msg: Gossip) -> None:
         if msg.incarnation == self.kernel.lane:
             return
         now = self.kernel.clock()
-        self._forget_silent(now)
-        if msg.instance not in self._heard and len(self._heard) >= MAX_HEARD:
-            raise FrameMalformedError(f"more than {MAX_HEARD} peers")
-        self._heard[msg.instance] = (now, msg)
+        self._remove_expired_peers(now)
+        if (
+            msg.instance not in self._last_gossip
+            and len(self._last_gossip) >= MAX_PEERS
+        ):
+            raise FrameMalformedError(f"more than {MAX_PEERS} peers")
+        self._last_gossip[msg.instance] = (now, msg)
         for key_id in msg.withdrawn:
             if self.states.config.withdraw(key_id) is Verdict.APPLIED:
                 log("key.withdrawn_by_peer", key_id=key_id, peer=msg.instance)
         self.bus.publish(PeerMessage(msg.instance, msg))
 
-    def _lives_s(self, word: Gossip) -> float:
-        return max(self.cfg.member_timeout_s, 3 * min(word.every_s, 60.0))
+    def _peer_timeout_s(self, gossip: Gossip) -> float:
+        return max(self.cfg.member_timeout_s, 3 * min(gossip.every_s, 60.0))
 
-    def _forget_silent(self, now: float) -> None:
-        for name, (at, word) in list(self._heard.items()):
-            if now - at > self._lives_s(word):
-                del self._heard[name]
+    def _remove_expired_peers(self, now: float) -> None:
+        for name, (received_at, gossip) in list(self._last_gossip.items()):
+            if now - received_at > self._peer_timeout_s(gossip):
+                del self._last_gossip[name]
 
     async def _members(self, query: Members) -> tuple[Member, ...]:
         now = self.kernel.clock()
-        self._forget_silent(now)
+        self._remove_expired_peers(now)
         return tuple(
-            Member(name, word.zone, word.incarnation, now - at, word)
-            for name, (at, word) in sorted(self._heard.items())
+            Member(name, gossip.zone, gossip.incarnation, now - received_at, gossip)
+            for name, (received_at, gossip) in sorted(self._last_gossip.items())
         )
 
     async def _ask_peer(self, query: AskPeer) -> Any:
         assert self._mesh is not None
-        # A seed is known by its address before it is known by its name.
+        # A seed is addressed directly until its name is listed.
         address = self._addresses.get(query.peer, query.peer)
         return await self._mesh.request(address, query.body, query.timeout_s)
 
     @Service.task
-    async def _list_loop(self) -> None:
+    async def _list_instances_loop(self) -> None:
         while not self.should_stop:
             try:
-                listed = await self.platform.instances.list()
+                instances = await self.platform.instances.list()
             except PlatformUnavailableError as exc:
                 log("instances.unavailable", level="warning", code=exc.code)
             else:
-                self.bus.publish(InstancesListed(listed))
+                self.bus.publish(InstancesListed(instances))
             await self.sleep(self.cfg.list_poll_s)
 
     def _on_instances(self, event: InstancesListed) -> None:
         assert self._mesh is not None
-        own = self.kernel.ports.get("peers")
+        own_address = self.kernel.ports.get("peers")
         self._addresses = {
             e.name: e.address for e in event.instances if e.kind == "entry"
         }
-        wanted = {a for a in self._addresses.values() if a != own}
-        wanted |= {str(s) for s in self.cfg.seeds} - {own}
-        for address in self._mesh.addresses - wanted:
+        wanted_addresses = {a for a in self._addresses.values() if a != own_address}
+        wanted_addresses |= {str(s) for s in self.cfg.seeds} - {own_address}
+        for address in self._mesh.addresses - wanted_addresses:
             self._mesh.disconnect(address)
-        for address in wanted:
+        for address in wanted_addresses:
             self._mesh.connect(address)
 
     # -- the zone's lead -----------------------------------------------
@@ -294,8 +301,9 @@
             self.leadership.wake.set()
 
     def _on_rebuilt(self, event: StreamRebuilt) -> None:
-        # The lead's last renewal is in the snapshot and was not read by
-        # itself; counting it as long ago would depose a lead that is well.
+        # The lead's last renewal is part of the snapshot and was not read as a
+        # record.  Without this it would count as old, and a healthy lead would
+        # be deposed.
         if event.stream == "cell":
             self.leadership.observe_record(self.kernel.clock())
 
@@ -307,18 +315,18 @@
     async def _stall_loop(self) -> None:
         last = self.kernel.clock()
         while not self.should_stop:
-            await self.sleep(_TICK_S)
+            await self.sleep(_STALL_CHECK_INTERVAL_S)
             now = self.kernel.clock()
-            if now - last > _STALL_S + _TICK_S:
+            if now - last > _STALL_THRESHOLD_S + _STALL_CHECK_INTERVAL_S:
                 self.bus.publish(LoopStalled(now - last))
             last = now
-            self._note_lead(now)
+            self._publish_lead_change(now)
 
-    def _note_lead(self, now: float) -> None:
+    def _publish_lead_change(self, now: float) -> None:
         held = self.leadership.is_held(now)
-        if held == self._was_held:
+        if held == self._lead_was_held:
             return
-        self._was_held = held
+        self._lead_was_held = held
         epoch = self.leadership.state.epoch
         log("lead.changed", epoch=epoch, held=held)
         self.bus.publish(LeadChanged(epoch, held))
@@ -326,38 +334,40 @@
     @Service.task
     async def _lead_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("lead", self._lead_step())
-            mine = self.leadership.is_lead
-            await self._pause(self.cfg.lead_lease_s / 3 if mine else _LOOK_S)
+            await self._run_step("lead", self._renew_or_claim_lead())
+            is_lead = self.leadership.is_lead
+            await self._wait_for_next_step(
+                self.cfg.lead_lease_s / 3 if is_lead else _CLAIM_CHECK_INTERVAL_S
+            )
 
-    async def _lead_step(self) -> None:
+    async def _renew_or_claim_lead(self) -> None:
         started = self.kernel.clock()
         self.leadership.wake.clear()
         await self.leadership.renew_or_claim(
             self.lender.roster(), self.lender.published_holders()
         )
-        self._note_lead(self.kernel.clock())
+        self._publish_lead_change(self.kernel.clock())
         if self.leadership.is_held(self.kernel.clock()):
             self.lender.settle_transfers_before(started)
         await self.lender.sync_with_lead()
 
-    async def _pause(self, seconds: float) -> None:
-        least = min(_HURRY_S, seconds)
-        await self.sleep(least)
+    async def _wait_for_next_step(self, seconds: float) -> None:
+        min_wait_s = min(_MIN_RENEW_INTERVAL_S, seconds)
+        await self.sleep(min_wait_s)
         try:
-            await asyncio.wait_for(self.leadership.wake.wait(), seconds - least)
+            await asyncio.wait_for(self.leadership.wake.wait(), seconds - min_wait_s)
         except TimeoutError:
             return
 
-    # -- room under the limits -----------------------------------------
+    # -- capacity under the limits -------------------------------------
 
     @Service.task
-    async def _room_loop(self) -> None:
+    async def _capacity_loop(self) -> None:
         await self.borrower.run()
         await self.wait_until_stopped()
 
     @Service.task
-    async def _move_loop(self) -> None:
+    async def _transfer_loop(self) -> None:
         while not self.should_stop:
-            await self._guarded("move", self.lender.transfer_spare())
-            await self.sleep(_MOVE_EVERY_S)
+            await self._run_step("move", self.lender.transfer_spare())
+            await self.sleep(_TRANSFER_INTERVAL_S)
--- a/tests/roles/mini.py
+++ b/tests/roles/instance.py
@@ -1,4 +1,4 @@
-"""An instance of the lasting roles only, with fake peers and a fake log."""
+"""A test instance with the journal, config and once roles, and a fake log."""
 
 import contextlib
 import time
@@ -12,7 +12,7 @@
 from firhook.events import AskPeer, LogAge, Member, Members, RegisterPeerHandler
 from firhook.model import Gossip, LeadClaimed, decode_message, encode_message
 from firhook.platform.clients import Platform
-from firhook.roles._config import Config, digest_of
+from firhook.roles._config import Config, digest_key
 from firhook.roles._journal import Journal
 from firhook.roles._once import Once
 from firhook.state import States
@@ -23,7 +23,7 @@
 
 
 def settings(name: str, zone: str, **changed: object) -> Settings:
-    """Return settings with short times."""
+    """Return settings with short intervals."""
     options = {
         "name": name,
         "zone": zone,
@@ -37,16 +37,18 @@
         "instances_expected": 1,
         "curve_public": "p" * 40,
         "curve_secret": "s" * 40,
-        "operator_digest": digest_of(OPERATOR),
+        "operator_digest": digest_key(OPERATOR),
         **changed,
     }
     return Settings(**options)
 
 
-class Mini:
-    """What the roles see of a kernel, and of the members role.
+class Instance:
+    """The kernel and the members role as the tested roles see them.
 
-    :param cell: the instances by name; a test cuts some off by ``cut``.
+    :param cell: all instances by name.
+    :ivar unreachable: names of the peers that this instance cannot reach.
+    :ivar last_gossip: by peer, when its last gossip was received, and the gossip.
     """
 
     def __init__(self, name: str, log: FakeLog, cell: dict, **changed) -> None:
@@ -58,8 +60,8 @@
         self.clock = time.monotonic
         self.ready = self.stopping = False
         self.cell = cell
-        self.cut: set[str] = set()
-        self.heard: dict[str, tuple[float, Gossip]] = {}
+        self.unreachable: set[str] = set()
+        self.last_gossip: dict[str, tuple[float, Gossip]] = {}
         self.handlers: dict[type, object] = {}
         cell[name] = self
         self.bus.register_handler(Members, self._members)
@@ -73,8 +75,8 @@
 
     async def _ask_peer(self, query: AskPeer):
         peer = self.cell.get(query.peer)
-        if peer is None or query.peer in self.cut:
-            raise PeerUnreachableError(f"{query.peer} is away")
+        if peer is None or query.peer in self.unreachable:
+            raise PeerUnreachableError(f"{query.peer} is unreachable")
         msg = decode_message(encode_message(query.body))
         return decode_message(encode_message(await peer.handlers[type(msg)](msg)))
 
@@ -82,12 +84,12 @@
         now = self.clock()
         return tuple(
             Member(name, g.zone, g.incarnation, now - at, g)
-            for name, (at, g) in self.heard.items()
+            for name, (at, g) in self.last_gossip.items()
             if now - at < self.cfg.member_timeout_s
         )
 
-    async def hear(self, *names: str) -> None:
-        """Take in the gossip of peers as the members role does."""
+    async def receive_gossip(self, *names: str) -> None:
+        """Receive the gossip of peers as the members role does."""
         for name in names:
             peer = self.cell[name]
             state = peer.states.config
@@ -102,12 +104,12 @@
                 stopping=False,
                 withdrawn=tuple(state.withdrawn),
             )
-            self.heard[name] = (self.clock(), gossip)
+            self.last_gossip[name] = (self.clock(), gossip)
             for key_id in gossip.withdrawn:
                 self.states.config.withdraw(key_id)
 
     def lead(self, log: FakeLog) -> None:
-        """Have this instance hold its zone's lead by record."""
+        """Append a record by which this instance claims its zone's lead."""
         lead = self.states.cell.leads[self.cfg.zone]
         epoch = lead.epoch + 1
         claim = LeadClaimed(self.cfg.zone, epoch, self.lane, lead.offset)
@@ -115,28 +117,31 @@
 
 
 @contextlib.asynccontextmanager
-async def running(*minis: Mini, ready: bool = True):
-    """Run instances."""
-    for mini in minis:
-        for role in mini.roles:
+async def running(*instances: Instance, ready: bool = True):
+    """Start instances and stop them on exit.
+
+    :param ready: whether to wait until all streams have been read.
+    """
+    for instance in instances:
+        for role in instance.roles:
             await role.start()
     try:
-        for mini in minis:
+        for instance in instances:
             if ready:
                 await until(
-                    lambda m=mini: all(x.ready for x in m.journal.lanes.values())
+                    lambda m=instance: all(x.ready for x in m.journal.clients.values())
                 )
         yield
     finally:
-        for mini in minis:
-            mini.stopping = True
-            for role in reversed(mini.roles):
+        for instance in instances:
+            instance.stopping = True
+            for role in reversed(instance.roles):
                 await role.stop()
 
 
 @attrs.define
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     now: float = 0.0
 
--- a/tests/roles/test_journal.py
+++ b/tests/roles/test_journal.py
@@ -1,41 +1,41 @@
-"""Snapshots carried forward, and instances that start while the log is out."""
+"""Tests of the journal role: snapshots in the log and from peers."""
 
 import asyncio
 
 from firhook.events import Append, StreamReady
 from firhook.model import KeyGiven, Row, SnapshotChunk, decode_envelope
 from firhook.queries import Authenticate, ChangeRows
-from firhook.roles._config import digest_of
+from firhook.roles._config import digest_key
 from tests.fakelog import FakeLog, until
-from tests.roles.mini import Mini, running
+from tests.roles.instance import Instance, running
 
 PLAN = Row("plans", "small", {"share": "1", "limit": "4"})
 TEAM = Row("teams", "lisboa", {"plan": "small"})
-KEY = KeyGiven("k1", "lisboa", digest_of("fk_one"))
+KEY = KeyGiven("k1", "lisboa", digest_key("fk_one"))
 
 
 def chunks(log: FakeLog, stream: str) -> list[SnapshotChunk]:
-    """Return the chunks that a stream got."""
+    """Return the snapshot chunks that were appended to a stream."""
     bodies = [decode_envelope(p).body for p in log.streams.get(stream, [])]
     return [b for b in bodies if isinstance(b, SnapshotChunk)]
 
 
-async def give_lists(mini: Mini) -> None:
-    """Put lists and a key in force."""
-    await mini.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
-    await mini.bus.ask(Append("config", KEY))
+async def give_lists(instance: Instance) -> None:
+    """Append lists and a key."""
+    await instance.bus.ask(ChangeRows(0, (PLAN, TEAM), "root"))
+    await instance.bus.ask(Append("config", KEY))
 
 
-def test_lists_outlive_the_records_that_made_them():
-    """The log keeps records for a limited time, and the lists rarely change.
+def test_snapshots_keep_lists_after_their_records_expire():
+    """The log's records expire, and the lists rarely change.
 
-    Without a snapshot carried forward, an instance that starts after the
-    records expired would know no team and refuse every key.
+    Without a snapshot, an instance that starts after the records expired would
+    know no team and refuse every key.
     """
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a = Mini("a", log, cell, carry_forward_records=20)
+        a = Instance("a", log, cell, carry_forward_records=20)
         async with running(a):
             a.lead(log)
             await give_lists(a)
@@ -43,7 +43,7 @@
                 await a.bus.ask(ChangeRows(version, (TEAM,), "root"))
             await until(lambda: a.states.config.snapshot_offset > 0)
             log.first["config"] = a.states.config.snapshot_offset
-            b = Mini("b", log, {})
+            b = Instance("b", log, {})
             async with running(b):
                 assert b.states.config.version == a.states.config.version == 25
                 who = await b.bus.ask(Authenticate("Bearer fk_one"))
@@ -52,25 +52,25 @@
     asyncio.run(scenario())
 
 
-def test_only_the_first_zones_lead_carries_forward():
-    """Each of nine instances making snapshots would cost nine times the bytes.
+def test_only_the_first_zones_lead_appends_snapshots():
+    """Snapshots by each of nine instances would cost nine times the bytes.
 
-    The log's rate is for everyone together, and charges wait behind it.
+    All instances share the log's append rate, and charges wait for it.
     """
 
     async def scenario():
         log, cell = FakeLog(), {}
-        minis = [
-            Mini(name, log, cell, zone=zone, carry_forward_records=20)
+        instances = [
+            Instance(name, log, cell, zone=zone, carry_forward_records=20)
             for name, zone in (("a", "lisboa"), ("b", "porto"), ("c", "lisboa"))
         ]
-        async with running(*minis):
-            minis[0].lead(log)
-            minis[1].lead(log)
-            await give_lists(minis[2])
+        async with running(*instances):
+            instances[0].lead(log)
+            instances[1].lead(log)
+            await give_lists(instances[2])
             for version in range(1, 21):
-                await minis[2].bus.ask(ChangeRows(version, (TEAM,), "root"))
-            await until(lambda: minis[2].states.config.snapshot_offset > 0)
+                await instances[2].bus.ask(ChangeRows(version, (TEAM,), "root"))
+            await until(lambda: instances[2].states.config.snapshot_offset > 0)
             lanes = {
                 decode_envelope(p).lane
                 for p in log.streams["config"]
@@ -82,25 +82,25 @@
 
 
 def test_instance_that_starts_while_the_log_is_out_serves_from_a_peer():
-    """The platform's log is down, and an instance is replaced meanwhile.
+    """An instance is replaced while the platform's log is down.
 
-    The new one has no disk.  With a peer's state it serves requests at once;
-    when the log comes back it reads on, and no list goes back.
+    The new instance has no disk.  It loads a peer's state and serves at once.
+    When the log returns it continues to read, and no list reverts.
     """
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a = Mini("a", log, cell)
+        a = Instance("a", log, cell)
         async with running(a):
             await give_lists(a)
             log.reads_fail, log.append_outcome = True, "refuse"
-            b = Mini("b", log, cell)
+            b = Instance("b", log, cell)
             async with running(b, ready=False):
-                await b.hear("a")
+                await b.receive_gossip("a")
                 await until(lambda: b.states.config.version == 1)
                 assert await b.bus.ask(StreamReady("config"))
                 assert not await b.bus.ask(StreamReady("once"))
-                await b.hear("a")
+                await b.receive_gossip("a")
                 who = await b.bus.ask(Authenticate("Bearer fk_one"))
                 assert who.team == "lisboa"
                 log.reads_fail, log.append_outcome = False, "ok"
@@ -110,23 +110,23 @@
     asyncio.run(scenario())
 
 
-def test_older_snapshot_of_a_peer_takes_nothing_back():
-    """Of two peers one lags behind, and an instance asks both.
+def test_older_snapshot_of_a_peer_reverts_nothing():
+    """An instance asks two peers, of which one lags behind.
 
-    A list that was in force must not return to what it was before.
+    The older snapshot must not replace a newer list.
     """
 
     async def scenario():
         log, cell = FakeLog(), {}
-        a, b = Mini("a", log, cell), Mini("b", log, cell)
+        a, b = Instance("a", log, cell), Instance("b", log, cell)
         async with running(a, b):
             await give_lists(a)
             await until(lambda: b.states.config.version == 1)
-            lane = b.journal.lanes["config"]
-            old = lane.stream_state.next_offset, lane.stream_state.to_text()
+            client = b.journal.clients["config"]
+            old = client.stream_state.next_offset, client.stream_state.to_text()
             await a.bus.ask(ChangeRows(1, (TEAM,), "root"))
             await until(lambda: b.states.config.version == 2)
-            assert not lane.load_peer_snapshot(*old)
+            assert not client.load_peer_snapshot(*old)
             assert b.states.config.version == 2
 
     asyncio.run(scenario())
--- a/tests/roles/test_zone_lead.py
+++ b/tests/roles/test_zone_lead.py
@@ -1,4 +1,4 @@
-"""The zone's lead with its loops, on a log that answers at once or not at all."""
+"""Tests of the zone lead's loops with a fake log and fake workers."""
 
 import asyncio
 import types
@@ -34,14 +34,14 @@
 
 
 class Workers:
-    """Workers that answer every look and order, but for those that are cut."""
+    """Workers that answer every poll and order, except the unreachable ones."""
 
-    def __init__(self, cut=()):
-        self.cut = set(cut)
+    def __init__(self, unreachable=()):
+        self.unreachable = set(unreachable)
         self.orders = []
 
     async def poll(self, endpoint):
-        if endpoint.name in self.cut:
+        if endpoint.name in self.unreachable:
             await asyncio.sleep(30.0)
             raise WorkerUnreachableError(endpoint.name)
         return Report(endpoint.name, 1.0, 1, "boot", ())
@@ -51,8 +51,11 @@
         return Report(endpoint.name, 1.0, order.epoch, "boot", ())
 
 
-class Desk:
-    """A kernel's part that the lead needs, with a log that a test can spoil."""
+class FakeKernel:
+    """The kernel as the zone lead uses it.
+
+    :ivar before_append: called with each record; an error makes the append fail.
+    """
 
     def __init__(self, workers, limit=8):
         self.cfg = types.SimpleNamespace(
@@ -72,21 +75,23 @@
         self.lane = "i#1"
         self.stopping = False
         self.records = []
-        self.spoil = lambda body: None
+        self.before_append = lambda body: None
         self.seq = 0
         self.bus.register_handler(LeadView, self._lead)
         self.bus.register_handler(LogAge, self._age)
         self.bus.register_handler(Append, self._append)
         self.lead = ZoneLead(self)
-        self.put("cell", LeadClaimed(ZONE, 1, self.lane, -1))
+        self.append_record("cell", LeadClaimed(ZONE, 1, self.lane, -1))
         plan = Row("plans", "p", {"share": "1", "limit": str(limit)})
-        self.put("config", RowsChanged(0, (plan, Row("teams", "a", {"plan": "p"}))))
+        self.append_record(
+            "config", RowsChanged(0, (plan, Row("teams", "a", {"plan": "p"})))
+        )
         self.bus.publish(InstancesListed(tuple(fleet(2))))
 
     def clock(self):
         return asyncio.get_event_loop().time()
 
-    def put(self, stream, body):
+    def append_record(self, stream, body):
         self.seq += 1
         state = self.states.by_stream[stream]
         offset, envelope = state.next_offset, Envelope(self.lane, self.seq, body)
@@ -102,8 +107,8 @@
         return 0.1
 
     async def _append(self, query):
-        self.spoil(query.body)
-        return self.put(query.stream, query.body)
+        self.before_append(query.body)
+        return self.append_record(query.stream, query.body)
 
     async def run(self, seconds):
         await self.lead.start()
@@ -111,47 +116,47 @@
         await self.lead.stop()
 
 
-def test_room_is_counted_as_used_before_its_assignment_is_on_the_log():
-    """The lead also lends a team's room to requests.
+def test_capacity_counts_as_used_before_its_assignment_is_read():
+    """The lead also lends a team's capacity to requests.
 
-    Were the room of an assignment on its way lent meanwhile, the team would
-    have more running than its limit.
+    If it lent the capacity of an assignment whose record is not yet read, the
+    team would run more than its limit.
     """
 
     async def scenario():
-        desk = Desk(Workers(), limit=8)
+        kernel = FakeKernel(Workers(), limit=8)
         seen = []
 
-        def spoil(body):
+        def before_append(body):
             if isinstance(body, Assigned):
-                seen.append(desk.grants.grant("a", "peer", 8, 0, 8, desk.clock()))
+                seen.append(kernel.grants.grant("a", "peer", 8, 0, 8, kernel.clock()))
 
-        desk.spoil = spoil
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 5), ZONE))
-        await desk.run(0.6)
+        kernel.before_append = before_append
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 5), ZONE))
+        await kernel.run(0.6)
         assert seen == [3]
 
     asyncio.run(scenario())
 
 
-def test_after_a_lost_answer_a_fence_comes_before_the_next_assignment():
-    """The log takes an assignment but its answer is lost."""
+def test_fence_precedes_the_next_assignment_after_a_lost_answer():
+    """The outcome of appending an assignment is unknown."""
 
     async def scenario():
-        desk = Desk(Workers())
+        kernel = FakeKernel(Workers())
         lost = []
 
-        def spoil(body):
+        def before_append(body):
             if isinstance(body, Assigned) and not lost:
                 lost.append(body)
                 raise LogOutcomeUnknownError("lost")
 
-        desk.spoil = spoil
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
-        await desk.run(0.6)
+        kernel.before_append = before_append
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
+        await kernel.run(0.6)
         kinds = [
             type(r).__name__
-            for r in desk.records
+            for r in kernel.records
             if isinstance(r, (ZoneFenced, Assigned))
         ]
         assert kinds == ["ZoneFenced", "ZoneFenced", "Assigned"]
@@ -159,17 +164,17 @@
     asyncio.run(scenario())
 
 
-def test_one_worker_that_does_not_answer_holds_up_no_other():
-    """A worker's link swallows everything; the call to it hangs.
+def test_unresponsive_worker_delays_no_other():
+    """A worker's link drops all packets, so the call to it hangs.
 
-    Urgent work for another worker must not wait for that call to end.
+    Urgent work for another worker must not wait until that call ends.
     """
 
     async def scenario():
-        workers = Workers(cut={"w000"})
-        desk = Desk(workers)
-        desk.put("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
-        await desk.run(0.6)
+        workers = Workers(unreachable={"w000"})
+        kernel = FakeKernel(workers)
+        kernel.append_record("cell", JobAccepted(JobSpec("j", "a", 2), ZONE))
+        await kernel.run(0.6)
         started = [n for n, order in workers.orders if order.start]
         assert set(started) == {"w001"}
 
