--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,8 +1,8 @@
-"""A soak: real instances as processes, with faults from outside them.
+"""A soak test that injects faults into real instances from outside.
 
-The instances run over the model of the platform, each behind links of its own,
-and callers use them all the while.  The faults come by a seed, in series and one
-over the other.  What must hold is checked from what callers and workers see.
+The instances run as processes over the model of the platform, each behind its own
+links, while callers use them.  A seed determines the faults, which may overlap.
+Violations are detected from what callers and workers observe.
 """
 
 from standins.soak._seed_run import Report, run_seed
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak by hand: ``python -m standins.soak --seeds 50``."""
+"""Command line of the soak: ``python -m standins.soak --seeds 50``."""
 
 import asyncio
 import sys
@@ -30,9 +30,9 @@
     reports = asyncio.run(
         _run_seeds(range(first, first + seeds), seconds, at_once, keep)
     )
-    broken = [report.seed for report in reports if report.violations]
-    print(f"{len(reports)} seeds, {len(broken)} broken: {broken}")
-    return 1 if broken else 0
+    violated = [report.seed for report in reports if report.violations]
+    print(f"{len(reports)} seeds, {len(violated)} broken: {violated}")
+    return 1 if violated else 0
 
 
 async def _run_seeds(
--- a/standins/soak/_callers.py
+++ b/standins/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers who keep their connections, and what they are promised."""
+"""Callers with persistent connections, and the guarantees that they check."""
 
 import asyncio
 import random
@@ -12,10 +12,9 @@
 from standins.soak._fleet import Fleet, Member
 
 WITHDRAWN_KEY = "key-that-is-withdrawn"
-#: What callers are promised, in seconds: a job that was accepted is known
-#: everywhere; a withdrawn key is refused; no task of a cancelled job starts.
+#: Guaranteed limits: until every instance knows an accepted job, until every
+#: instance refuses a withdrawn key, until no task of a cancelled job starts.
 MAX_VISIBILITY_S, MAX_REVOCATION_S, MAX_CANCEL_S = 3.0, 5.0, 3.0
-#: A caller waits so long for an answer.
 _REQUEST_TIMEOUT_S = 3.0
 _MAX_ATTEMPTS = 6
 _TASK_RESOURCES = {"millicpus": 1000, "task_memory_mb": 100}
@@ -23,7 +22,13 @@
 
 @attrs.define(eq=False)
 class SubmittedJob:
-    """A job that a caller handed in."""
+    """A job that a caller submitted.
+
+    :ivar accepted_at: when it was accepted, or 0.
+    :ivar cancelled_at: when its cancelling was confirmed; 0 if it was not
+        cancelled, infinite while the outcome is unknown.
+    :ivar unknown: whether a submission may have been accepted without a response.
+    """
 
     id: str
     accepted_at: float = 0.0
@@ -32,9 +37,11 @@
 
 
 class Callers:
-    """Hands jobs in, asks for them and cancels some, until told to stop.
+    """Submits jobs, queries them and cancels some, until ``stopping`` is set.
 
-    :ivar violations: promises that were not kept.
+    :ivar violations: descriptions of the violated guarantees.
+    :ivar withdrawn_at: when the key of one caller was withdrawn.
+    :ivar responses: number of calls by method and status.
     """
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
@@ -46,7 +53,7 @@
         self.stopping = False
 
     async def run(self, count: int) -> None:
-        """Run so many callers, each with connections of its own."""
+        """Run ``count`` callers with separate connections, and one with another key."""
         async with asyncio.TaskGroup() as group:
             for i in range(count):
                 group.create_task(self._caller(i))
@@ -72,7 +79,7 @@
         body: bytes | None = None,
         headers: dict[str, str] = KEY,
     ) -> int:
-        """Make a call; return its status, 0 if not connected, -1 if it broke."""
+        """Return the status of a call; 0 if it did not connect, -1 if it was cut."""
         url = f"http://{member.address()}/plan/{job}"
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         undisturbed = now() >= member.disturbed_until
@@ -86,7 +93,7 @@
         except aiohttp.ClientConnectorError:
             status = 0
         except (aiohttp.ClientError, TimeoutError) as exc:
-            # A stop that was announced cuts no request that was sent.
+            # A graceful stop must not cut a request that was sent.
             if undisturbed and now() >= member.disturbed_until and member.stopping:
                 self.violations.append(f"{method} {job} cut by {member.name}: {exc!r}")
         key = f"{method} {status}"
@@ -111,7 +118,7 @@
             self.fleet.model.checks.refused.add(job.id)
 
     def _make_job(self, job: SubmittedJob, rng: random.Random) -> bytes:
-        """Return a job of one or two steps, perhaps a gang."""
+        """Return the body of a job of one or two steps, the first perhaps a gang."""
         gang = rng.choice((0, 0, 3))
         steps = [{**_TASK_RESOURCES, "count": gang or rng.randint(1, 5)}]
         if gang:
@@ -135,9 +142,9 @@
         sent_at = now()
         member = rng.choice(self.fleet.members)
         status = await self.call(http, member, "GET", job.id)
-        is_visible = sent_at - job.accepted_at > MAX_VISIBILITY_S
-        if status == 410 and is_visible and not job.cancelled_at:
-            self.violations.append(f"accepted job {job.id} unknown at {member.name}")
+        must_be_known = sent_at - job.accepted_at > MAX_VISIBILITY_S
+        if status == 410 and must_be_known and not job.cancelled_at:
+            self.violations.append(f"accepted job {job.id} not found at {member.name}")
 
     async def _cancel(
         self, http: aiohttp.ClientSession, job: SubmittedJob, rng: random.Random
@@ -152,7 +159,7 @@
             await asyncio.sleep(0.3)
 
     async def _use_withdrawn_key(self) -> None:
-        """Go on with a key that is withdrawn at some moment."""
+        """Make calls with a key that is withdrawn meanwhile."""
         headers = {**KEY, "Authorization": f"Bearer {WITHDRAWN_KEY}"}
         rng = random.Random(self.rng.random())
         async with aiohttp.ClientSession() as http:
@@ -167,13 +174,13 @@
                     and sent_at - withdrawn_at > MAX_REVOCATION_S
                 ):
                     self.violations.append(
-                        f"withdrawn key served {sent_at - withdrawn_at:.1f} s later "
+                        f"withdrawn key accepted {sent_at - withdrawn_at:.1f} s later "
                         f"by {member.name}"
                     )
                 await asyncio.sleep(0.1)
 
     def find_late_starts(self) -> list[str]:
-        """Return the tasks that began too long after their job was cancelled."""
+        """Return the tasks that started too long after their job was cancelled."""
         starts = self.fleet.model.checks.last_start
         found = []
         for job in self.jobs:
@@ -185,11 +192,13 @@
                     and started_at > job.cancelled_at + MAX_CANCEL_S
                 ):
                     late_s = started_at - job.cancelled_at
-                    found.append(f"{task} began {late_s:.1f} s after its cancelling")
+                    found.append(
+                        f"{task} started {late_s:.1f} s after its job was cancelled"
+                    )
         return found
 
     async def wait_for_completion(self, timeout_s: float) -> list[str]:
-        """Wait for the accepted jobs; return those that did not end well."""
+        """Wait for the accepted jobs; return the ids of those that did not complete."""
         unfinished = [j for j in self.jobs if j.accepted_at and not j.cancelled_at]
         deadline = now() + timeout_s
         async with aiohttp.ClientSession(headers=KEY) as http:
--- a/standins/soak/_faults.py
+++ b/standins/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the processes, chosen by a seed."""
+"""Faults injected from outside the processes, chosen by a seed."""
 
 import asyncio
 import random
@@ -10,19 +10,19 @@
 from standins.soak._callers import WITHDRAWN_KEY, Callers
 from standins.soak._fleet import Fleet, Member
 
-#: What a fault does to the callers of an instance may show for so long after it.
+#: How long after a fault callers may still see its effects.
 AFTEREFFECT_S = 3.5
-#: The pauses between two faults, and how long one lasts.
+#: Ranges of the interval between two faults and of their duration.
 _INTERVAL_RANGE_S, _DURATION_RANGE_S = (0.2, 1.6), (0.3, 3.0)
 
 Fault = Callable[[Member, float], Awaitable[None]]
 
 
 class FaultInjector:
-    """Plays faults one after the other and one over the other.
+    """Injects random faults, which may overlap.
 
-    :ivar history: what was done when.
-    :ivar violations: processes that ended otherwise than they should.
+    :ivar history: the faults with their times, members and durations.
+    :ivar violations: processes that exited with an unexpected status.
     """
 
     def __init__(self, fleet: Fleet, callers: Callers, rng: random.Random) -> None:
@@ -51,7 +51,7 @@
         }
 
     async def run(self, seconds: float) -> None:
-        """Play for a time, and wait until what was begun is over."""
+        """Inject faults for a while, and wait until all of them have ended."""
         until = now() + seconds
         async with asyncio.TaskGroup() as group:
             withdraw_at = now() + self.rng.uniform(0.1, 0.6) * seconds
@@ -88,7 +88,7 @@
             until = now() + duration_s + AFTEREFFECT_S
             member.disturbed_until = max(member.disturbed_until, until)
 
-    # The processes.
+    # Faults of the processes.
 
     async def _kill(self, member: Member, duration_s: float) -> None:
         self._mark_disturbed([member], duration_s)
@@ -99,11 +99,11 @@
     async def _stop(self, member: Member, duration_s: float) -> None:
         assert member.process is not None
         status = await self.fleet.stop(member)
-        # One that had said nothing yet, and listened nowhere, may end by the
-        # signal itself: it cut nobody.
+        # A process that has logged nothing does not listen yet.  The signal may
+        # end it, because that cuts no connection.
         not_started = status == -signal.SIGTERM and not member.process.lines
         if status != 0 and not not_started:
-            self.violations.append(f"{member.name} ended with {status} at a stop")
+            self.violations.append(f"{member.name} exited with {status} when stopped")
         await asyncio.sleep(duration_s / 3)
         await self.fleet.launch(member)
 
@@ -115,14 +115,14 @@
         member.process.signal(signal.SIGCONT)
 
     async def _change_settings(self, member: Member, duration_s: float) -> None:
-        """Change the settings file, with a signal and without."""
+        """Change the settings file, with or without a SIGHUP."""
         assert member.process is not None
         text = member.settings_path.read_text(encoding="utf-8")
         member.settings_path.write_text(text + "# changed\n", encoding="utf-8")
         if duration_s > sum(_DURATION_RANGE_S) / 2:
             member.process.signal(signal.SIGHUP)
 
-    # Its connections.
+    # Faults of their connections.
 
     async def _cut_store(self, member: Member, duration_s: float) -> None:
         self._mark_disturbed([member], duration_s)
@@ -152,7 +152,7 @@
         for link in member.links.values():
             link.blackhole_connections()
 
-    # The workers and the store.
+    # Faults of the workers and the store.
 
     async def _worker_cut(self, member: Member, duration_s: float) -> None:
         link = self.rng.choice(list(self.fleet.worker_links.values()))
@@ -191,9 +191,9 @@
         self.fleet.model.store.lost_share = self.fleet.model.store.late_share = 0.0
 
     async def _rebalance_partitions(self, member: Member, duration_s: float) -> None:
-        """Do nothing: no instance holds partitions of a group.
+        """Do nothing, because no instance holds partitions of a consumer group.
 
-        The name stays, so that kept seeds play the scenes that they played.
+        The kind remains so that recorded seeds still choose the same faults.
         """
 
     async def _expire_history(self, member: Member, duration_s: float) -> None:
@@ -201,6 +201,6 @@
 
 
 def initial_teams() -> list[dict]:
-    """Return the teams before any key is withdrawn."""
+    """Return the teams' configuration before any key is withdrawn."""
     team = config_body()["tenants"][0]
     return [{**team, "api_keys": [*team["api_keys"], WITHDRAWN_KEY]}]
--- a/standins/soak/_fleet.py
+++ b/standins/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""Instances as processes, each behind links of its own to all that it reaches."""
+"""Instances as processes, each behind its own links to its dependencies."""
 
 import asyncio
 import signal
@@ -9,17 +9,18 @@
 from standins.links import Link
 from standins.model import HttpModel, Process, ReservedPorts
 
-#: The platform kills a process that was told to stop after this, in seconds.
+#: The platform kills a process that has not stopped after this time.
 STOP_GRACE_S = 6.0
 
 
 @attrs.define(eq=False)
 class Member:
-    """One machine: the process on it now, and its links.
+    """A machine with its present process and its links.
 
-    :ivar disturbed_until: until when a fault on it or near it may break what
-        its callers see.
-    :ivar stopping: whether it was told to stop and has not ended.
+    :ivar links: its links to the store and the adviser.
+    :ivar disturbed_until: until when a fault may affect its callers.
+    :ivar stopping: whether its process was asked to stop and not started since.
+    :ivar earlier_lines: log lines of its earlier processes.
     """
 
     name: str
@@ -32,18 +33,18 @@
     earlier_lines: list[dict] = attrs.field(factory=list)
 
     def log_lines(self) -> list[dict]:
-        """Return what all its processes logged."""
+        """Return the log lines of all its processes."""
         return self.earlier_lines + (
             self.process.lines if self.process is not None else []
         )
 
     @property
     def is_running(self) -> bool:
-        """Whether its process lives."""
+        """Whether its process is running."""
         return self.process is not None and self.process.process.returncode is None
 
     def address(self) -> str:
-        """Return where callers connect."""
+        """Return the address that callers connect to."""
         return f"127.0.0.1:{self.ports[0]}"
 
 
@@ -80,7 +81,7 @@
         await self.launch(member)
 
     async def launch(self, member: Member) -> None:
-        """Start a machine's process anew, as the platform does."""
+        """Start a new process on a machine, as the platform does."""
         if member.process is not None:
             member.earlier_lines += member.process.lines
         member.process = Process(member.settings_path, member.ports)
@@ -88,14 +89,14 @@
         await member.process.start()
 
     async def kill(self, member: Member) -> None:
-        """End a machine's process at once."""
+        """Kill a machine's process and wait until it has exited."""
         if member.process is not None and member.is_running:
             member.process.signal(signal.SIGCONT)
             member.process.signal(signal.SIGKILL)
             await member.process.process.wait()
 
     async def stop(self, member: Member) -> int:
-        """Tell a process to stop, and kill it if it does not; return its status."""
+        """Stop a process, by force after the grace period; return its exit status."""
         assert member.process is not None
         member.stopping = True
         member.process.signal(signal.SIGTERM)
@@ -107,13 +108,13 @@
             return -signal.SIGKILL
 
     def heal(self) -> None:
-        """Undo all that was done to links and workers."""
+        """Restore all links."""
         links = [link for m in self.members for link in m.links.values()]
         for link in [*links, *self.worker_links.values()]:
             link.heal()
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and links."""
         for member in self.members:
             if member.process is not None:
                 if member.is_running:
--- a/standins/soak/_seed_run.py
+++ b/standins/soak/_seed_run.py
@@ -1,4 +1,4 @@
-"""One run of the soak, by its seed."""
+"""A run of the soak with one seed."""
 
 import asyncio
 import random
@@ -12,21 +12,22 @@
 from standins.soak._faults import FaultInjector, initial_teams
 from standins.soak._fleet import Fleet
 
-#: Instances have so long to serve at first, and accepted jobs to end after the
-#: last fault: leases of 3 s, orders that are waited for 12.5 s, and their work.
+#: Limits for instances to become ready, and for accepted jobs to complete after
+#: the last fault.  The latter covers leases of 3 s, waits of 12.5 s for orders and
+#: the work itself.
 _START_TIMEOUT_S, _COMPLETION_TIMEOUT_S = 30.0, 45.0
 _CALLER_COUNT = 6
 
 
 @attrs.frozen
 class Report:
-    """What a run came to.
+    """The result of a run.
 
-    :param violations: promises that were not kept.
-    :param accepted: jobs that were accepted.
-    :param responses: how calls ended, by method and status.
-    :param history: the faults.
-    :param logs: what the processes on each machine logged.
+    :param violations: descriptions of the violated guarantees.
+    :param accepted: number of accepted jobs.
+    :param responses: number of calls by method and status.
+    :param history: the injected faults.
+    :param logs: log lines by machine.
     """
 
     seed: int
@@ -40,10 +41,10 @@
 async def run_seed(
     seed: int, folder: Path, seconds: float, instances: int = 4, workers: int = 6
 ) -> Report:
-    """Play a seed, and report.
+    """Run the soak with a seed and return its report.
 
-    :param folder: where settings files go.
-    :param seconds: how long faults come.
+    :param folder: directory for settings files.
+    :param seconds: how long faults are injected.
     """
     rng = random.Random(seed)
     model = HttpModel(workers, seed=seed)
@@ -66,8 +67,10 @@
         violations += (
             callers.violations + callers.find_late_starts() + injector.violations
         )
-        violations += [f"job {job} did not end" for job in unfinished]
-        violations += [f"{m.name} has ended" for m in fleet.members if not m.is_running]
+        violations += [f"job {job} did not complete" for job in unfinished]
+        violations += [
+            f"{m.name} is not running" for m in fleet.members if not m.is_running
+        ]
         return Report(
             seed,
             tuple(violations),
