--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Scripts for developers: the demonstration, proofs and rendered pages."""
+"""Developer scripts: demonstrations, proofs and generated pages."""
--- a/scripts/_pages.py
+++ b/scripts/_pages.py
@@ -1,4 +1,4 @@
-"""Filling the generated parts of pages that are otherwise written by hand."""
+"""Updates the generated sections of hand-written pages."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -12,15 +12,17 @@
 
 
 def replace_sections(page: Path, parts: Mapping[str, str]) -> None:
-    """Replace what stands between the marks of each part.
+    """Replace the text between the begin and end marks of each section.
 
-    :raises ValueError: if a mark is missing, so that no part is lost unseen.
+    :param parts: new texts by section name.
+    :raises ValueError: if a mark is missing.  Otherwise the section would be lost
+        without notice.
     """
     text = page.read_text(encoding="utf-8")
     for name, part in parts.items():
         begin, end = f"<!-- begin {name} -->", f"<!-- end {name} -->"
         if begin not in text or end not in text:
-            raise ValueError(f"{page.name}: give the marks {begin} and {end}")
+            raise ValueError(f"{page.name}: missing the marks {begin} and {end}")
         before, _, rest = text.partition(begin)
         _, _, after = rest.partition(end)
         text = f"{before}{begin}\n{part}\n{end}{after}"
--- a/scripts/_run.py
+++ b/scripts/_run.py
@@ -1,4 +1,4 @@
-"""Running measures, and saying which run the lines came from."""
+"""Runs the measures and records the environment of the run."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RUN_MEASURE = "run"
-#: The longest that one measure may take; a stuck one must not hold the page up.
+#: Limit for a single measure, so that a stuck one does not block the page.
 TIMEOUT_S = 300.0
 
 
@@ -33,7 +33,7 @@
 
 
 def run_record() -> dict[str, Any]:
-    """Return what the run that follows is made on."""
+    """Return the commit, Python version and processors of the run that follows."""
     commit = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=ROOT,
@@ -49,10 +49,10 @@
 
 
 def run_all(chosen: Sequence[str]) -> list[dict[str, Any]]:
-    """Run measures one after another and return their lines.
+    """Run measures one after another and return their output lines.
 
-    A measure that fails leaves a line that says so, so that the page shows it
-    instead of leaving it out.
+    A failed measure adds a line with its error, so that the page shows the failure
+    instead of omitting the measure.
     """
     lines = [run_record()]
     for name in chosen:
@@ -70,18 +70,18 @@
 
 
 def write_lines(file: Path, lines: Iterable[dict[str, Any]]) -> None:
-    """Keep lines in a file."""
+    """Write lines to a file as JSON."""
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_text("".join(json.dumps(line) + "\n" for line in lines))
 
 
 def read_lines(file: Path) -> list[dict[str, Any]]:
-    """Return the lines that a file keeps."""
+    """Read the lines of a JSON lines file."""
     return [json.loads(line) for line in file.read_text().splitlines() if line]
 
 
 def describe_run(lines: Sequence[dict[str, Any]]) -> str:
-    """Return in words which run the lines came from."""
+    """Return a sentence on the run that produced the lines."""
     for line in lines:
         if line["measure"] == RUN_MEASURE:
             return (
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,8 +1,8 @@
-"""The demonstration: a small cell of separate processes, seen from outside.
+"""A demonstration of a cell of separate processes.
 
-Starts a stand-in platform, runners and workers and four entry instances in
-two zones, then does what operators and callers would, through the public
-interfaces alone.  Exits with 0 only if everything came out as it must.
+Starts a stand-in platform, runners, workers and four entry instances in two zones,
+then uses them as operators and callers do, through the public interfaces only.
+Exits with 0 only if every check passes.
 """
 
 import asyncio
@@ -37,19 +37,25 @@
 
 
 def print_step(text: str) -> None:
-    """Print a step."""
+    """Print the title of a step."""
     print(f"\n== {text}", flush=True)
 
 
 def check(what: str, ok: bool, seen: Any) -> None:
-    """Print a check and stop the demonstration if it failed."""
+    """Print the result of a check and stop the demonstration if it failed.
+
+    :raises SystemExit: if the check failed.
+    """
     print(f"   {'ok ' if ok else 'BAD'} {what}", flush=True)
     if not ok:
-        raise SystemExit(f"expected otherwise: {seen!r}")
+        raise SystemExit(f"check failed, got: {seen!r}")
 
 
 async def run_tool(proc: Proc, *args: str, key: str = OPERATOR_KEY) -> str:
-    """Run the firhook tool against an instance and return what it printed."""
+    """Run the firhook tool against an instance and return its output.
+
+    :raises SystemExit: if the tool failed.
+    """
     env = {
         **process_env(),
         "FIRHOOK_URL": f"http://{proc.ports['gateway']}",
@@ -73,7 +79,7 @@
 
 
 def print_output(text: str) -> None:
-    """Print the tool's output, indented."""
+    """Print output of the tool, indented."""
     for line in text.strip("\n").splitlines():
         print(f"     {line}", flush=True)
 
@@ -94,8 +100,8 @@
 
 
 async def configure(cluster: Cluster, entries: list[Proc], tmp: Path) -> str:
-    """Apply the two lists and give a key; return the key."""
-    print_step("operators apply the two lists and give a key")
+    """Apply the lists of plans and teams, create a key and return it."""
+    print_step("an operator applies the lists of plans and teams and creates a key")
     (tmp / "plans.ini").write_text(PLANS)
     (tmp / "teams.ini").write_text(TEAMS)
     plans, teams = str(tmp / "plans.ini"), str(tmp / "teams.ini")
@@ -118,11 +124,13 @@
 
 
 async def send_requests(cluster: Cluster, entries: list[Proc], key: str) -> None:
-    """Send a quote, and a charge twice through two instances."""
-    print_step("a quote, and a renewal charge sent twice through two instances")
+    """Request a quote, and send a charge twice through two instances."""
+    print_step(
+        "a caller requests a quote and sends a charge twice through two instances"
+    )
     path = "/r/subscriptions/quote?n=7"
     status, quote = await cluster.call(entries[2], "GET", path, key=key)
-    check("the quote is answered", (status, quote.get("n")) == (200, "7"), quote)
+    check("the quote is returned", (status, quote.get("n")) == (200, "7"), quote)
     answers = []
     for entry in (entries[0], entries[3]):
         answers.append(
@@ -135,7 +143,7 @@
                 headers={"Idempotency-Key": "charge-41"},
             )
         )
-    check("both get the same answer", answers[0] == answers[1], answers)
+    check("both charges get the same response", answers[0] == answers[1], answers)
     runs = 0
     assert cluster.http is not None
     for proc in cluster.procs.values():
@@ -143,7 +151,7 @@
             url = f"http://{proc.ports['http']}/admin/runs"
             async with cluster.http.get(url) as resp:
                 runs += (await resp.json())["runs"].get("nitrogen top-up 41", 0)
-    check("the runners counted one run", runs == 1, runs)
+    check("the charge ran once", runs == 1, runs)
 
 
 JOBS = (
@@ -154,8 +162,8 @@
 
 
 async def run_jobs(cluster: Cluster, entries: list[Proc], key: str, tmp: Path) -> None:
-    """Submit a batch job, a gang job and a service, and see them through."""
-    print_step("a batch job, a gang job and a service")
+    """Submit a batch job, a gang job and a service, and wait until they are placed."""
+    print_step("a team submits a batch job, a gang job and a service")
     for body in JOBS:
         path = tmp / f"{body['job_id']}.json"
         path.write_text(json.dumps(body))
@@ -173,15 +181,18 @@
         return True
 
     await cluster.wait_until(entries[0], finished, 30.0)
-    print("   ok  batch and gang are done, the service is up", flush=True)
+    print(
+        "   ok  the batch job and the gang job are done, the service is running",
+        flush=True,
+    )
     print_output(await run_tool(entries[0], "job", "list", key=key))
     print_output(await run_tool(entries[0], "explain", "soil-model", key=key))
     print_output(await run_tool(entries[0], "events"))
 
 
 async def withdraw_key(cluster: Cluster, entries: list[Proc], key: str) -> None:
-    """Withdraw the key and see it refused everywhere."""
-    print_step("the key is withdrawn and refused")
+    """Withdraw the key and wait until every instance refuses it."""
+    print_step("an operator withdraws the key")
     listed = await cluster.call(entries[0], "GET", "/v1/keys")
     print_output(
         await run_tool(entries[0], "key", "withdraw", listed[1]["keys"][0]["key_id"])
@@ -198,26 +209,26 @@
 
 
 async def report_burn(entries: list[Proc], tmp: Path) -> None:
-    """Print the report on service-level burn, and draw it."""
-    print_step("the report on service-level burn")
+    """Print the report on the error budget and check its HTML page."""
+    print_step("an operator requests the report on the error budget")
     page = tmp / "burn.html"
     print_output(await run_tool(entries[0], "report", "--html", str(page)))
-    check("its page has a plot", "<svg" in page.read_text(), page)
+    check("its HTML page contains a plot", "<svg" in page.read_text(), page)
 
 
 async def stop_all(cluster: Cluster, entries: list[Proc]) -> None:
-    """Stop everything gracefully: one instance by the tool, the rest by signal."""
-    print_step("everything stops gracefully")
+    """Stop one instance with the tool and all other processes with SIGTERM."""
+    print_step("all processes stop gracefully")
     print_output(await run_tool(entries[0], "drain", entries[0].ports["ops"]))
     for entry in entries[1:]:
         entry.kill(signal.SIGTERM)
     codes = [await entry.wait() for entry in entries]
-    check("every instance ended with 0", codes == [0] * len(codes), codes)
+    check("every instance exited with 0", codes == [0] * len(codes), codes)
     others = [p for p in cluster.procs.values() if p not in entries]
     for proc in others:
         proc.kill(signal.SIGTERM)
     codes = [await proc.wait() for proc in others]
-    check("every stand-in ended with 0", codes == [0] * len(codes), codes)
+    check("every stand-in exited with 0", codes == [0] * len(codes), codes)
 
 
 async def main() -> None:
@@ -225,7 +236,7 @@
     with tempfile.TemporaryDirectory() as name:
         tmp = Path(name)
         async with Cluster(("ikeja", "lekki")) as cluster:
-            print_step("starting a platform, 4 runners, 4 workers and 4 instances")
+            print_step("start a platform, 4 runners, 4 workers and 4 instances")
             entries = await start_cell(cluster)
             print_output(await run_tool(entries[0], "status"))
             print_output(await run_tool(entries[0], "endpoints"))
