--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""A small specification of the core protocol, checked by z3."""
+"""Specifications of the core protocols, checked with z3."""
--- a/spec/_checker.py
+++ b/spec/_checker.py
@@ -1,11 +1,10 @@
-"""Checks of a model: an unbounded proof and a search for shortest failures.
-
-A model is a transition system over integers and truth values.  Its safety is
-proved for runs of any length: by z3's Spacer engine, which finds an inductive
-invariant by itself, or, where that takes too long, by induction with an
-invariant that the model states.  A seeded defect is shown by unrolling the
-transitions step by step until a bad state is reached, which yields the run
-that leads there.
+"""Model checker: unbounded safety proofs and shortest counterexamples.
+
+A model is a transition system over integers and booleans.  Its safety is proved
+for runs of any length.  By default z3's Spacer engine finds an inductive invariant
+itself; where that takes too long, the model states an invariant that is proved by
+induction.  For a model with an omitted safeguard, bounded model checking unrolls
+the transitions until a bad state is reachable, which yields a counterexample.
 """
 
 from abc import ABC, abstractmethod
@@ -21,48 +20,53 @@
 
 
 class Model(ABC):
-    """A transition system with a state that must never be reached.
+    """A transition system with bad states that must never be reached.
 
-    :param omitted: name of the safeguard that is left out, or empty.
+    :param omitted: name of the safeguard to omit, or empty.
     """
 
-    #: Variables by name with their kind, ``int`` or ``bool``.
+    #: Types of the variables, ``int`` or ``bool``, by name.
     variables: ClassVar[dict[str, type]]
-    #: Safeguards that can be left out; each must be caught.
+    #: Safeguards that can be omitted; without any one, a bad state is reachable.
     safeguards: ClassVar[tuple[str, ...]]
 
     def __init__(self, omitted: str = "") -> None:
         if omitted and omitted not in self.safeguards:
-            raise ValueError(f"{omitted!r} is no defect: use one of {self.safeguards}")
+            raise ValueError(
+                f"unknown safeguard {omitted!r}: use one of {self.safeguards}"
+            )
         self.omitted = omitted
 
     def guarded(self, safeguard: str, condition: Any) -> Any:
-        """Return the condition, or truth if the safeguard is left out."""
+        """Return the condition, or true if the safeguard is omitted."""
         return z3.BoolVal(True) if self.omitted == safeguard else condition
 
     @abstractmethod
     def init(self, s: State) -> Any:
-        """Return what holds at first."""
+        """Return the condition of initial states."""
 
     @abstractmethod
     def actions(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
-        """Return each action's condition and the variables it changes."""
+        """Return the guard of each action and the new values of changed variables."""
 
     @abstractmethod
     def bad(self, s: State) -> Any:
-        """Return what must never hold."""
+        """Return the condition of bad states."""
 
     def invariant(self, s: State) -> Any | None:
-        """Return what always holds and excludes the bad, if it is known."""
+        """Return an inductive invariant that excludes bad states, or ``None``."""
         return None
 
     def new_variables(self, tag: str) -> dict[str, Any]:
-        """Return variables for one state."""
+        """Return z3 variables for one state; the tag makes their names unique."""
         kinds = {int: z3.Int, bool: z3.Bool}
         return {n: kinds[k](f"{n}@{tag}") for n, k in self.variables.items()}
 
     def transitions(self, s: State, t: State) -> dict[str, Any]:
-        """Return each action as a relation between two states."""
+        """Return each action as a relation between two states.
+
+        :raises ValueError: if an action changes an unknown variable.
+        """
         relations = {}
         for name, (condition, changes) in self.actions(s).items():
             unknown = set(changes) - set(self.variables)
@@ -75,7 +79,7 @@
 
 @attrs.frozen
 class Step:
-    """One step of a run that ends badly."""
+    """A step of a counterexample: the action and the state after it."""
 
     action: str
     state: dict[str, str]
@@ -84,7 +88,7 @@
 def is_safe(model: Model) -> bool:
     """Return whether no run of any length reaches a bad state.
 
-    :raises RuntimeError: if z3 could not tell in time.
+    :raises RuntimeError: if z3 does not decide within the time limit.
     """
     if model.invariant(model.new_variables("s")) is not None:
         return _is_inductive(model)
@@ -92,7 +96,7 @@
 
 
 def _is_inductive(model: Model) -> bool:
-    """Return whether the invariant holds at first, is kept, and excludes the bad."""
+    """Return whether the invariant is inductive and excludes bad states."""
     s, t = model.new_variables("s"), model.new_variables("t")
     before, after = model.invariant(s), model.invariant(t)
     claims = [
@@ -110,7 +114,7 @@
     solver.add(z3.Not(claim))
     verdict = solver.check()
     if verdict == z3.unknown:
-        raise RuntimeError(f"z3 could not tell: {solver.reason_unknown()}")
+        raise RuntimeError(f"z3 did not decide: {solver.reason_unknown()}")
     return verdict == z3.unsat
 
 
@@ -128,12 +132,16 @@
         solver.rule(reachable(*t.values()), [reachable(*s.values()), relation])
     verdict = solver.query(z3.And(reachable(*s.values()), model.bad(s)))
     if verdict == z3.unknown:
-        raise RuntimeError(f"z3 could not tell: {solver.reason_unknown()}")
+        raise RuntimeError(f"z3 did not decide: {solver.reason_unknown()}")
     return verdict == z3.unsat
 
 
 def find_counterexample(model: Model, depth: int) -> list[Step] | None:
-    """Return the shortest run to a bad state, or ``None`` up to a depth."""
+    """Return the shortest run to a bad state.
+
+    :param depth: maximum number of steps.
+    :returns: its steps, or ``None`` if no run of this length reaches a bad state.
+    """
     solver = z3.Solver()
     states = [model.new_variables("0")]
     solver.add(model.init(states[0]))
@@ -166,12 +174,12 @@
 
 
 def is_reachable(model: Model, goal: Any, depth: int) -> bool:
-    """Return whether a state is reached at all, up to a depth.
+    """Return whether a run of at most ``depth`` steps reaches a goal state.
 
-    A model whose actions never fire is safe for no good reason; the checks
-    ask of each model that what it is about can happen.
+    A model whose actions are never enabled is vacuously safe, so each model is
+    also checked for reachability of what it is about.
 
-    :param goal: function from a state to what shall hold.
+    :param goal: function that returns the goal's condition on a state.
     """
 
     class Goal(type(model)):  # type: ignore[misc]
--- a/spec/config_versions.py
+++ b/spec/config_versions.py
@@ -1,9 +1,9 @@
-"""Configuration versions through trimming, snapshots and rebuilds.
+"""Configuration versions with trimmed logs, snapshots and rebuilds.
 
-Every accepted change raises the version by one, so the version at an offset is
-the offset itself.  A snapshot is taken by an instance that may lag and may
-land much later.  A follower applies records in order; where they have been
-trimmed it rebuilds from a snapshot.
+Every accepted change increments the version, so the version at an offset equals
+the offset.  The instance that takes a snapshot may lag, and the snapshot may be
+appended much later.  A follower applies records in order and rebuilds from a
+snapshot where records have been trimmed.
 """
 
 from typing import Any, ClassVar
@@ -14,12 +14,12 @@
 
 
 class ConfigVersions(Model):
-    """A follower's version never falls and never passes over a change."""
+    """A follower's version never decreases and never skips a change."""
 
     variables: ClassVar[dict[str, type]] = {
         "end": int,
         "first": int,
-        # The snapshot that stands last in the log, by the offset it was taken at.
+        # Offset at which the last snapshot in the log was taken.
         "snapshot": int,
         "late_snapshot": int,
         "late_out": bool,
@@ -35,7 +35,7 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: an empty log."""
+        """Return the initial condition: an empty log."""
         zero = [v == 0 for n, v in s.items() if self.variables[n] is int]
         return z3.And(*zero, z3.Not(s["late_out"]), z3.Not(s["acted_blind"]))
 
@@ -70,8 +70,8 @@
                 {"next": s["first"]},
             ),
             "the follower rebuilds": (
-                # It does so when it finds its records trimmed, and also at
-                # boot or when a peer offers its state, hence at any time.
+                # It rebuilds when its records are trimmed, at start and when a
+                # peer offers its state, hence possibly at any time.
                 newer,
                 {"next": s["snapshot"], "version": s["snapshot"], "highest": highest},
             ),
@@ -82,7 +82,11 @@
         }
 
     def bad(self, s: State) -> Any:
-        """Return a version that fell, a change missed, or a blind act."""
+        """Return the bad states.
+
+        The version decreased, the follower missed a change, or it acted while its
+        records were trimmed.
+        """
         return z3.Or(
             s["version"] < s["highest"],
             s["version"] != s["next"],
--- a/spec/limit_transfer.py
+++ b/spec/limit_transfer.py
@@ -1,8 +1,8 @@
-"""A team's limit, split over two zones and moved between them by record.
+"""A team's limit, divided between two zones and transferred by records.
 
-The giver's lead lowers its part, then appends; the answer may be lost, and the
-record may land late or never.  The receiver raises its part when it reads the
-record.  What runs in each zone starts and ends freely under its part.
+The giver's lead lowers its part and then appends the transfer.  The response may
+be lost, and the record may be appended late or never.  The receiver raises its part
+when it reads the record.  In each zone work starts and ends freely within its part.
 """
 
 from typing import Any, ClassVar
@@ -13,7 +13,7 @@
 
 
 class LimitTransfer(Model):
-    """At no time does more run over both zones than the limit."""
+    """The work that runs in both zones never exceeds the limit."""
 
     variables: ClassVar[dict[str, type]] = {
         "limit": int,
@@ -34,7 +34,7 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: the parts add up to the limit."""
+        """Return the initial condition: the parts sum to the limit."""
         return z3.And(
             s["limit"] >= 0,
             s["giver_part"] >= 0,
@@ -99,5 +99,5 @@
         return actions
 
     def bad(self, s: State) -> Any:
-        """Return the limit exceeded."""
+        """Return the bad states: the limit is exceeded."""
         return s["giver_runs"] + s["receiver_runs"] > s["limit"]
--- a/spec/once_claim.py
+++ b/spec/once_claim.py
@@ -1,8 +1,8 @@
-"""One keyed request: claims, dispatch, outcome, inquiry and release.
+"""A request with an idempotency key: claims, dispatch, inquiry and release.
 
-The caller sends its request through instance A and, having heard nothing,
-again through B.  Appends land late or never; A may pause anywhere or vanish.
-B may ask A whether it sent the request.
+The caller sends its request through instance A and, without a response, again
+through B.  Appends take effect late or never.  A may pause at any point or crash.
+B may ask A whether A has sent the request.
 """
 
 from typing import Any, ClassVar
@@ -15,10 +15,10 @@
 
 
 class OnceClaim(Model):
-    """The request runs at most once, and a refusal ``ran: no`` is true."""
+    """The request runs at most once, and ``ran: no`` in a refusal is true."""
 
     variables: ClassVar[dict[str, type]] = {
-        # The log: who holds the claim, and whether its outcome is there.
+        # The instance whose claim is effective, according to the log.
         "holder": int,
         "a_claim_out": bool,
         "b_claim_out": bool,
@@ -41,7 +41,7 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: nothing claimed, nothing sent."""
+        """Return the initial condition: nothing is claimed, nothing is sent."""
         falses = [z3.Not(v) for n, v in s.items() if self.variables[n] is bool]
         return z3.And(s["holder"] == NOBODY, s["runs"] == 0, *falses)
 
@@ -50,7 +50,7 @@
         return {**self._a_actions(s), **self._b_actions(s)}
 
     def _holder_after_claim(self, s: State, who: int) -> Any:
-        """Return the holder after a claim lands: the first by offset wins."""
+        """Return the holder after a claim is appended: the first by offset wins."""
         if self.omitted == "first by offset":
             return z3.IntVal(who)
         return z3.If(s["holder"] == NOBODY, z3.IntVal(who), s["holder"])
@@ -126,5 +126,5 @@
         }
 
     def bad(self, s: State) -> Any:
-        """Return a second run, or a false ``ran: no`` of A's own attempt."""
+        """Return the bad states: a second run, or a false ``ran: no`` by A."""
         return z3.Or(s["runs"] > 1, z3.And(s["a_told_no"], s["a_sent"]))
--- a/spec/task_lease.py
+++ b/spec/task_lease.py
@@ -1,12 +1,12 @@
-"""The zone's lead and one exclusive task: pauses, lost answers, late orders.
-
-Instance A leads at epoch 1 and has the task at worker W.  Orders of A may stay
-on their way for any time (a pause of A after its last look at the clock looks
-the same from outside), and may arrive twice.  Instance B reads A's renewals
-with any delay, claims epoch 2 and runs the next attempt at worker V once it
-believes that the first one has ended.  Time is an integer and advances between
-any two steps.  One clock stands for all monotonic clocks: their drift is in
-the margins of the code, which ``tests/decide`` checks.
+"""A zone's lead and an exclusive task, with pauses, lost responses, late orders.
+
+Instance A leads at epoch 1 and runs the task at worker W.  Orders of A may be
+delayed by any time and may be delivered twice.  A pause of A after it last read the
+clock has the same effect as a delay.  Instance B reads A's renewals with any
+delay, claims epoch 2 and starts the next attempt at worker V once it concludes that
+the first one has ended.  Time is an integer and may advance between any two steps.
+A single clock represents all monotonic clocks: the margins of the code, which
+``tests/decide`` checks, cover their drift.
 """
 
 from typing import Any, ClassVar
@@ -21,20 +21,20 @@
 
 
 class TaskLease(Model):
-    """At no time does the task run at both workers."""
+    """The task never runs at both workers at the same time."""
 
     variables: ClassVar[dict[str, type]] = {
         "now": int,
         "epoch": int,
-        # A's renewal on its way: sent, then landed, then read by A and by B.
+        # A's renewal: sent, then appended to the log, then read by A and by B.
         "renewal_sent": int,
         "renewal_out": bool,
         "renewal_landed": bool,
         "a_until": int,
         "b_read": int,
         "b_has_read_all": bool,
-        # An order of A on its way to W; kept after delivery, so that it may
-        # arrive again.
+        # An order of A to W.  It stays after its delivery, because it may be
+        # delivered again.
         "order_out": bool,
         "order_not_after": int,
         "order_starts": bool,
@@ -54,7 +54,7 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: A leads and W runs the task."""
+        """Return the initial condition: A leads and W runs the task."""
         return z3.And(
             s["now"] == 0,
             s["epoch"] == 1,
@@ -75,7 +75,7 @@
         )
 
     def actions(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
-        """Return the actions of time, of A, of B, and of the worker."""
+        """Return the actions of time, of the worker, of A and of B."""
         return {
             **self._environment_actions(s),
             **self._lead_actions(s),
@@ -93,7 +93,7 @@
         return {
             "time passes": (
                 True,
-                # A task whose lease has lapsed is stopped by its worker.
+                # The worker stops a task whose lease has expired.
                 {"now": later, "w_runs": z3.And(s["w_runs"], later < s["w_lease"])},
             ),
             "order arrives": (
@@ -170,19 +170,19 @@
         }
 
     def bad(self, s: State) -> Any:
-        """Return the double run."""
+        """Return the bad states: the task runs at both workers."""
         return z3.And(s["w_runs"], s["v_runs"])
 
     def invariant(self, s: State) -> Any:
-        """Return what always holds.
+        """Return the inductive invariant.
 
-        In words: whatever A believes, has ordered or had its worker renew
-        ends, once B has read all that A put on the log, at the latest HOLD
-        (and for the task TASK_LEASE more) after B last read of A.
+        Once B has read all records of A, A's hold and the validity of its orders
+        end at most HOLD after B last read a renewal of A, and the lease of the
+        task ends at most TASK_LEASE later.
         """
         hold_end = s["b_read"] + HOLD
-        lapse = hold_end + TASK_LEASE
-        certain = z3.Or(s["w_epoch"] == 2, s["now"] > lapse)
+        lease_end = hold_end + TASK_LEASE
+        certain = z3.Or(s["w_epoch"] == 2, s["now"] > lease_end)
         return z3.And(
             z3.Or(s["epoch"] == 1, s["epoch"] == 2),
             z3.Or(s["w_epoch"] == 1, z3.And(s["w_epoch"] == 2, s["epoch"] == 2)),
@@ -196,7 +196,7 @@
                     s["a_until"] <= hold_end,
                     s["order_not_after"] <= hold_end,
                     z3.Implies(s["renewal_landed"], s["renewal_sent"] <= s["b_read"]),
-                    z3.Implies(s["w_runs"], s["w_lease"] <= lapse),
+                    z3.Implies(s["w_runs"], s["w_lease"] <= lease_end),
                 ),
             ),
             z3.Implies(
--- a/spec/test_spec.py
+++ b/spec/test_spec.py
@@ -1,7 +1,7 @@
-"""Model checking of the core protocol.
+"""Model checking of the core protocols.
 
-Each model is proved safe for runs of any length, shown to reach what it is
-about, and shown to fail as soon as any one of its safeguards is left out.
+For each model the tests prove that it is safe for runs of any length, that its goal
+is reachable, and that omitting any one of its safeguards makes it unsafe.
 """
 
 import pytest
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda m: m.__name__)
-def test_model_reaches_what_it_is_about(model):
+def test_goal_of_model_is_reachable(model):
     assert is_reachable(model(), GOALS[model], DEPTH)
 
 
@@ -46,6 +46,6 @@
         for d in p.values[0].safeguards
     ],
 )
-def test_leaving_out_a_safeguard_is_caught(model, omitted):
-    failure = find_counterexample(model(omitted), DEPTH)
-    assert failure is not None
+def test_omitting_a_safeguard_makes_model_unsafe(model, omitted):
+    counterexample = find_counterexample(model(omitted), DEPTH)
+    assert counterexample is not None
--- a/tests/failures/cells.py
+++ b/tests/failures/cells.py
@@ -1,4 +1,4 @@
-"""Cells of separate processes for the tests of failures, and what they share."""
+"""Cells of separate processes, and helpers that the failure tests share."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 """
 TEAMS = "[lisboa]\nplan = small\n[porto]\nplan = small\n"
 
-#: Short leases, so that what takes a minute in production takes seconds here.
+#: Short leases and timeouts, so that a failover takes seconds rather than a minute.
 SHORT_TIMINGS = {
     "cell": {
         "lead_lease_s": 2,
@@ -34,7 +34,7 @@
 
 
 def run_scenario(scenario: Scenario, limit_s: float = 150.0) -> None:
-    """Run a scenario to its end."""
+    """Run a scenario within a time limit."""
     asyncio.run(asyncio.wait_for(scenario(), limit_s))
 
 
@@ -48,14 +48,22 @@
     limit: int = 40,
     **overrides: dict[str, Any],
 ) -> AsyncIterator["Cell"]:
-    """Start a cell with so many entries, runners and workers in each zone."""
+    """Start a cell and wait until it is ready; yield it.
+
+    :param entries: entry instances per zone.
+    :param runners: runners per zone.
+    :param workers: workers per zone.
+    :param links: whether zones can be cut off.
+    :param limit: limit of each team.
+    :param overrides: settings that differ from ``SHORT_TIMINGS``, by section.
+    """
     settings = {
         s: {**SHORT_TIMINGS.get(s, {}), **overrides.get(s, {})} for s in SHORT_TIMINGS
     }
     async with Cluster(zones, settings, links=links) as cluster:
         made = Cell(cluster)
-        # They start side by side: a dozen interpreters one after the other
-        # would take longer than what is tested.
+        # Start them concurrently: a dozen interpreters in sequence would take
+        # longer than the test itself.
         of_zone = [(zone, i) for zone in zones for i in range(64)]
         made.runners, made.workers, made.entries = await asyncio.gather(
             asyncio.gather(
@@ -86,7 +94,7 @@
 
 
 class Cell:
-    """A running cell and the key of its team ``lisboa``."""
+    """A running cell with the API key of its team ``lisboa``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -97,7 +105,7 @@
         self.key_id = ""
 
     def running_entries(self, zone: str) -> list[Proc]:
-        """Return the entry instances of a zone that still run."""
+        """Return the entry instances of a zone that are running."""
         return [
             e
             for e in self.entries
@@ -105,13 +113,13 @@
         ]
 
     async def operator_call(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the first entry as an operator and return the answer."""
+        """Call the first entry as an operator and return the response data."""
         status, data = await self.cluster.call(self.entries[0], method, path, json=body)
         assert status < 400, data
         return data
 
     async def set_up(self, limit: int) -> str:
-        """Apply the lists and give a key that every entry knows."""
+        """Apply the lists and return a new key that every entry accepts."""
         body = {"base": 0, "plans": PLANS.format(limit=limit), "teams": TEAMS}
         await self.operator_call("POST", "/v1/config", body)
         given = await self.operator_call("POST", "/v1/keys", {"team": "lisboa"})
@@ -123,7 +131,7 @@
     async def wait_for_status(
         self, entry: Proc, method: str, path: str, key: str, wanted: int
     ) -> None:
-        """Wait until an entry answers with a status."""
+        """Wait until an entry responds with a status."""
 
         async def answers(proc: Proc) -> bool:
             return (await self.cluster.call(proc, method, path, key=key))[0] == wanted
@@ -133,14 +141,17 @@
     async def request(
         self, entry: Proc, method: str, path: str, **kw: Any
     ) -> tuple[int, Any]:
-        """Send a request of the team; status 0 if the exchange was cut."""
+        """Send a request of the team and return the status and the data.
+
+        The status is 0 if the connection was cut or the request timed out.
+        """
         kw.setdefault("key", self.key)
         try:
             return await self.cluster.call(entry, method, path, **kw)
         except (TimeoutError, OSError, ValueError):
             return 0, None
         except Exception as exc:
-            # aiohttp's errors of connections that were cut are no OSError.
+            # Some connection errors of aiohttp are not subclasses of OSError.
             if type(exc).__module__.startswith("aiohttp"):
                 return 0, None
             raise
@@ -148,11 +159,11 @@
     async def request_when_caught_up(
         self, entry: Proc, method: str, path: str, **kw: Any
     ) -> tuple[int, Any]:
-        """Send a request to an instance, again until it has read the log.
+        """Send a request, repeatedly until the instance has read the log.
 
-        An instance is ready once it has read the lists.  Beside a busy machine a
-        charge may come before it has read which charges were made, and is refused
-        as not run; whoever counts the runs holds it to that.  Every other answer
+        An instance is ready once it has read the lists.  On a busy machine a charge
+        may arrive before the instance has read the earlier charges, and is refused
+        with ``ran: no``; tests that count the runs verify this.  Any other response
         is returned.
         """
         for _ in range(100):
@@ -164,24 +175,24 @@
         return status, data
 
     async def fetch(self, proc: Proc, path: str) -> Any:
-        """Return what a stand-in counted."""
+        """Return data of a stand-in's admin interface."""
         assert self.cluster.http is not None
         async with self.cluster.http.get(f"http://{proc.ports['http']}{path}") as resp:
             return await resp.json()
 
     async def set_faults(self, proc: Proc, **faults: Any) -> None:
-        """Set faults of a stand-in."""
+        """Inject faults into a stand-in."""
         assert self.cluster.http is not None
         url = f"http://{proc.ports['http']}/admin/faults"
         async with self.cluster.http.post(url, json=faults) as resp:
             assert resp.status == 200
 
     async def set_log_faults(self, **faults: Any) -> None:
-        """Set faults of the platform's log."""
+        """Inject faults into the platform's log."""
         await self.cluster.post_admin("/admin/faults", faults)
 
     async def run_counts(self) -> dict[str, int]:
-        """Return how often each body was run, over all runners."""
+        """Return the number of runs by request body, over all runners."""
         total: dict[str, int] = {}
         for runner in self.runners:
             for body, n in (await self.fetch(runner, "/admin/runs"))["runs"].items():
@@ -189,14 +200,14 @@
         return total
 
     async def request_spans(self) -> list[tuple[str, float, float]]:
-        """Return when each request was being served, over all runners."""
+        """Return the id, start and end of each served request, over all runners."""
         found = []
         for runner in self.runners:
             found += (await self.fetch(runner, "/admin/runs"))["spans"]
         return [(n, began, ended) for n, began, ended in found]
 
     async def find_lead(self, zone: str) -> Proc:
-        """Return the entry that leads a zone."""
+        """Return the entry that is the lead of a zone."""
         for entry in self.running_entries(zone):
             status, data = await self.cluster.call(entry, "GET", "/v1/status")
             name = data["leads"][zone].partition("#")[0] if status == 200 else ""
@@ -206,7 +217,7 @@
         raise AssertionError(f"zone {zone} has no lead")
 
     async def submit(self, entry: Proc, **job: Any) -> None:
-        """Submit a job and see it accepted."""
+        """Submit a job and check that it is accepted."""
         status, data = await self.cluster.call(
             entry, "POST", "/v1/jobs", key=self.key, json=job
         )
@@ -225,7 +236,7 @@
         await self.cluster.wait_until(entry, done, timeout_s)
 
     async def fetch_task_runs(self) -> list[dict[str, Any]]:
-        """Return every run of a task at any worker, with start and end."""
+        """Return all runs of tasks at all workers, with their start and end times."""
         found = []
         for worker in self.workers:
             for seen in await self.fetch(worker, "/admin/seen"):
@@ -234,7 +245,7 @@
 
 
 def peak_load(spans: Iterable[tuple[float, float | None, float]]) -> float:
-    """Return the highest sum of weights over spans (start, end, weight)."""
+    """Return the peak sum of weights of overlapping spans (start, end, weight)."""
     events = []
     for start, end, weight in spans:
         events.append((start, 1, weight))
@@ -247,7 +258,7 @@
 
 
 def assert_no_double_run(runs: list[dict[str, Any]]) -> None:
-    """Check that no task ran in two places at once."""
+    """Check that no task ran twice at the same time."""
     by_task: dict[tuple[str, int], list[tuple[float, float | None, float]]] = {}
     for run_ in runs:
         job, index, _ = run_["ref"]
@@ -258,7 +269,7 @@
 
 
 def assert_no_overcommit(runs: list[dict[str, Any]], cpus: float) -> None:
-    """Check that no worker ever had more than it has."""
+    """Check that no worker was ever assigned more than ``cpus``."""
     for worker in {r["worker"] for r in runs}:
         spans = [
             (r["start"], r["end"], r["cpus"]) for r in runs if r["worker"] == worker
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Runners that are slow, cut answers short or are about to leave."""
+"""Runners that respond late or are about to leave."""
 
 import asyncio
 
@@ -8,12 +8,11 @@
 
 
 @pytest.mark.row(5)
-def test_each_caller_gets_its_own_answer_though_some_come_late():
-    """Some answers come after their callers have stopped waiting.
+def test_late_response_is_not_matched_to_another_request():
+    """A late response must not be matched to the next request on the connection.
 
-    An answer that comes late must not be taken for the answer to the next
-    request on the same connection: a technician would see the certificate of
-    another firm.
+    Some responses arrive after their callers have timed out.  If one were taken for
+    the next response, a user would receive the data of another team.
     """
 
     async def scenario():
@@ -39,9 +38,9 @@
 
 @pytest.mark.row(8)
 def test_leaving_runner_gets_no_new_work():
-    """The platform says that a runner is about to be taken away.
+    """A runner that the instance list marks as leaving receives no new requests.
 
-    Work that it got after that would be cut when it goes.
+    Requests that it received would be cut when it is removed.
     """
 
     async def scenario():
@@ -49,7 +48,7 @@
             leaving = c.runners[0]
             leaving.list_entry["leaving"] = True
             await c.cluster.update_instances(leaving)
-            # The list lags and is polled; within these seconds it may get some.
+            # The list lags and is polled, so requests may arrive until it is read.
             await asyncio.sleep(2.0)
             before = len((await c.fetch(leaving, "/admin/runs"))["spans"])
             for n in range(40):
@@ -63,16 +62,17 @@
 
 
 @pytest.mark.row(8)
-def test_runner_that_says_it_leaves_is_left_alone_by_every_instance():
-    """A runner says in its answers that it takes no new work.
+def test_runner_that_announces_leaving_gets_no_requests_from_any_instance():
+    """A runner announces in its responses that it takes no new work.
 
-    One instance hears it; all must heed it, long before the list says so.
+    One instance receives the announcement.  All instances must stop sending it
+    requests, long before the instance list marks it as leaving.
     """
 
     async def scenario():
         async with cell(runners=2, entries=2) as c:
             await c.set_faults(c.runners[0], leaving=True)
-            # Side by side, so that both runners get some and the first says it.
+            # Sent concurrently, so that both runners receive some.
             quotes = (
                 c.request(c.entries[0], "GET", f"/r/logbook/quote?n={n}&ms=100")
                 for n in range(12)
--- a/tests/failures/test_instances.py
+++ b/tests/failures/test_instances.py
@@ -1,4 +1,4 @@
-"""Real processes over the model of the platform, on loopback."""
+"""Instances as processes over the model of the platform, on loopback."""
 
 import asyncio
 import signal
@@ -12,13 +12,13 @@
 
 
 def test_jobs_survive_the_lead_being_killed(tmp_path):
-    """The instance that leads the cell dies in the middle of its work.
+    """The lead of the cell is killed while jobs are running.
 
-    Another one takes the lead.  A user sees every accepted job end, and no task
-    runs twice.
+    Another instance takes over.  Every accepted job completes, and no task runs
+    twice.
     """
 
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 3) as fleet:
             jobs = [f"{i:016x}" for i in range(12)]
             for job in jobs[:8]:
@@ -32,31 +32,31 @@
             await until(lambda: fleet.completed(jobs))
             assert fleet.model.checks.violations == []
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.row(2)
 @pytest.mark.proof
 def test_lead_paused_past_its_proof_starts_nothing_when_it_resumes(tmp_path):
-    """The machine of the lead stands still in the middle of its work, and resumes.
+    """The process of the lead is paused while jobs are running, and resumes.
 
-    By then another instance leads.  What the old lead still believes and sends must
-    not run a task a second time, and no job may be missing.
+    Its proof of leadership has expired, and another instance has taken over.  Orders
+    of the old lead must not run a task a second time, and every job must complete.
     """
 
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 3) as fleet:
             fleet.model.work_s = 2.0
             jobs = [f"{i:016x}" for i in range(12)]
             for job in jobs[:8]:
                 await fleet.submit(job)
             lead = next(p for p in fleet.all if p.leads())
-            await stop_for_a_while(fleet, lead, jobs[8:])
+            await pause_until_replaced(fleet, lead, jobs[8:])
             await until(lambda: fleet.completed(jobs))
             assert any(line["event"] == "lead.ended" for line in lead.lines)
             assert fleet.model.checks.violations == []
 
-    async def stop_for_a_while(fleet, lead, jobs):
+    async def pause_until_replaced(fleet, lead, jobs):
         fleet.all.remove(lead)
         lead.signal(signal.SIGSTOP)
         try:
@@ -72,17 +72,17 @@
             lead.signal(signal.SIGCONT)
             fleet.all.append(lead)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_stopped_instance_finishes_what_it_was_asked_and_ends_with_0(tmp_path):
-    """An instance is told to stop while callers are connected to it.
+def test_stopped_instance_finishes_its_requests_and_exits_with_0(tmp_path):
+    """An instance is stopped while callers are connected to it.
 
-    It must leave the balancer's rotation first and go on serving meanwhile; a
-    user must not see a connection cut.
+    It must first fail its readiness check, so that the load balancer removes it,
+    and keep serving meanwhile.  No connection may be cut.
     """
 
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 2) as fleet:
             process = fleet.all[0]
             await fleet.submit("00000000000000aa")
@@ -98,23 +98,23 @@
             events = {line["event"] for line in process.lines}
             assert {"instance.draining", "instance.stopped"} <= events
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_kept_connection_is_served_until_its_caller_lets_go_of_it(tmp_path):
-    """A caller keeps its connection open, and the instance is told to stop.
+def test_persistent_connection_is_served_while_the_instance_stops(tmp_path):
+    """An instance is stopped while a caller has an idle persistent connection.
 
-    The caller cannot know; its next request goes out on that connection when
-    the instance has left the balancer's rotation.  Were the connection closed in
-    the same moment, the user could not tell whether the job was accepted.
+    The caller sends its next request on that connection after the load balancer
+    has removed the instance.  If the connection were closed at that moment, the
+    caller could not know whether the request took effect.
     """
 
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 2) as fleet:
             process = fleet.all[0]
             await fleet.submit("00000000000000aa")
-            # The session keeps the connection on which readiness was asked as
-            # well; this one is the callers'.
+            # The session also keeps the connection of the readiness check; this
+            # opens the one on the callers' port.
             path = "/plan/00000000000000aa"
             assert (await fleet.call(process, "GET", path))[0] == 200
             process.signal(signal.SIGTERM)
@@ -124,17 +124,17 @@
                 assert (resp.status, resp.headers["Connection"]) == (200, "close")
             assert await asyncio.wait_for(process.process.wait(), 6.0) == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_caller_that_connected_as_the_sockets_close_is_served(tmp_path):
-    """A caller connects when an instance is about to close, and then sends.
+def test_caller_that_connects_as_the_sockets_close_is_served(tmp_path):
+    """A caller connects just before an instance closes its sockets, and then sends.
 
-    Its connection looked like one that nobody uses and was closed under the
-    request; the user could not tell whether the job was accepted.
+    The connection must not be closed as idle: if it were closed during the request,
+    the caller could not know whether the job was accepted.
     """
 
-    async def play():
+    async def scenario():
         model, reserved = HttpModel(), ReservedPorts()
         await model.start()
         ports = reserved.take(3)
@@ -163,27 +163,27 @@
                 return await asyncio.open_connection("127.0.0.1", port)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.05)
-        raise AssertionError("nobody listens")
+        raise AssertionError("the instance does not listen")
 
-    answer = asyncio.run(play())
+    answer = asyncio.run(scenario())
     assert answer.startswith(b"HTTP/1.1 ")
     assert b"Connection: close" in answer
 
 
-def test_instance_whose_logs_nobody_reads_goes_on_serving(tmp_path):
-    """Whoever collects the logs stalls, and the pipe to it fills up.
+def test_instance_keeps_serving_while_its_logs_are_not_read(tmp_path):
+    """The log collector stalls, and the pipe to it fills up.
 
-    A line that blocks would hold up the whole instance: callers would get no
-    answer any more, and no log would tell why.
+    A blocking write of a log line would stall the whole instance: callers would
+    receive no responses, and no log would show the reason.
     """
 
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 2) as fleet:
             process = fleet.all[0]
             process.stop_reading()
-            # Each of these is refused with a line of some 550 bytes, of which 400
-            # a second are written.  For three seconds at least that is more than
-            # the pipe, its reader and the instance hold together.
+            # Each refusal logs a line of about 550 bytes, of which 400 a second
+            # are written.  After three seconds that exceeds the buffers of the
+            # pipe, its reader and the instance together.
             path = "/plan/" + "x" * 300
             began = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() - began < 4.0:
@@ -193,17 +193,17 @@
 
             process.resume_reading()
 
-            async def told():
+            async def reported():
                 lines = [x for x in process.lines if x["event"] == "log.left_out"]
                 return any("unread" in line["lines"] for line in lines)
 
-            await until(told, 10.0)
+            await until(reported, 10.0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_bad_requests_are_refused_at_once_with_a_reason(tmp_path):
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, 1) as fleet:
             process = fleet.all[0]
             job = "/plan/00000000000000ab"
@@ -228,30 +228,31 @@
             status, body = await fleet.call(process, "GET", "/plan/")
             assert (status, body) == (200, b'{"pending":0}')
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_caller_who_connects_while_an_instance_is_starting_is_answered(tmp_path):
-    """All instances lost power, and their callers come back before they do.
+    """Callers connect while a process is still importing its modules.
 
-    Turned away while a process still imports, a caller has used up one of its few
-    tries; told to stop in that very moment, the process must not cut it either.
+    After a power loss callers return before the instances do.  A refused connection
+    would use up one of a caller's few attempts.  A process that is stopped while
+    starting must not cut the connection either.
     """
 
-    async def play():
-        async with Processes(tmp_path, 1) as cell:
-            process = cell.all[0]
+    async def scenario():
+        async with Processes(tmp_path, 1) as fleet:
+            process = fleet.all[0]
             for stopped in (False, True):
                 await process.end()
                 process.lines.clear()
                 await process.start()
-                asked = asyncio.create_task(ask_early(process))
+                request = asyncio.create_task(request_early(process))
                 await asyncio.wait_for(connected.wait(), 20)
                 connected.clear()
                 assert not any(x["event"] == "instance.started" for x in process.lines)
                 if stopped:
                     process.signal(signal.SIGTERM)
-                status = (await asyncio.wait_for(asked, 20)).split()[1]
+                status = (await asyncio.wait_for(request, 20)).split()[1]
                 assert status in (b"200", b"404", b"410", b"503")
                 if stopped:
                     assert await asyncio.wait_for(process.process.wait(), 20) == 0
@@ -260,7 +261,7 @@
 
     connected = asyncio.Event()
 
-    async def ask_early(process):
+    async def request_early(process):
         while True:
             try:
                 reader, writer = await asyncio.open_connection(
@@ -277,4 +278,4 @@
         writer.close()
         return answer
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/failures/test_keys_and_lists.py
+++ b/tests/failures/test_keys_and_lists.py
@@ -1,4 +1,4 @@
-"""Keys and lists: withdrawn is withdrawn, accepted is in force for good."""
+"""Withdrawn keys stay withdrawn, and accepted lists stay in force."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
 def test_key_withdrawn_elsewhere_is_refused_at_an_instance_without_the_log():
     """A zone cannot reach the platform when a leaked key is withdrawn.
 
-    Whoever has the leaked key must not get in through that zone: its
-    instances learn of the withdrawal from their peers.
+    The zone must refuse the key as well: its instances learn of the withdrawal
+    from their peers.
     """
 
     async def scenario():
@@ -31,8 +31,8 @@
 def test_zone_cut_from_everything_takes_no_new_charges():
     """A zone reaches neither the platform nor any other zone.
 
-    It cannot learn that a key was withdrawn.  It goes on with quotes for a
-    while, takes neither charges nor jobs, and at last refuses everything.
+    It cannot learn of withdrawn keys.  It serves quotes for a limited time, accepts
+    neither charges nor jobs, and finally refuses all requests.
     """
 
     async def scenario():
@@ -57,13 +57,13 @@
 
 
 async def version_of(cluster: Cluster, entry: Proc) -> int:
-    """Return the version in force at an instance."""
+    """Return the configuration version that is in force at an instance."""
     return (await cluster.call(entry, "GET", "/v1/config"))[1]["version"]
 
 
 @pytest.mark.row(10)
-def test_of_two_operators_that_race_one_wins_and_the_other_is_told():
-    """Two operators change the lists at the same moment at two instances."""
+def test_one_of_two_concurrent_changes_wins_and_the_other_gets_a_conflict():
+    """Two operators change the lists concurrently at two instances."""
 
     async def scenario():
         async with cell(entries=2) as c:
@@ -93,10 +93,10 @@
 @pytest.mark.row(10)
 @pytest.mark.proof
 def test_accepted_lists_stay_in_force_through_restarts_and_expired_records():
-    """Changes go on while records expire, the log fails and instances restart.
+    """The lists change while records expire, and an instance is killed.
 
-    A limit that an operator lowered must not come back because an instance
-    started anew from old records.
+    A new instance must not start from old records: it would restore a limit that
+    an operator has lowered.
     """
 
     async def scenario():
@@ -139,16 +139,15 @@
 
 @pytest.mark.row(10)
 @pytest.mark.proof
-def test_instance_that_starts_while_the_log_is_out_serves_from_its_peers():
-    """An instance is replaced while the platform's log is down.
+def test_instance_that_starts_while_the_log_is_down_serves_from_its_peers():
+    """An instance starts while the platform's log is down.
 
-    Callers whom the balancer sends there must be served, with the lists and
-    keys in force.
+    It must serve callers with the lists and keys in force.
     """
 
     async def scenario():
-        # Long enough that the rule for zones which can hear of no withdrawal,
-        # which has tests of its own, does not end the service here.
+        # Long enough that the zone is not considered stale, which other tests
+        # cover.
         stale = {"key_stale_s": 60, "key_stale_max_s": 900}
         async with cell(entries=2, runners=1, keys=stale) as c:
             await c.set_log_faults(log="down")
--- a/tests/failures/test_limits.py
+++ b/tests/failures/test_limits.py
@@ -1,4 +1,4 @@
-"""No team has more running than its upper limit, whatever fails."""
+"""No team exceeds its upper limit, whatever fails."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 
 
 async def flood(c: Cell, seconds: float) -> list[int]:
-    """Send far more than the limit through every instance; return statuses."""
+    """Send far more requests than the limit allows; return their statuses."""
     statuses: list[int] = []
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
@@ -28,7 +28,7 @@
 
 
 async def assert_limit_kept(c: Cell) -> None:
-    """Check what the runners saw, by the machine's one monotonic clock."""
+    """Check the concurrency at the runners, by the machine's monotonic clock."""
     spans = [(began, ended, 1.0) for _, began, ended in await c.request_spans()]
     assert spans
     assert peak_load(spans) <= LIMIT
@@ -36,7 +36,7 @@
 
 @pytest.mark.row(4)
 def test_team_stays_within_its_limit_over_two_zones():
-    """A team sends far more than it may to every instance at once."""
+    """A team sends far more requests than its limit to every instance."""
 
     async def scenario():
         async with cell(("lisboa", "porto"), runners=2, limit=LIMIT) as c:
@@ -51,10 +51,10 @@
 @pytest.mark.proof
 @pytest.mark.parametrize("how", ["kill", "pause", "cut"])
 def test_team_stays_within_its_limit_while_the_lead_fails(how):
-    """The lead that lends room under the limit dies, stands still or is cut.
+    """The lead that lends shares of the limit is killed, paused or cut off.
 
-    The next lead does not know what was lent.  Were it to lend it again, the
-    team would have more running than it pays for, at the others' cost.
+    The next lead does not know which shares are lent.  If it lent them again, the
+    team would exceed its limit at the cost of other teams.
     """
 
     async def scenario():
--- a/tests/failures/test_once.py
+++ b/tests/failures/test_once.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests run at most once, and refusals say the truth."""
+"""Non-idempotent requests run at most once, and refusals are true."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 
 
 def charge(key: str, body: str) -> dict:
-    """Return the arguments of a keyed charge."""
+    """Return the arguments of a charge with an idempotency key."""
     return {"headers": {"Idempotency-Key": key}, "data": body}
 
 
 @pytest.mark.row(7)
 def test_keyed_charge_sent_through_two_instances_runs_once():
-    """A caller's connection breaks and it sends its charge again.
+    """A caller's connection breaks, and it repeats its charge.
 
-    The balancer gives the repeat to another instance.  The customer must be
-    charged once, and the caller must learn the outcome of that one charge.
+    The load balancer sends the repetition to another instance.  The charge must run
+    once, and the caller must receive its outcome.
     """
 
     async def scenario():
@@ -35,7 +35,7 @@
 
 
 async def send_until_settled(c: Cell, entries: list, n: int, refused: list) -> None:
-    """Send a charge through one instance after the other, as a caller would."""
+    """Send a charge through one instance after another until it succeeds."""
     for i in range(8):
         entry = entries[(n + i) % len(entries)]
         kw = charge(f"key {n}", f"charge {n}")
@@ -50,9 +50,9 @@
 @pytest.mark.row(7)
 @pytest.mark.proof
 def test_charges_repeated_while_instances_are_killed_run_at_most_once():
-    """Instances die while they have charges in hand; callers send them again.
+    """An instance is killed while it processes charges, and callers repeat them.
 
-    A customer who is charged twice for one renewal notices on her statement.
+    Each charge must run once, so that no customer is charged twice.
     """
 
     async def scenario():
@@ -74,11 +74,11 @@
 @pytest.mark.row(6)
 @pytest.mark.proof
 @pytest.mark.parametrize("fault", ["down", "lose-answers", "hang"])
-def test_refusal_that_says_not_run_is_true_while_the_log_fails(fault):
-    """The platform's log is out, hangs or loses its answers during charges.
+def test_refusal_as_not_run_is_true_while_the_log_fails(fault):
+    """The platform's log is down, hangs or loses its responses during charges.
 
-    The caller is told that a charge was not run and acts on it, by another
-    way; had it run all the same, the customer would pay twice.
+    A caller that receives ``ran: no`` makes the charge in another way.  If it had
+    run nevertheless, the customer would pay twice.
     """
 
     async def scenario():
@@ -91,28 +91,28 @@
                 status, data = await c.request(entry, "POST", CHARGE, **kw)
                 if status != 200 and status:
                     refusals[n] = data["ran"]
-                    # It cannot know of attempts through other instances.
+                    # The instance cannot know of attempts through others.
                     assert data["ran"] != "no" or data["earlier_attempts"] == "unknown"
 
             await c.set_log_faults(log=fault)
             await asyncio.gather(*(once(n) for n in range(10)))
             await c.set_log_faults(log="ok")
-            # What was under way may land now; time to show whether it runs.
+            # Pending appends may succeed now and must not start a run.
             await asyncio.sleep(3.0)
             counts = await c.run_counts()
             assert max(counts.values(), default=1) == 1
-            told_no = [n for n, ran in refusals.items() if ran == "no"]
-            assert [n for n in told_no if f"charge {n}" in counts] == []
+            not_run = [n for n, ran in refusals.items() if ran == "no"]
+            assert [n for n in not_run if f"charge {n}" in counts] == []
 
     run_scenario(scenario)
 
 
 @pytest.mark.row(7)
-def test_charge_whose_answer_is_cut_is_not_sent_again():
-    """The runner charges the customer and dies before it has answered.
+def test_charge_whose_response_is_lost_is_not_sent_again():
+    """The runner makes a charge and closes the connection without a response.
 
-    firhook cannot know whether the charge was made.  It must say so, and must
-    not try another runner.
+    firhook cannot know whether the charge was made.  It must report ``ran: unknown``
+    and must not try another runner.
     """
 
     async def scenario():
--- a/tests/failures/test_rolling_restart.py
+++ b/tests/failures/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Every instance is replaced under load, one after the other."""
+"""Rolling restarts of all instances under load."""
 
 import asyncio
 import itertools
@@ -11,11 +11,11 @@
 
 
 class Clients:
-    """Callers behind a balancer that sees a stop only when a connect is refused.
+    """Callers behind a load balancer that removes an instance on a refused connection.
 
-    Each posts one entry after the other and checks that the answer is whole
-    and its own.  Posts are not sent again by any library, so a connection that
-    is closed under a request shows.
+    Each posts entries one after another and checks that it receives the complete
+    response to its own request.  No library repeats a POST, so that a connection
+    closed during a request is detected.
     """
 
     def __init__(self, key: str, entries: list) -> None:
@@ -26,22 +26,22 @@
         self._numbers = itertools.count()
 
     async def run(self, count: int) -> None:
-        """Run callers until told to stop."""
+        """Run callers until ``stopping`` is set."""
         async with asyncio.TaskGroup() as group:
             for i in range(count):
                 group.create_task(self._caller(i))
 
-    async def _caller(self, turn: int) -> None:
+    async def _caller(self, number: int) -> None:
         async with aiohttp.ClientSession() as http:
             while not self.stopping:
-                turn += 1
-                entry = self.entries[turn % len(self.entries)]
+                number += 1
+                entry = self.entries[number % len(self.entries)]
                 self.outcomes[await self._post(http, entry)] += 1
 
     async def _post(self, http: aiohttp.ClientSession, entry) -> str:
         n = str(next(self._numbers))
-        # One in eight outlasts the time that a web server gives to handlers
-        # when it is closed without having been drained.
+        # One in eight takes longer than a web server waits for its handlers when
+        # it is closed without a drain.
         ms = 3500 if int(n) % 8 == 0 else 20
         url = f"http://{entry.ports['gateway']}/r/logbook/entries?ms={ms}&n={n}"
         headers = {"Authorization": f"Bearer {self.key}"}
@@ -63,7 +63,7 @@
 
 
 async def restart_each(rounds: int, zones: tuple[str, ...], callers: int) -> Counter:
-    """Replace every instance so many times under load; return the outcomes."""
+    """Replace every instance ``rounds`` times under load; return the outcomes."""
     async with cell(zones, entries=2, runners=2) as c:
         clients = Clients(c.key, c.entries[:])
         load = asyncio.create_task(clients.run(callers))
@@ -83,21 +83,19 @@
 
 
 def assert_nothing_cut(outcomes: Counter) -> None:
-    """Check that each answer was whole, or truly said that nothing ran."""
+    """Check that every request was served, not connected or refused as not run."""
     for outcome in outcomes:
-        fine = outcome in ("whole", "not connected")
-        assert fine or outcome.startswith("refused as not run"), outcomes
+        expected = outcome in ("whole", "not connected")
+        assert expected or outcome.startswith("refused as not run"), outcomes
     assert outcomes["whole"] > 50, outcomes
 
 
 @pytest.mark.row(9)
-def test_kept_connection_is_served_until_its_caller_lets_go_of_it():
-    """A caller keeps its connection open between two entries, and the instance
-    is stopped in between.
+def test_persistent_connection_is_served_while_the_instance_stops():
+    """An instance is stopped while a caller has an idle persistent connection.
 
-    The caller cannot know; its next entry goes out on that connection.  Were it
-    closed in the same moment, the installer could not tell whether the entry is
-    recorded.
+    The caller sends its next entry on that connection.  If the connection were
+    closed at that moment, the caller could not know whether the entry is recorded.
     """
 
     async def scenario() -> tuple[int, str]:
@@ -120,9 +118,9 @@
 
 @pytest.mark.row(9)
 def test_rolling_restart_cuts_no_request():
-    """Operators replace both instances one after the other while callers post
-    logbook entries through them.  An entry whose request is cut is one that its
-    installer cannot tell to be recorded or not.
+    """Both instances are replaced in turn while callers post entries through them.
+
+    If a request were cut, its caller could not know whether the entry is recorded.
     """
     outcomes = asyncio.run(restart_each(1, ("porto",), 8))
     print(dict(outcomes))
@@ -132,7 +130,7 @@
 @pytest.mark.row(9)
 @pytest.mark.proof
 def test_rolling_restarts_of_two_zones_cut_no_request():
-    """The same three times over, with four instances in two zones."""
+    """Four instances in two zones are replaced in turn, three times."""
     outcomes = asyncio.run(restart_each(3, ("porto", "lisboa"), 24))
     print(dict(outcomes))
     assert_nothing_cut(outcomes)
--- a/tests/failures/test_soak.py
+++ b/tests/failures/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, by a few seeds; ``python -m standins.soak`` plays any others."""
+"""The soak with a few seeds; ``python -m standins.soak`` runs any others."""
 
 import asyncio
 
@@ -6,24 +6,25 @@
 
 from standins.soak import run_seed
 
-#: Seeds that failed once, each with how long faults came, and the cause.
-KEPT = {
-    # Told to stop while the store was slow to be told of it, an instance took
-    # longer than the platform waits, and was killed under its callers.
+#: Seeds that once failed, with the seconds of faults and the cause.
+REGRESSION_SEEDS = {
+    # An instance was stopped while the store was slow.  Announcing the stop took
+    # longer than the platform's grace period, so it was killed while serving.
     7: 15.0,
-    # Asked for a job while records expired under its reading, an instance passed
-    # the store's "gone" on as "no such job".
+    # Records expired while an instance was reading them for a query of a job.  It
+    # returned the store's "gone" as "no such job".
     202: 15.0,
 }
 
 
-@pytest.mark.parametrize(("seed", "seconds"), [*KEPT.items(), (101, 8.0)])
-def test_promises_hold_while_faults_come_one_over_the_other(tmp_path, seed, seconds):
-    """Instances are killed, stopped, paused and cut off from the store, workers
-    restart, and the store is slow or loses answers, some of it at once.
+@pytest.mark.parametrize(("seed", "seconds"), [*REGRESSION_SEEDS.items(), (101, 8.0)])
+def test_guarantees_hold_under_overlapping_faults(tmp_path, seed, seconds):
+    """Instances, workers and the store fail, with overlapping faults.
 
-    A user sees requests refused or answered late; none that was accepted is
-    lost, no task runs twice, and a key that was withdrawn is served no more.
+    Instances are killed, stopped, paused and cut off from the store, workers
+    restart, and the store is slow or loses responses.  Requests may be refused or
+    served late.  No accepted job is lost, no task runs twice, and a withdrawn key
+    is refused.
     """
     report = asyncio.run(run_seed(seed, tmp_path, seconds))
     assert report.violations == (), report.history
--- a/tests/failures/test_workers.py
+++ b/tests/failures/test_workers.py
@@ -1,4 +1,4 @@
-"""Tasks on workers: never twice at once, never above a worker, finished."""
+"""Tasks run once at a time, within the capacity of workers, and finish."""
 
 import asyncio
 import signal
@@ -14,11 +14,11 @@
 
 
 @pytest.mark.row(2)
-def test_blend_plan_finishes_once_though_the_lead_is_killed():
-    """The instance that leads the zone dies while blend plans run at night.
+def test_tasks_finish_once_though_the_lead_is_killed():
+    """The lead of the zone is killed while tasks are running.
 
-    Nobody is there to restart them: they must go on or start elsewhere by
-    themselves, and at no time run in two places.
+    The tasks must continue or restart elsewhere without an operator, and must never
+    run in two places at once.
     """
 
     async def scenario():
@@ -40,10 +40,10 @@
 @pytest.mark.row(2)
 @pytest.mark.proof
 def test_lead_paused_past_its_lease_starts_nothing_when_it_resumes():
-    """The machine of the zone's lead stands still and goes on much later.
+    """The process of the zone's lead is paused and resumes much later.
 
-    By then another instance leads.  What the old lead still believes and
-    sends must not run a reconciliation a second time.
+    Another instance has taken over meanwhile.  Orders of the old lead must not run
+    a task a second time.
     """
 
     async def scenario():
@@ -68,10 +68,10 @@
 @pytest.mark.row(2)
 @pytest.mark.proof
 def test_batch_work_of_a_lost_zone_finishes_in_another_zone():
-    """A whole zone is lost in the night: its instances and its workers.
+    """A zone is lost with its instances and workers.
 
-    In the morning the reconciliation must be done, from its checkpoint, in
-    another zone, without anybody having done anything.
+    Its batch job must finish in another zone, from its checkpoint, without an
+    operator.
     """
 
     async def scenario():
@@ -90,22 +90,22 @@
 @pytest.mark.row(2)
 @pytest.mark.proof
 def test_zone_cut_and_healed_runs_no_task_twice():
-    """A zone is parted from all else for a while and then comes back.
+    """A zone is partitioned from everything else, and the partition heals.
 
-    Its lead renews its tasks for a time, then lets them stop; another zone
-    takes the work over.  Back again, the old lead must not go on with it.
+    Its lead renews its tasks for a limited time and then lets them stop.  Another
+    zone takes over the job.  After the partition the old lead must not continue it.
     """
 
     async def scenario():
         zones = ("lisboa", "porto")
         async with cell(zones, entries=1, workers=2, links=True) as c:
-            away, here = c.running_entries("lisboa")[0], c.running_entries("porto")[0]
-            await c.submit(away, job_id="plan", tasks=4, run_s=25.0, cpus=4)
+            lost, other = c.running_entries("lisboa")[0], c.running_entries("porto")[0]
+            await c.submit(lost, job_id="plan", tasks=4, run_s=25.0, cpus=4)
             await asyncio.sleep(2.0)
             c.cluster.cut_zone("lisboa")
             await asyncio.sleep(16.0)
             c.cluster.heal_zone("lisboa")
-            await c.wait_until_done(here, "plan", 100.0)
+            await c.wait_until_done(other, "plan", 100.0)
             assert_no_double_run(await c.fetch_task_runs())
 
     run_scenario(scenario, 200.0)
@@ -113,9 +113,9 @@
 
 @pytest.mark.row(1)
 def test_workers_are_never_given_more_than_they_have():
-    """More work than fits is submitted while the lead changes.
+    """The lead changes while more work is submitted than the workers can run.
 
-    A worker given more than it has would kill tasks for want of memory.
+    A worker with more tasks than its capacity would kill some for lack of memory.
     """
 
     async def scenario():
@@ -139,10 +139,10 @@
 
 @pytest.mark.row(2)
 @pytest.mark.proof
-def test_worker_that_restarts_gets_its_tasks_again_from_the_log():
-    """A worker is restarted and has forgotten its tasks.
+def test_tasks_of_a_lost_worker_start_again_and_finish():
+    """A worker is lost with its tasks.
 
-    Its tasks must start again, there or elsewhere, and finish.
+    They must start again elsewhere and finish.
     """
 
     async def scenario():
