--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -131,9 +131,9 @@
     path = "/r/subscriptions/quote?n=7"
     status, quote = await cluster.call(entries[2], "GET", path, key=key)
     check("the quote is returned", (status, quote.get("n")) == (200, "7"), quote)
-    answers = []
+    responses = []
     for entry in (entries[0], entries[3]):
-        answers.append(
+        responses.append(
             await cluster.call(
                 entry,
                 "POST",
@@ -143,7 +143,7 @@
                 headers={"Idempotency-Key": "charge-41"},
             )
         )
-    check("both charges get the same response", answers[0] == answers[1], answers)
+    check("both charges get the same response", responses[0] == responses[1], responses)
     runs = 0
     assert cluster.http is not None
     for proc in cluster.procs.values():
--- a/tests/failures/cells.py
+++ b/tests/failures/cells.py
@@ -61,11 +61,11 @@
         s: {**SHORT_TIMINGS.get(s, {}), **overrides.get(s, {})} for s in SHORT_TIMINGS
     }
     async with Cluster(zones, settings, links=links) as cluster:
-        made = Cell(cluster)
+        new_cell = Cell(cluster)
         # Start them concurrently: a dozen interpreters in sequence would take
         # longer than the test itself.
         of_zone = [(zone, i) for zone in zones for i in range(64)]
-        made.runners, made.workers, made.entries = await asyncio.gather(
+        new_cell.runners, new_cell.workers, new_cell.entries = await asyncio.gather(
             asyncio.gather(
                 *(
                     cluster.add_runner(f"{zone}-runner-{i}", zone, "logbook")
@@ -88,9 +88,9 @@
                 )
             ),
         )
-        await cluster.wait_ready(*made.entries)
-        made.key = await made.set_up(limit)
-        yield made
+        await cluster.wait_ready(*new_cell.entries)
+        new_cell.key = await new_cell.set_up(limit)
+        yield new_cell
 
 
 class Cell:
@@ -133,10 +133,10 @@
     ) -> None:
         """Wait until an entry responds with a status."""
 
-        async def answers(proc: Proc) -> bool:
+        async def has_status(proc: Proc) -> bool:
             return (await self.cluster.call(proc, method, path, key=key))[0] == wanted
 
-        await self.cluster.wait_until(entry, answers, 40.0)
+        await self.cluster.wait_until(entry, has_status, 40.0)
 
     async def request(
         self, entry: Proc, method: str, path: str, **kw: Any
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -25,13 +25,13 @@
                 headers = {"X-Deadline-Ms": str(deadline)}
                 return (n, *await c.request(c.entries[0], "GET", path, headers=headers))
 
-            answers = []
+            responses = []
             for start in range(0, 60, 6):
                 batch = range(start, start + 6)
-                answers += await asyncio.gather(*(ask(n) for n in batch))
-            whole = [(n, data) for n, status, data in answers if status == 200]
-            assert len(whole) >= 20
-            assert [n for n, data in whole if data["n"] != str(n)] == []
+                responses += await asyncio.gather(*(ask(n) for n in batch))
+            served = [(n, data) for n, status, data in responses if status == 200]
+            assert len(served) >= 20
+            assert [n for n, data in served if data["n"] != str(n)] == []
 
     run_scenario(scenario)
 
--- a/tests/failures/test_instances.py
+++ b/tests/failures/test_instances.py
@@ -148,14 +148,14 @@
                 closing = asyncio.create_task(instance.services["callers"].on_stop())
                 await asyncio.sleep(0.1)
                 writer.write(b"GET /plan/00000000000000aa HTTP/1.1\r\nHost: x\r\n\r\n")
-                answer = await asyncio.wait_for(reader.read(), 3.0)
+                response = await asyncio.wait_for(reader.read(), 3.0)
                 writer.close()
                 await closing
             finally:
                 await instance.stop()
         reserved.close()
         await model.stop()
-        return answer
+        return response
 
     async def connected(port):
         for _ in range(100):
@@ -165,9 +165,9 @@
                 await asyncio.sleep(0.05)
         raise AssertionError("the instance does not listen")
 
-    answer = asyncio.run(scenario())
-    assert answer.startswith(b"HTTP/1.1 ")
-    assert b"Connection: close" in answer
+    response = asyncio.run(scenario())
+    assert response.startswith(b"HTTP/1.1 ")
+    assert b"Connection: close" in response
 
 
 def test_instance_keeps_serving_while_its_logs_are_not_read(tmp_path):
@@ -274,8 +274,8 @@
         lines = ["GET /plan/00000000000000ab HTTP/1.1", "Connection: close"]
         lines += [f"{name}: {value}" for name, value in KEY.items()]
         writer.write("\r\n".join([*lines, "", ""]).encode())
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        return answer
+        return response
 
     asyncio.run(scenario())
--- a/tests/failures/test_keys_and_lists.py
+++ b/tests/failures/test_keys_and_lists.py
@@ -18,10 +18,10 @@
 
     async def scenario():
         async with cell(("lisboa", "porto"), entries=1, runners=1, links=True) as c:
-            cut = c.running_entries("porto")[0]
+            cut_entry = c.running_entries("porto")[0]
             c.cluster.cut_zone("porto", platform_only=True)
             await c.operator_call("DELETE", f"/v1/keys/{c.key_id}")
-            await c.wait_for_status(cut, "GET", "/r/logbook/quote", c.key, 401)
+            await c.wait_for_status(cut_entry, "GET", "/r/logbook/quote", c.key, 401)
 
     run_scenario(scenario)
 
@@ -37,20 +37,20 @@
 
     async def scenario():
         async with cell(("lisboa", "porto"), entries=1, runners=1, links=True) as c:
-            cut = c.running_entries("porto")[0]
+            cut_entry = c.running_entries("porto")[0]
             c.cluster.cut_zone("porto")
             await asyncio.sleep(4.0)
-            status, data = await c.request(cut, "POST", "/r/logbook/e", data="x")
+            status, data = await c.request(cut_entry, "POST", "/r/logbook/e", data="x")
             assert (status, data["code"], data["ran"]) == (503, "zone.stale", "no")
             status, data = await c.request(
-                cut, "POST", "/v1/jobs", json={"job_id": "j"}
+                cut_entry, "POST", "/v1/jobs", json={"job_id": "j"}
             )
             assert (status, data["ran"]) == (503, "no")
-            status, _ = await c.request(cut, "GET", "/r/logbook/quote")
+            status, _ = await c.request(cut_entry, "GET", "/r/logbook/quote")
             assert status == 200
-            await c.wait_for_status(cut, "GET", "/r/logbook/quote", c.key, 503)
+            await c.wait_for_status(cut_entry, "GET", "/r/logbook/quote", c.key, 503)
             c.cluster.heal_zone("porto")
-            await c.wait_for_status(cut, "GET", "/r/logbook/quote", c.key, 200)
+            await c.wait_for_status(cut_entry, "GET", "/r/logbook/quote", c.key, 200)
             assert "x" not in await c.run_counts()
 
     run_scenario(scenario)
@@ -73,13 +73,13 @@
                     {"list_name": "teams", "name": "faro", "values": {"plan": "small"}}
                 ],
             }
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(c.cluster.call(e, "POST", "/v1/config", json=body) for e in c.entries)
             )
-            assert sorted(status for status, _ in answers) == [200, 409]
-            loser = next(data for status, data in answers if status == 409)
-            assert loser["code"] == "config.conflict"
-            assert loser["changed"] == ["teams/faro"]
+            assert sorted(status for status, _ in responses) == [200, 409]
+            conflict = next(data for status, data in responses if status == 409)
+            assert conflict["code"] == "config.conflict"
+            assert conflict["changed"] == ["teams/faro"]
 
             async def in_force(entry: Proc) -> bool:
                 return await version_of(c.cluster, entry) == 2
--- a/tests/failures/test_limits.py
+++ b/tests/failures/test_limits.py
@@ -29,7 +29,10 @@
 
 async def assert_limit_kept(c: Cell) -> None:
     """Check the concurrency at the runners, by the machine's monotonic clock."""
-    spans = [(began, ended, 1.0) for _, began, ended in await c.request_spans()]
+    spans = [
+        (started_at, ended_at, 1.0)
+        for _, started_at, ended_at in await c.request_spans()
+    ]
     assert spans
     assert peak_load(spans) <= LIMIT
 
--- a/tests/failures/test_once.py
+++ b/tests/failures/test_once.py
@@ -85,7 +85,7 @@
         async with cell(runners=1) as c:
             refusals = {}
 
-            async def once(n: int) -> None:
+            async def send_charge(n: int) -> None:
                 kw = charge(f"key {n}", f"charge {n}")
                 entry = c.entries[n % 2]
                 status, data = await c.request(entry, "POST", CHARGE, **kw)
@@ -95,7 +95,7 @@
                     assert data["ran"] != "no" or data["earlier_attempts"] == "unknown"
 
             await c.set_log_faults(log=fault)
-            await asyncio.gather(*(once(n) for n in range(10)))
+            await asyncio.gather(*(send_charge(n) for n in range(10)))
             await c.set_log_faults(log="ok")
             # Pending appends may succeed now and must not start a run.
             await asyncio.sleep(3.0)
