--- a/scripts/_run.py
+++ b/scripts/_run.py
@@ -1,4 +1,4 @@
-"""Running measures, and saying which run the lines came from."""
+"""Runs the measures and records the environment of the run."""
 
 import json
 import os
@@ -10,12 +10,12 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-RUN = "run"
-#: The longest that one measure may take; a stuck one must not hold the page up.
+RUN_MEASURE = "run"
+#: Limit for a single measure, so that a stuck one does not block the page.
 TIMEOUT_S = 300.0
 
 
-def _command(*args: str) -> subprocess.CompletedProcess[str]:
+def _run_bench(*args: str) -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONPATH": os.pathsep.join((str(ROOT / "src"), str(ROOT)))}
     return subprocess.run(
         [sys.executable, "-m", "bench", *args],
@@ -27,13 +27,13 @@
     )
 
 
-def names() -> list[str]:
+def measure_names() -> list[str]:
     """Return the names of all measures."""
-    return _command("--list").stdout.split()
+    return _run_bench("--list").stdout.split()
 
 
-def run_line() -> dict[str, Any]:
-    """Return what the run that follows is made on."""
+def run_record() -> dict[str, Any]:
+    """Return the commit, Python version and processors of the run that follows."""
     commit = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=ROOT,
@@ -41,7 +41,7 @@
         text=True,
     ).stdout.strip()
     return {
-        "measure": RUN,
+        "measure": RUN_MEASURE,
         "commit": commit or "unknown",
         "python": platform.python_version(),
         "processors": os.cpu_count(),
@@ -49,16 +49,16 @@
 
 
 def run_all(chosen: Sequence[str]) -> list[dict[str, Any]]:
-    """Run measures one after another and return their lines.
+    """Run measures one after another and return their output lines.
 
-    A measure that fails leaves a line that says so, so that the page shows it
-    instead of leaving it out.
+    A failed measure adds a line with its error, so that the page shows the failure
+    instead of omitting the measure.
     """
-    lines = [run_line()]
+    lines = [run_record()]
     for name in chosen:
         print(name, file=sys.stderr, flush=True)
         try:
-            done = _command(name)
+            done = _run_bench(name)
         except subprocess.TimeoutExpired:
             lines.append({"measure": name, "failed": f"no end after {TIMEOUT_S:g} s"})
             continue
@@ -70,20 +70,20 @@
 
 
 def write_lines(file: Path, lines: Iterable[dict[str, Any]]) -> None:
-    """Keep lines in a file."""
+    """Write lines to a file as JSON."""
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_text("".join(json.dumps(line) + "\n" for line in lines))
 
 
 def read_lines(file: Path) -> list[dict[str, Any]]:
-    """Return the lines that a file keeps."""
+    """Read the lines of a JSON lines file."""
     return [json.loads(line) for line in file.read_text().splitlines() if line]
 
 
-def run_text(lines: Sequence[dict[str, Any]]) -> str:
-    """Return in words which run the lines came from."""
+def describe_run(lines: Sequence[dict[str, Any]]) -> str:
+    """Return a sentence on the run that produced the lines."""
     for line in lines:
-        if line["measure"] == RUN:
+        if line["measure"] == RUN_MEASURE:
             return (
                 f"The figures are of one run at commit `{line['commit']}`, Python "
                 f"{line['python']}, on a machine of {line['processors']} processors "
--- a/scripts/proof.py
+++ b/scripts/proof.py
@@ -1,8 +1,9 @@
-"""Runs the proofs of what must always hold and prints one line for each.
+"""Runs the tests of the guaranteed properties and prints a line for each.
 
-Each line of the brief has a number; tests say by ``@pytest.mark.row(n)`` which
-line they show.  Prints for each line how many of its tests passed and failed,
-and last ``N held, M broken, K not run``; exits with 1 if any is broken.
+Each property has a number; ``@pytest.mark.row(n)`` marks the tests that verify it.
+The script prints how many tests of each property passed, failed and were skipped,
+and finally ``N held, M broken, K not run``.  It exits with 1 if any property is
+broken.
 """
 
 import sys
@@ -14,7 +15,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-LINES = {
+PROPERTIES = {
     1: "No worker is ever given more than it has",
     2: "An exclusive task never runs in two places at once",
     3: "Work only for the team of the key; a withdrawn key stops within seconds",
@@ -28,34 +29,37 @@
 }
 
 
-class Rows:
-    """Collects the outcomes of tests by the line that they show."""
+class RowOutcomes:
+    """Collects test outcomes by property.
+
+    :ivar rows_by_test: numbers of the properties that each test verifies.
+    """
 
     def __init__(self) -> None:
-        self.row_of: dict[str, list[int]] = {}
+        self.rows_by_test: dict[str, list[int]] = {}
         self.outcomes: dict[int, Counter[str]] = defaultdict(Counter)
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Note which lines each test shows."""
+        """Record which properties each test verifies."""
         for item in items:
             rows = [mark.args[0] for mark in item.iter_markers("row")]
-            self.row_of[item.nodeid] = rows
+            self.rows_by_test[item.nodeid] = rows
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Count an outcome."""
+        """Count the outcome of a test."""
         if report.when != "call" and report.passed:
             return
-        for row in self.row_of.get(report.nodeid, ()):
+        for row in self.rows_by_test.get(report.nodeid, ()):
             self.outcomes[row][report.outcome] += 1
 
 
 def main(args: list[str]) -> int:
-    """Run the proofs; further arguments go to pytest."""
-    rows = Rows()
+    """Run the tests and print the results; pytest receives further arguments."""
+    rows = RowOutcomes()
     pytest.main(["tests", "spec", "-q", "-m", "row", *args], plugins=[rows])
     held = broken = not_run = 0
     print()
-    for number, text in LINES.items():
+    for number, text in PROPERTIES.items():
         seen = rows.outcomes[number]
         if seen["failed"]:
             verdict, broken = "BROKEN", broken + 1
--- a/spec/limit_transfer.py
+++ b/spec/limit_transfer.py
@@ -1,8 +1,8 @@
-"""A team's limit, split over two zones and moved between them by record.
+"""A team's limit, divided between two zones and transferred by records.
 
-The giver's lead lowers its part, then appends; the answer may be lost, and the
-record may land late or never.  The receiver raises its part when it reads the
-record.  What runs in each zone starts and ends freely under its part.
+The giver's lead lowers its part and then appends the transfer.  The response may
+be lost, and the record may be appended late or never.  The receiver raises its part
+when it reads the record.  In each zone work starts and ends freely within its part.
 """
 
 from typing import Any, ClassVar
@@ -13,7 +13,7 @@
 
 
 class LimitTransfer(Model):
-    """At no time does more run over both zones than the limit."""
+    """The work that runs in both zones never exceeds the limit."""
 
     variables: ClassVar[dict[str, type]] = {
         "limit": int,
@@ -26,7 +26,7 @@
         "landed": bool,
         "giver_doubts": bool,
     }
-    defects: ClassVar[tuple[str, ...]] = (
+    safeguards: ClassVar[tuple[str, ...]] = (
         "giver lowers first",
         "unknown is not failed",
         "part covers what runs",
@@ -34,7 +34,7 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: the parts add up to the limit."""
+        """Return the initial condition: the parts sum to the limit."""
         return z3.And(
             s["limit"] >= 0,
             s["giver_part"] >= 0,
@@ -55,8 +55,8 @@
         idle = z3.And(z3.Not(s["out"]), z3.Not(s["landed"]))
         moved = s["giver_part"] - 1
         covered = self.guarded("part covers what runs", spare >= 1)
-        lowered = s["giver_part"] if self.defect == "giver lowers first" else moved
-        still = yes if self.defect == "receiver reads once" else no
+        lowered = s["giver_part"] if self.omitted == "giver lowers first" else moved
+        still = yes if self.omitted == "receiver reads once" else no
         actions = {
             "work starts at the giver": (
                 s["giver_runs"] < s["giver_part"],
@@ -89,9 +89,9 @@
                 },
             ),
         }
-        if self.defect == "giver lowers first":
+        if self.omitted == "giver lowers first":
             actions["giver reads it"] = (s["landed"], {"giver_part": moved})
-        if self.defect == "unknown is not failed":
+        if self.omitted == "unknown is not failed":
             actions["giver takes it back"] = (
                 s["giver_doubts"],
                 {"giver_part": s["giver_part"] + s["amount"], "giver_doubts": no},
@@ -99,5 +99,5 @@
         return actions
 
     def bad(self, s: State) -> Any:
-        """Return the limit exceeded."""
+        """Return the bad states: the limit is exceeded."""
         return s["giver_runs"] + s["receiver_runs"] > s["limit"]
--- a/spec/once_claim.py
+++ b/spec/once_claim.py
@@ -1,8 +1,8 @@
-"""One keyed request: claims, dispatch, outcome, inquiry and release.
+"""A request with an idempotency key: claims, dispatch, inquiry and release.
 
-The caller sends its request through instance A and, having heard nothing,
-again through B.  Appends land late or never; A may pause anywhere or vanish.
-B may ask A whether it sent the request.
+The caller sends its request through instance A and, without a response, again
+through B.  Appends take effect late or never.  A may pause at any point or crash.
+B may ask A whether A has sent the request.
 """
 
 from typing import Any, ClassVar
@@ -15,10 +15,10 @@
 
 
 class OnceClaim(Model):
-    """The request runs at most once, and a refusal ``ran: no`` is true."""
+    """The request runs at most once, and ``ran: no`` in a refusal is true."""
 
     variables: ClassVar[dict[str, type]] = {
-        # The log: who holds the claim, and whether its outcome is there.
+        # The instance whose claim is effective, according to the log.
         "holder": int,
         "a_claim_out": bool,
         "b_claim_out": bool,
@@ -32,7 +32,7 @@
         "a_told_no": bool,
         "runs": int,
     }
-    defects: ClassVar[tuple[str, ...]] = (
+    safeguards: ClassVar[tuple[str, ...]] = (
         "read back before dispatch",
         "first by offset",
         "saying unsent voids the claim",
@@ -41,21 +41,21 @@
     )
 
     def init(self, s: State) -> Any:
-        """Return the start: nothing claimed, nothing sent."""
+        """Return the initial condition: nothing is claimed, nothing is sent."""
         falses = [z3.Not(v) for n, v in s.items() if self.variables[n] is bool]
         return z3.And(s["holder"] == NOBODY, s["runs"] == 0, *falses)
 
     def actions(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
         """Return the actions of A, of B and of the log."""
-        return {**self._a(s), **self._b(s)}
+        return {**self._a_actions(s), **self._b_actions(s)}
 
-    def _lands(self, s: State, who: int) -> Any:
-        """Return the holder after a claim lands: the first by offset wins."""
-        if self.defect == "first by offset":
+    def _holder_after_claim(self, s: State, who: int) -> Any:
+        """Return the holder after a claim is appended: the first by offset wins."""
+        if self.omitted == "first by offset":
             return z3.IntVal(who)
         return z3.If(s["holder"] == NOBODY, z3.IntVal(who), s["holder"])
 
-    def _a(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
+    def _a_actions(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
         yes, no = z3.BoolVal(True), z3.BoolVal(False)
         knows = self.guarded("read back before dispatch", s["a_knows_first"])
         claimed = z3.Or(s["a_claim_out"], s["a_knows_first"])
@@ -70,7 +70,7 @@
             ),
             "A's claim lands": (
                 s["a_claim_out"],
-                {"a_claim_out": no, "holder": self._lands(s, BY_A)},
+                {"a_claim_out": no, "holder": self._holder_after_claim(s, BY_A)},
             ),
             "A reads that it is first": (
                 s["holder"] == BY_A,
@@ -90,7 +90,7 @@
             ),
         }
 
-    def _b(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
+    def _b_actions(self, s: State) -> dict[str, tuple[Any, dict[str, Any]]]:
         yes, no = z3.BoolVal(True), z3.BoolVal(False)
         unsent = self.guarded("only the unsent is released", s["a_said_unsent"])
         return {
@@ -113,7 +113,7 @@
             ),
             "B's claim lands": (
                 s["b_claim_out"],
-                {"b_claim_out": no, "holder": self._lands(s, BY_B)},
+                {"b_claim_out": no, "holder": self._holder_after_claim(s, BY_B)},
             ),
             "B reads that it is first": (
                 s["holder"] == BY_B,
@@ -126,5 +126,5 @@
         }
 
     def bad(self, s: State) -> Any:
-        """Return a second run, or a false ``ran: no`` of A's own attempt."""
+        """Return the bad states: a second run, or a false ``ran: no`` by A."""
         return z3.Or(s["runs"] > 1, z3.And(s["a_told_no"], s["a_sent"]))
--- a/spec/test_spec.py
+++ b/spec/test_spec.py
@@ -1,12 +1,12 @@
-"""Model checking of the core protocol.
+"""Model checking of the core protocols.
 
-Each model is proved safe for runs of any length, shown to reach what it is
-about, and shown to fail as soon as any one of its safeguards is left out.
+For each model the tests prove that it is safe for runs of any length, that its goal
+is reachable, and that omitting any one of its safeguards makes it unsafe.
 """
 
 import pytest
 
-from spec._checker import can_happen, find_failure, is_safe
+from spec._checker import find_counterexample, is_reachable, is_safe
 from spec.config_versions import ConfigVersions
 from spec.limit_transfer import LimitTransfer
 from spec.once_claim import OnceClaim
@@ -34,18 +34,18 @@
 
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda m: m.__name__)
-def test_model_reaches_what_it_is_about(model):
-    assert can_happen(model(), GOALS[model], DEPTH)
+def test_goal_of_model_is_reachable(model):
+    assert is_reachable(model(), GOALS[model], DEPTH)
 
 
 @pytest.mark.parametrize(
-    ("model", "defect"),
+    ("model", "omitted"),
     [
         pytest.param(p.values[0], d, marks=p.marks, id=f"{p.values[0].__name__}-{d}")
         for p in MODELS
-        for d in p.values[0].defects
+        for d in p.values[0].safeguards
     ],
 )
-def test_leaving_out_a_safeguard_is_caught(model, defect):
-    failure = find_failure(model(defect), DEPTH)
-    assert failure is not None
+def test_omitting_a_safeguard_makes_model_unsafe(model, omitted):
+    counterexample = find_counterexample(model(omitted), DEPTH)
+    assert counterexample is not None
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,8 @@
-"""Starts and stops a small cell of separate processes on loopback.
+"""Starts and stops a cell of separate processes on loopback.
 
-Ports are bound to 0 by the processes themselves, which print what they got;
-the launcher then tells the stand-in platform, as a real platform would know.
+Each process binds to port 0 and prints the port that it was assigned.  The
+launcher then registers the process with the stand-in platform; a real platform
+would know it already.
 """
 
 import asyncio
@@ -28,12 +29,17 @@
 
 @attrs.define(eq=False)
 class Proc:
-    """A process that the launcher started."""
+    """A process that the launcher started.
+
+    :ivar ports: addresses that it listens on, by purpose.
+    :ivar list_entry: its entry in the platform's instance list.
+    :ivar settings: settings of an entry instance, by section.
+    """
 
     name: str
     process: asyncio.subprocess.Process
     ports: dict[str, str]
-    entry: dict[str, Any]
+    list_entry: dict[str, Any]
     settings: dict[str, dict[str, Any]] = attrs.field(factory=dict)
 
     def kill(self, sig: int = signal.SIGKILL) -> None:
@@ -42,7 +48,10 @@
             self.process.send_signal(sig)
 
     async def wait(self, timeout_s: float = 40.0) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait for the process to exit and return its exit status.
+
+        :raises TimeoutError: if it does not exit within ``timeout_s``.
+        """
         return await asyncio.wait_for(self.process.wait(), timeout_s)
 
 
@@ -50,27 +59,27 @@
     """A platform, runners, workers and entry instances.
 
     :param zones: names of the availability zones.
-    :param overrides: settings by section that differ from the defaults.
-    :param lag_s: how far the instance list lags.
-    :param links: whether zones reach the platform and each other through
-        links that can be cut.
+    :param overrides: settings that differ from the defaults, by section.
+    :param list_lag_s: seconds until a change shows in the instance list.
+    :param links: whether zones reach the platform and each other through links
+        that can be cut.
     """
 
     def __init__(
         self,
         zones: tuple[str, ...],
         overrides: dict[str, dict[str, Any]] | None = None,
-        lag_s: float = 0.2,
+        list_lag_s: float = 0.2,
         links: bool = False,
     ) -> None:
         self.zones = zones
         self.with_links = links
         self.links: dict[tuple[str, str], Link] = {}
         self.overrides = overrides or {}
-        self.lag_s = lag_s
+        self.list_lag_s = list_lag_s
         self.procs: dict[str, Proc] = {}
         public, secret = zmq.curve_keypair()
-        self.curve = public.decode(), secret.decode()
+        self.curve_keys = public.decode(), secret.decode()
         self.tmp = tempfile.TemporaryDirectory(prefix="firhook-")
         self.http: aiohttp.ClientSession | None = None
 
@@ -79,10 +88,14 @@
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(total=30),
         )
-        await self._start("platform", "-m", "standins.platform", str(self.lag_s))
+        await self._start_process(
+            "platform", "-m", "standins.platform", str(self.list_lag_s)
+        )
         if self.with_links:
             for zone in self.zones:
-                await self._link(zone, "platform", self.procs["platform"].ports["http"])
+                await self._add_link(
+                    zone, "platform", self.procs["platform"].ports["http"]
+                )
         return self
 
     async def __aexit__(self, *exc: object) -> None:
@@ -102,7 +115,9 @@
         """Base address of the stand-in platform."""
         return f"http://{self.procs['platform'].ports['http']}"
 
-    async def _start(self, name: str, *args: str, entry: Any = None) -> Proc:
+    async def _start_process(
+        self, name: str, *args: str, list_entry: Any = None
+    ) -> Proc:
         log_path = Path(self.tmp.name) / f"{name}.log"
         env = process_env()
         with log_path.open("ab") as err:
@@ -118,28 +133,28 @@
         line = await asyncio.wait_for(process.stdout.readline(), 30)
         if not line:
             raise RuntimeError(f"{name} did not start:\n{log_path.read_text()[-3000:]}")
-        proc = Proc(name, process, json.loads(line)["listening"], entry or {})
+        proc = Proc(name, process, json.loads(line)["listening"], list_entry or {})
         self.procs[name] = proc
         return proc
 
     def log_text(self, name: str) -> str:
-        """Return what a process logged."""
+        """Return the log output of a process."""
         return (Path(self.tmp.name) / f"{name}.log").read_text()
 
-    async def admin(self, path: str, data: Any) -> Any:
-        """Post to the stand-in platform."""
+    async def post_admin(self, path: str, data: Any) -> Any:
+        """Post JSON to the stand-in platform and return its decoded response."""
         assert self.http is not None
         async with self.http.post(f"{self.platform_url}{path}", json=data) as resp:
             return await resp.json()
 
-    async def list_instances(self, *procs: Proc) -> None:
-        """Tell the platform of instances."""
+    async def update_instances(self, *procs: Proc) -> None:
+        """Add or replace processes in the platform's instance list."""
         if self.with_links:
             for proc in procs:
-                await self._link_zones(proc)
-        await self.admin("/admin/instances", [p.entry for p in procs])
+                await self._link_other_zones(proc)
+        await self.post_admin("/admin/instances", [p.list_entry for p in procs])
 
-    async def _link(self, zone: str, name: str, target: str) -> str:
+    async def _add_link(self, zone: str, name: str, target: str) -> str:
         link = self.links.get((zone, name))
         if link is None:
             link = self.links[zone, name] = Link(target)
@@ -147,18 +162,18 @@
         link.target = target
         return link.address
 
-    async def _link_zones(self, proc: Proc) -> None:
-        """Let every other zone see an instance through a link of its own."""
-        entry = proc.entry
+    async def _link_other_zones(self, proc: Proc) -> None:
+        """Give every other zone a separate link to a process."""
+        entry = proc.list_entry
         for zone in self.zones:
             if zone != entry["zone"]:
-                address = await self._link(zone, entry["name"], entry["address"])
+                address = await self._add_link(zone, entry["name"], entry["address"])
                 links = {zone: {entry["name"]: address}}
-                await self.admin("/admin/links", links)
+                await self.post_admin("/admin/links", links)
 
-    def _links_of(self, zone: str) -> list[Link]:
-        """Return the links that part a zone from the platform and the others."""
-        zones = {n: p.entry.get("zone") for n, p in self.procs.items()}
+    def _links_crossing(self, zone: str) -> list[Link]:
+        """Return the links between a zone and the platform or the other zones."""
+        zones = {n: p.list_entry.get("zone") for n, p in self.procs.items()}
         return [
             link
             for (seen_from, name), link in self.links.items()
@@ -166,35 +181,41 @@
         ]
 
     def cut_zone(self, zone: str, platform_only: bool = False) -> None:
-        """Part a zone from the platform, and from the other zones if not told."""
+        """Partition a zone from the platform and the other zones.
+
+        :param platform_only: whether the zone still reaches the other zones.
+        """
         if platform_only:
             self.links[zone, "platform"].cut()
             return
-        for link in self._links_of(zone):
+        for link in self._links_crossing(zone):
             link.cut()
 
     def heal_zone(self, zone: str) -> None:
-        """Undo a cut."""
-        for link in self._links_of(zone):
+        """Restore the links of a zone."""
+        for link in self._links_crossing(zone):
             link.heal()
 
     async def add_runner(self, name: str, zone: str, service: str) -> Proc:
-        """Start a runner."""
-        proc = await self._start(name, "-m", "standins.runner")
-        proc.entry = {
+        """Start a runner and register it with the platform."""
+        proc = await self._start_process(name, "-m", "standins.runner")
+        proc.list_entry = {
             "name": name,
             "kind": "runner",
             "zone": zone,
             "service": service,
             "address": proc.ports["http"],
         }
-        await self.list_instances(proc)
+        await self.update_instances(proc)
         return proc
 
     async def add_worker(self, name: str, zone: str, rack: str, **size: Any) -> Proc:
-        """Start a worker."""
-        proc = await self._start(name, "-m", "standins.worker", name)
-        proc.entry = {
+        """Start a worker and register it with the platform.
+
+        :param size: resources that differ from the defaults.
+        """
+        proc = await self._start_process(name, "-m", "standins.worker", name)
+        proc.list_entry = {
             "name": name,
             "kind": "worker",
             "zone": zone,
@@ -204,7 +225,7 @@
             "memory_mb": 65536,
             **size,
         }
-        await self.list_instances(proc)
+        await self.update_instances(proc)
         return proc
 
     def _log_url(self, zone: str) -> str:
@@ -223,8 +244,8 @@
             },
             "platform": {"log_url": self._log_url(zone), "list_poll_s": 0.2},
             "mesh": {
-                "curve_public": self.curve[0],
-                "curve_secret": self.curve[1],
+                "curve_public": self.curve_keys[0],
+                "curve_secret": self.curve_keys[1],
                 "gossip_s": 0.2,
             },
             "keys": {
@@ -238,27 +259,32 @@
         return settings
 
     async def add_entry(self, name: str, zone: str, **changed: dict[str, Any]) -> Proc:
-        """Start an entry instance of firhookd."""
+        """Start a firhookd process and register it with the platform.
+
+        :param changed: settings of this instance that differ, by section.
+        """
         settings = self.settings(name, zone)
         for section, options in changed.items():
             settings.setdefault(section, {}).update(options)
         path = Path(self.tmp.name) / f"{name}.ini"
         path.write_text(render_ini(settings))
-        proc = await self._start(name, "-m", "firhook._daemon", "--config", str(path))
+        proc = await self._start_process(
+            name, "-m", "firhook._daemon", "--config", str(path)
+        )
         proc.settings = settings
-        proc.entry = {
+        proc.list_entry = {
             "name": name,
             "kind": "entry",
             "zone": zone,
             "address": proc.ports["peers"],
         }
-        await self.list_instances(proc)
+        await self.update_instances(proc)
         return proc
 
     async def call(
         self, proc: Proc, method: str, path: str, key: str = OPERATOR_KEY, **kw: Any
     ) -> tuple[int, Any]:
-        """Call an entry instance; return the status and the decoded answer."""
+        """Call an entry instance; return the status and the decoded response."""
         assert self.http is not None
         headers = {"Authorization": f"Bearer {key}", **kw.pop("headers", {})}
         url = f"http://{proc.ports['gateway']}{path}"
@@ -266,30 +292,33 @@
             return resp.status, await resp.json(content_type=None)
 
     async def wait_ready(self, *procs: Proc, timeout_s: float = 20.0) -> None:
-        """Wait until instances are ready and their zones have leads."""
+        """Wait until each instance is ready and its zone has a lead."""
         for proc in procs:
-            await self.until(proc, self._is_ready, timeout_s)
+            await self.wait_until(proc, self._is_ready, timeout_s)
 
     async def _is_ready(self, proc: Proc) -> bool:
         status, data = await self.call(proc, "GET", "/v1/status")
         return status == 200 and data["ready"] and bool(data["lead"]["instance"])
 
-    async def until(self, proc: Proc, check: Any, timeout_s: float = 20.0) -> None:
-        """Wait until an asynchronous check of an instance holds."""
-        give_up = time.monotonic() + timeout_s
+    async def wait_until(self, proc: Proc, check: Any, timeout_s: float = 20.0) -> None:
+        """Poll an asynchronous check of an instance until it returns true.
+
+        :raises TimeoutError: if it does not within ``timeout_s``.
+        """
+        deadline = time.monotonic() + timeout_s
         while True:
             with contextlib.suppress(aiohttp.ClientError):
                 if await check(proc):
                     return
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 raise TimeoutError(
-                    f"{proc.name}: {check.__name__} did not come to hold"
+                    f"{proc.name}: {check.__name__} not met within {timeout_s:g} s"
                 )
             await asyncio.sleep(0.05)
 
 
 def process_env() -> dict[str, str]:
-    """Return the environment of started processes: this tree's own source."""
+    """Return an environment in which processes import from this source tree."""
     path = os.pathsep.join((str(ROOT / "src"), str(ROOT)))
     return {**os.environ, "PYTHONPATH": path, "PYTHONUNBUFFERED": "1"}
 
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of the platform in this process, for one daemon alone."""
+"""In-process fakes of the platform, for tests of a single daemon."""
 
 import asyncio
 import contextlib
@@ -30,38 +30,38 @@
 
 
 class FakeLog(LogService):
-    """A log in memory that counts what is appended."""
+    """An in-memory log that counts appends and bytes."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[bytes]] = defaultdict(list)
         self.appends = 0
         self.bytes = 0
-        self._grown = asyncio.Condition()
+        self._appended = asyncio.Condition()
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
         """Append records; see :class:`LogService`."""
-        async with self._grown:
+        async with self._appended:
             first = len(self.streams[stream])
             self.streams[stream] += payloads
             self.appends += 1
             self.bytes += sum(map(len, payloads))
-            self._grown.notify_all()
+            self._appended.notify_all()
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         """Read records; see :class:`LogService`."""
         records = self.streams[stream]
-        async with self._grown:
+        async with self._appended:
             if offset >= len(records):
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._grown.wait(), wait_s)
+                    await asyncio.wait_for(self._appended.wait(), wait_s)
         part = records[offset : offset + 1000]
         entries = tuple(LogEntry(offset + i, data) for i, data in enumerate(part))
         return LogPage(entries, len(records))
 
 
-class FakeInstances(InstanceList):
-    """A list that is up to date."""
+class FakeInstanceList(InstanceList):
+    """An instance list without lag."""
 
     def __init__(self, endpoints: Sequence[Endpoint]) -> None:
         self.endpoints = tuple(endpoints)
@@ -72,27 +72,30 @@
 
 
 class FakeWorkers(WorkerClient):
-    """Workers that run whatever they are told and answer at once."""
+    """Workers that accept every order and respond at once.
+
+    :ivar tasks: states of task attempts, by worker.
+    """
 
     def __init__(self) -> None:
         self.tasks: dict[str, dict[tuple[str, int, int], str]] = defaultdict(dict)
-        self.syncs = 0
+        self.order_count = 0
 
     @property
     def running(self) -> int:
-        """Attempts running at all workers."""
+        """Number of task attempts that all workers hold."""
         return sum(len(t) for t in self.tasks.values())
 
     async def poll(self, worker: Endpoint) -> Report:
-        """Return the inventory; see :class:`WorkerClient`."""
+        """Return the tasks of a worker; see :class:`WorkerClient`."""
         tasks = tuple(
             TaskReport(*ref, state) for ref, state in self.tasks[worker.name].items()
         )
         return Report(worker.name, time.monotonic(), 1, "boot", tasks)
 
     async def send_order(self, worker: Endpoint, order: Order) -> Report:
-        """Give an order; see :class:`WorkerClient`."""
-        self.syncs += 1
+        """Start and forget tasks as ordered; see :class:`WorkerClient`."""
+        self.order_count += 1
         tasks = self.tasks[worker.name]
         for start in order.start:
             tasks[start.job_id, start.index, start.attempt] = "running"
@@ -102,7 +105,7 @@
 
 
 class FakeEndpoints(EndpointClient):
-    """Runners that answer at once."""
+    """Runners that respond ``ok`` at once."""
 
     async def send(
         self,
@@ -117,20 +120,22 @@
         return EndpointResponse(200, (("Content-Type", "text/plain"),), b"ok")
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there is no connection to close."""
 
 
 def fake_platform(endpoints: Sequence[Endpoint]) -> Platform:
-    """Return a whole platform of fakes."""
-    return Platform(FakeLog(), FakeInstances(endpoints), FakeWorkers(), FakeEndpoints())
+    """Return a platform that consists of fakes."""
+    return Platform(
+        FakeLog(), FakeInstanceList(endpoints), FakeWorkers(), FakeEndpoints()
+    )
 
 
-def small_settings(
+def minimal_settings(
     name: str = "entry-1", *, log_poll_s: float = 5.0, **options: Any
 ) -> Settings:
-    """Return settings of one instance in one zone on loopback.
+    """Return the settings of a single instance in one zone on loopback.
 
-    :param options: of the section ``[cell]``.
+    :param options: options of the section ``[cell]``.
     """
     public, secret = zmq.curve_keypair()
     digest = hashlib.sha256(OPERATOR_KEY.encode()).hexdigest()
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,10 +1,11 @@
-"""A stand-in for a customer's runner: quotes, charges and logbook entries.
+"""A stand-in for a customer's runner that serves quotes, charges and entries.
 
-``GET /quote?ms=20`` answers after so many ms; ``POST /charge`` counts a run;
-``GET /admin/runs`` says how often each charge ran and when each request was
-being served, by the machine's monotonic clock.  ``POST /admin/faults`` takes
-``slow_s``, ``fail`` (cut every exchange), ``fail_after`` (run, then cut) and
-``leaving``.
+``GET /quote?ms=20`` responds after 20 ms.  Every ``POST`` counts as a run of its
+body.  ``GET /admin/runs`` returns how often each body ran and when each request
+was served, by the machine's monotonic clock.  ``POST /admin/faults`` accepts
+``slow_s`` (extra latency), ``fail`` (abort every connection),
+``fail_after`` (abort it after the run) and ``leaving`` (announce in each response
+that the runner takes no new work).
 """
 
 import asyncio
@@ -18,7 +19,11 @@
 
 
 class Runner:
-    """Serves requests and counts what ran."""
+    """Serves requests and counts the runs.
+
+    :ivar runs: number of runs by request body.
+    :ivar spans: the request's ``n``, start and end of each served request.
+    """
 
     def __init__(self) -> None:
         self.faults: dict[str, Any] = {}
@@ -27,20 +32,20 @@
         self.most_in_flight = 0
         self.spans: list[tuple[str, float, float]] = []
 
-    def _answer(self, data: dict[str, Any]) -> web.Response:
+    def _respond(self, data: dict[str, Any]) -> web.Response:
         headers = {"X-Leaving": "yes"} if self.faults.get("leaving") else {}
         return web.json_response(data, headers=headers)
 
     async def handle(self, req: web.Request) -> web.Response:
-        """Serve one request of any kind."""
+        """Serve a request of any method and path, and record its span."""
         self.in_flight += 1
         self.most_in_flight = max(self.most_in_flight, self.in_flight)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             return await self._serve(req)
         finally:
             self.in_flight -= 1
-            self.spans.append((req.query.get("n", ""), began, time.monotonic()))
+            self.spans.append((req.query.get("n", ""), started_at, time.monotonic()))
 
     async def _serve(self, req: web.Request) -> web.Response:
         if self.faults.get("fail") and req.transport is not None:
@@ -52,12 +57,12 @@
             self.runs[body] += 1
         if self.faults.get("fail_after") and req.transport is not None:
             req.transport.abort()
-        return self._answer(
+        return self._respond(
             {"path": req.path, "echo": body, "n": req.query.get("n", "")}
         )
 
-    async def counted(self, req: web.Request) -> web.Response:
-        """Return how often each body was posted."""
+    async def get_counts(self, req: web.Request) -> web.Response:
+        """Return the run counts, the peak concurrency and the spans."""
         return web.json_response(
             {
                 "runs": self.runs,
@@ -67,14 +72,14 @@
         )
 
     async def set_faults(self, req: web.Request) -> web.Response:
-        """Set faults."""
+        """Update the injected faults."""
         self.faults.update(await req.json())
         return web.json_response({})
 
     def app(self) -> web.Application:
         """Return the web application."""
         app = web.Application(client_max_size=16 << 20)
-        app.router.add_get("/admin/runs", self.counted)
+        app.router.add_get("/admin/runs", self.get_counts)
         app.router.add_post("/admin/faults", self.set_faults)
         app.router.add_route("*", "/{path:.*}", self.handle)
         return app
--- a/tests/failures/cells.py
+++ b/tests/failures/cells.py
@@ -1,4 +1,4 @@
-"""Cells of separate processes for the tests of failures, and what they share."""
+"""Cells of separate processes, and helpers that the failure tests share."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 """
 TEAMS = "[lisboa]\nplan = small\n[porto]\nplan = small\n"
 
-#: Short leases, so that what takes a minute in production takes seconds here.
-SHORT = {
+#: Short leases and timeouts, so that a failover takes seconds rather than a minute.
+SHORT_TIMINGS = {
     "cell": {
         "lead_lease_s": 2,
         "hold_s": 5,
@@ -33,8 +33,8 @@
 Scenario = Callable[[], Awaitable[None]]
 
 
-def run(scenario: Scenario, limit_s: float = 150.0) -> None:
-    """Run a scenario to its end."""
+def run_scenario(scenario: Scenario, limit_s: float = 150.0) -> None:
+    """Run a scenario within a time limit."""
     asyncio.run(asyncio.wait_for(scenario(), limit_s))
 
 
@@ -48,14 +48,24 @@
     limit: int = 40,
     **overrides: dict[str, Any],
 ) -> AsyncIterator["Cell"]:
-    """Start a cell with so many entries, runners and workers in each zone."""
-    settings = {s: {**SHORT.get(s, {}), **overrides.get(s, {})} for s in SHORT}
+    """Start a cell and wait until it is ready; yield it.
+
+    :param entries: entry instances per zone.
+    :param runners: runners per zone.
+    :param workers: workers per zone.
+    :param links: whether zones can be cut off.
+    :param limit: limit of each team.
+    :param overrides: settings that differ from ``SHORT_TIMINGS``, by section.
+    """
+    settings = {
+        s: {**SHORT_TIMINGS.get(s, {}), **overrides.get(s, {})} for s in SHORT_TIMINGS
+    }
     async with Cluster(zones, settings, links=links) as cluster:
-        made = Cell(cluster)
-        # They start side by side: a dozen interpreters one after the other
-        # would take longer than what is tested.
+        new_cell = Cell(cluster)
+        # Start them concurrently: a dozen interpreters in sequence would take
+        # longer than the test itself.
         of_zone = [(zone, i) for zone in zones for i in range(64)]
-        made.runners, made.workers, made.entries = await asyncio.gather(
+        new_cell.runners, new_cell.workers, new_cell.entries = await asyncio.gather(
             asyncio.gather(
                 *(
                     cluster.add_runner(f"{zone}-runner-{i}", zone, "logbook")
@@ -78,13 +88,13 @@
                 )
             ),
         )
-        await cluster.wait_ready(*made.entries)
-        made.key = await made.set_up(limit)
-        yield made
+        await cluster.wait_ready(*new_cell.entries)
+        new_cell.key = await new_cell.set_up(limit)
+        yield new_cell
 
 
 class Cell:
-    """A running cell and the key of its team ``lisboa``."""
+    """A running cell with the API key of its team ``lisboa``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -94,63 +104,66 @@
         self.key = ""
         self.key_id = ""
 
-    def entries_of(self, zone: str) -> list[Proc]:
-        """Return the entry instances of a zone that still run."""
+    def running_entries(self, zone: str) -> list[Proc]:
+        """Return the entry instances of a zone that are running."""
         return [
             e
             for e in self.entries
-            if e.entry["zone"] == zone and e.process.returncode is None
+            if e.list_entry["zone"] == zone and e.process.returncode is None
         ]
 
-    async def operate(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the first entry as an operator and return the answer."""
+    async def operator_call(self, method: str, path: str, body: Any = None) -> Any:
+        """Call the first entry as an operator and return the response data."""
         status, data = await self.cluster.call(self.entries[0], method, path, json=body)
         assert status < 400, data
         return data
 
     async def set_up(self, limit: int) -> str:
-        """Apply the lists and give a key that every entry knows."""
+        """Apply the lists and return a new key that every entry accepts."""
         body = {"base": 0, "plans": PLANS.format(limit=limit), "teams": TEAMS}
-        await self.operate("POST", "/v1/config", body)
-        given = await self.operate("POST", "/v1/keys", {"team": "lisboa"})
+        await self.operator_call("POST", "/v1/config", body)
+        given = await self.operator_call("POST", "/v1/keys", {"team": "lisboa"})
         self.key_id = given["key_id"]
         for entry in self.entries:
-            await self.until_status(entry, "GET", "/v1/jobs", given["key"], 200)
+            await self.wait_for_status(entry, "GET", "/v1/jobs", given["key"], 200)
         return given["key"]
 
-    async def until_status(
+    async def wait_for_status(
         self, entry: Proc, method: str, path: str, key: str, wanted: int
     ) -> None:
-        """Wait until an entry answers with a status."""
+        """Wait until an entry responds with a status."""
 
-        async def answers(proc: Proc) -> bool:
+        async def has_status(proc: Proc) -> bool:
             return (await self.cluster.call(proc, method, path, key=key))[0] == wanted
 
-        await self.cluster.until(entry, answers, 40.0)
+        await self.cluster.wait_until(entry, has_status, 40.0)
 
     async def request(
         self, entry: Proc, method: str, path: str, **kw: Any
     ) -> tuple[int, Any]:
-        """Send a request of the team; status 0 if the exchange was cut."""
+        """Send a request of the team and return the status and the data.
+
+        The status is 0 if the connection was cut or the request timed out.
+        """
         kw.setdefault("key", self.key)
         try:
             return await self.cluster.call(entry, method, path, **kw)
         except (TimeoutError, OSError, ValueError):
             return 0, None
         except Exception as exc:
-            # aiohttp's errors of connections that were cut are no OSError.
+            # Some connection errors of aiohttp are not subclasses of OSError.
             if type(exc).__module__.startswith("aiohttp"):
                 return 0, None
             raise
 
-    async def request_once_read(
+    async def request_when_caught_up(
         self, entry: Proc, method: str, path: str, **kw: Any
     ) -> tuple[int, Any]:
-        """Send a request to an instance, again until it has read the log.
+        """Send a request, repeatedly until the instance has read the log.
 
-        An instance is ready once it has read the lists.  Beside a busy machine a
-        charge may come before it has read which charges were made, and is refused
-        as not run; whoever counts the runs holds it to that.  Every other answer
+        An instance is ready once it has read the lists.  On a busy machine a charge
+        may arrive before the instance has read the earlier charges, and is refused
+        with ``ran: no``; tests that count the runs verify this.  Any other response
         is returned.
         """
         for _ in range(100):
@@ -162,55 +175,55 @@
         return status, data
 
     async def fetch(self, proc: Proc, path: str) -> Any:
-        """Return what a stand-in counted."""
+        """Return data of a stand-in's admin interface."""
         assert self.cluster.http is not None
         async with self.cluster.http.get(f"http://{proc.ports['http']}{path}") as resp:
             return await resp.json()
 
-    async def fault(self, proc: Proc, **faults: Any) -> None:
-        """Set faults of a stand-in."""
+    async def set_faults(self, proc: Proc, **faults: Any) -> None:
+        """Inject faults into a stand-in."""
         assert self.cluster.http is not None
         url = f"http://{proc.ports['http']}/admin/faults"
         async with self.cluster.http.post(url, json=faults) as resp:
             assert resp.status == 200
 
-    async def log_fault(self, **faults: Any) -> None:
-        """Set faults of the platform's log."""
-        await self.cluster.admin("/admin/faults", faults)
+    async def set_log_faults(self, **faults: Any) -> None:
+        """Inject faults into the platform's log."""
+        await self.cluster.post_admin("/admin/faults", faults)
 
-    async def runs(self) -> dict[str, int]:
-        """Return how often each body was run, over all runners."""
+    async def run_counts(self) -> dict[str, int]:
+        """Return the number of runs by request body, over all runners."""
         total: dict[str, int] = {}
         for runner in self.runners:
             for body, n in (await self.fetch(runner, "/admin/runs"))["runs"].items():
                 total[body] = total.get(body, 0) + n
         return total
 
-    async def spans(self) -> list[tuple[str, float, float]]:
-        """Return when each request was being served, over all runners."""
+    async def request_spans(self) -> list[tuple[str, float, float]]:
+        """Return the id, start and end of each served request, over all runners."""
         found = []
         for runner in self.runners:
             found += (await self.fetch(runner, "/admin/runs"))["spans"]
         return [(n, began, ended) for n, began, ended in found]
 
-    async def lead_of(self, zone: str) -> Proc:
-        """Return the entry that leads a zone."""
-        for entry in self.entries_of(zone):
+    async def find_lead(self, zone: str) -> Proc:
+        """Return the entry that is the lead of a zone."""
+        for entry in self.running_entries(zone):
             status, data = await self.cluster.call(entry, "GET", "/v1/status")
             name = data["leads"][zone].partition("#")[0] if status == 200 else ""
-            for candidate in self.entries_of(zone):
+            for candidate in self.running_entries(zone):
                 if candidate.name == name:
                     return candidate
         raise AssertionError(f"zone {zone} has no lead")
 
     async def submit(self, entry: Proc, **job: Any) -> None:
-        """Submit a job and see it accepted."""
+        """Submit a job and check that it is accepted."""
         status, data = await self.cluster.call(
             entry, "POST", "/v1/jobs", key=self.key, json=job
         )
         assert status == 202, data
 
-    async def until_done(self, entry: Proc, job_id: str, timeout_s: float) -> None:
+    async def wait_until_done(self, entry: Proc, job_id: str, timeout_s: float) -> None:
         """Wait until all tasks of a job are done."""
 
         async def done(proc: Proc) -> bool:
@@ -220,10 +233,10 @@
             states = [t["outcome"] for t in (data.get("placed") or {}).values()]
             return status == 200 and states == ["done"] * data["tasks"]
 
-        await self.cluster.until(entry, done, timeout_s)
+        await self.cluster.wait_until(entry, done, timeout_s)
 
-    async def task_runs(self) -> list[dict[str, Any]]:
-        """Return every run of a task at any worker, with start and end."""
+    async def fetch_task_runs(self) -> list[dict[str, Any]]:
+        """Return all runs of tasks at all workers, with their start and end times."""
         found = []
         for worker in self.workers:
             for seen in await self.fetch(worker, "/admin/seen"):
@@ -231,8 +244,8 @@
         return found
 
 
-def most_at_once(spans: Iterable[tuple[float, float | None, float]]) -> float:
-    """Return the highest sum of weights over spans (start, end, weight)."""
+def peak_load(spans: Iterable[tuple[float, float | None, float]]) -> float:
+    """Return the peak sum of weights of overlapping spans (start, end, weight)."""
     events = []
     for start, end, weight in spans:
         events.append((start, 1, weight))
@@ -245,20 +258,20 @@
 
 
 def assert_no_double_run(runs: list[dict[str, Any]]) -> None:
-    """Check that no task ran in two places at once."""
+    """Check that no task ran twice at the same time."""
     by_task: dict[tuple[str, int], list[tuple[float, float | None, float]]] = {}
     for run_ in runs:
         job, index, _ = run_["ref"]
         span = (run_["start"], run_["end"], 1.0)
         by_task.setdefault((job, index), []).append(span)
     for task, spans in by_task.items():
-        assert most_at_once(spans) <= 1, (task, spans)
+        assert peak_load(spans) <= 1, (task, spans)
 
 
 def assert_no_overcommit(runs: list[dict[str, Any]], cpus: float) -> None:
-    """Check that no worker ever had more than it has."""
+    """Check that no worker was ever assigned more than ``cpus``."""
     for worker in {r["worker"] for r in runs}:
         spans = [
             (r["start"], r["end"], r["cpus"]) for r in runs if r["worker"] == worker
         ]
-        assert most_at_once(spans) <= cpus, worker
+        assert peak_load(spans) <= cpus, worker
--- a/tests/failures/test_limits.py
+++ b/tests/failures/test_limits.py
@@ -1,18 +1,18 @@
-"""No team has more running than its upper limit, whatever fails."""
+"""No team exceeds its upper limit, whatever fails."""
 
 import asyncio
 import signal
 
 import pytest
 
-from tests.failures.cells import Cell, cell, most_at_once, run
+from tests.failures.cells import Cell, cell, peak_load, run_scenario
 
 QUOTE = "/r/logbook/quote?ms=300"
 LIMIT = 6
 
 
 async def flood(c: Cell, seconds: float) -> list[int]:
-    """Send far more than the limit through every instance; return statuses."""
+    """Send far more requests than the limit allows; return their statuses."""
     statuses: list[int] = []
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
@@ -28,15 +28,18 @@
 
 
 async def assert_limit_kept(c: Cell) -> None:
-    """Check what the runners saw, by the machine's one monotonic clock."""
-    spans = [(began, ended, 1.0) for _, began, ended in await c.spans()]
+    """Check the concurrency at the runners, by the machine's monotonic clock."""
+    spans = [
+        (started_at, ended_at, 1.0)
+        for _, started_at, ended_at in await c.request_spans()
+    ]
     assert spans
-    assert most_at_once(spans) <= LIMIT
+    assert peak_load(spans) <= LIMIT
 
 
 @pytest.mark.row(4)
 def test_team_stays_within_its_limit_over_two_zones():
-    """A team sends far more than it may to every instance at once."""
+    """A team sends far more requests than its limit to every instance."""
 
     async def scenario():
         async with cell(("lisboa", "porto"), runners=2, limit=LIMIT) as c:
@@ -44,17 +47,17 @@
             assert 200 in statuses
             await assert_limit_kept(c)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.row(4)
 @pytest.mark.proof
 @pytest.mark.parametrize("how", ["kill", "pause", "cut"])
 def test_team_stays_within_its_limit_while_the_lead_fails(how):
-    """The lead that lends room under the limit dies, stands still or is cut.
+    """The lead that lends shares of the limit is killed, paused or cut off.
 
-    The next lead does not know what was lent.  Were it to lend it again, the
-    team would have more running than it pays for, at the others' cost.
+    The next lead does not know which shares are lent.  If it lent them again, the
+    team would exceed its limit at the cost of other teams.
     """
 
     async def scenario():
@@ -62,7 +65,7 @@
         async with cell(zones, runners=2, limit=LIMIT, links=True) as c:
             flooding = asyncio.create_task(flood(c, 14.0))
             await asyncio.sleep(3.0)
-            lead = await c.lead_of("porto")
+            lead = await c.find_lead("porto")
             if how == "cut":
                 c.cluster.cut_zone("porto")
                 await asyncio.sleep(5.0)
@@ -75,4 +78,4 @@
             assert 200 in statuses
             await assert_limit_kept(c)
 
-    run(scenario)
+    run_scenario(scenario)
