--- a/bench/_lab/__init__.py
+++ b/bench/_lab/__init__.py
@@ -5,32 +5,40 @@
 """
 
 from bench._lab._ablations import Ablation
-from bench._lab._load import CALM, SCENARIOS, TROUBLE, Day, Job, Scenario, make_day
-from bench._lab._oracle import Oracle, most_in_time
-from bench._lab._policies import POLICIES, SHIPPED, CellPolicy, Policy
+from bench._lab._oracle import Oracle, max_in_time
+from bench._lab._outcomes import Outcome, OutcomeKind
+from bench._lab._policies import DEFAULT_POLICIES, POLICIES, CellPolicy, Policy
 from bench._lab._report import Row, compare, markdown, plot, to_json
-from bench._lab._tally import Fate, Outcome
+from bench._lab._workload import (
+    CALM,
+    SCENARIOS,
+    TROUBLE,
+    Job,
+    Scenario,
+    Workload,
+    generate_workload,
+)
 
 __all__ = [
     "CALM",
+    "DEFAULT_POLICIES",
     "POLICIES",
     "SCENARIOS",
-    "SHIPPED",
     "TROUBLE",
     "Ablation",
     "CellPolicy",
-    "Day",
-    "Fate",
     "Job",
     "Oracle",
     "Outcome",
+    "OutcomeKind",
     "Policy",
     "Row",
     "Scenario",
+    "Workload",
     "compare",
-    "make_day",
+    "generate_workload",
     "markdown",
-    "most_in_time",
+    "max_in_time",
     "plot",
     "to_json",
 ]
--- a/bench/_lab/_ablations.py
+++ b/bench/_lab/_ablations.py
@@ -6,9 +6,9 @@
 from typing import Any, ClassVar
 from unittest import mock
 
-from bench._lab._load import Day
-from bench._lab._policies import CellPolicy, OpenSeats, RoundPolicy
-from bench._lab._tally import Figures
+from bench._lab._outcomes import Summary
+from bench._lab._policies import CellPolicy, NoReservedSlots, RoundPolicy
+from bench._lab._workload import Workload
 from firhook.cell import Step
 from firhook.decide.schedule import Round
 from firhook.platform.instance import Bounds
@@ -22,16 +22,16 @@
 
     constants: ClassVar[dict[str, float]] = {}
 
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
         return {}
 
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
-        """See :meth:`CellPolicy.figures`."""
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
+        """See :meth:`CellPolicy.evaluate`."""
         with contextlib.ExitStack() as stack:
             for name, value in self.constants.items():
                 stack.enter_context(mock.patch(f"firhook.{name}", value))
-            return super().figures(day)
+            return super().evaluate(workload)
 
 
 class NoReservations(Ablation, name="no_reservations"):
@@ -46,13 +46,13 @@
     constants: ClassVar = {"decide._schedule._BACKFILL_FACTOR": math.inf}
 
 
-class NoUrgentRoom(Ablation, name="no_urgent_room"):
+class NoUrgentHeadroom(Ablation, name="no_urgent_room"):
     """No room is kept for urgent work."""
 
     constants: ClassVar = {"decide._schedule._URGENT_FRACTION": 0.0}
 
 
-class NoSpareOrder(Ablation, name="no_spare_order"):
+class NoSlackOrder(Ablation, name="no_spare_order"):
     """Late urgent work goes after all that can be in time."""
 
     constants: ClassVar = {"decide._schedule._AMPLE_SLACK_S": math.inf}
@@ -64,13 +64,13 @@
     constants: ClassVar = {"decide._suspicion.OVERDUE_S": math.inf}
 
 
-class NoSlowWorkers(Ablation, name="no_slow_workers"):
+class NoSlowWorkerDetection(Ablation, name="no_slow_workers"):
     """Slow workers are used like others."""
 
     constants: ClassVar = {"decide._speeds.SLOW_FACTOR": math.inf}
 
 
-class NoStalls(Ablation, name="no_stalls"):
+class NoStallDetection(Ablation, name="no_stalls"):
     """What stands still is waited for."""
 
     constants: ClassVar = {
@@ -79,13 +79,13 @@
     }
 
 
-class NoAskingAhead(Ablation, name="no_asking_ahead"):
+class NoAdvicePrefetch(Ablation, name="no_asking_ahead"):
     """The adviser is asked again only when there is room."""
 
     constants: ClassVar = {"decide._tickets.FAST_ANSWER_S": math.inf}
 
 
-class NoBlindRenewal(Ablation, name="no_blind_renewal"):
+class NoUnprovenRenewal(Ablation, name="no_blind_renewal"):
     """Leases are renewed only while the lead can prove itself."""
 
     constants: ClassVar = {"services._term.RENEW_UNPROVEN_S": 0.0}
@@ -97,10 +97,10 @@
     bounds = Bounds(lease_s=3.0)
 
 
-class NoSeats(RoundPolicy, name="no_seats"):
+class NoAdviserSlots(RoundPolicy, name="no_seats"):
     """No seat at the adviser is kept for fast questions."""
 
-    slot_plan = OpenSeats
+    slot_plan = NoReservedSlots
 
 
 class _LatestStartRound(Round):
--- a/bench/_lab/_oracle.py
+++ b/bench/_lab/_oracle.py
@@ -4,9 +4,9 @@
 
 import numpy as np
 
-from bench._lab._load import PATIENCE_S, Day, Job
+from bench._lab._outcomes import OutcomeKind, Summary, iter_groups
 from bench._lab._policies import Policy
-from bench._lab._tally import Fate, Figures, groups_of
+from bench._lab._workload import SUBMIT_TIMEOUT_S, Job, Workload
 
 #: Times are rounded to so much, each window of work outwards.
 _SLOT_S = 0.1
@@ -36,55 +36,58 @@
     fates and waits have no bound here.
     """
 
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
         """Return the bounds."""
-        return {(kind, name): _bound(day, jobs) for kind, name, jobs in groups_of(day)}
+        return {
+            (kind, name): _bound(workload, jobs)
+            for kind, name, jobs in iter_groups(workload)
+        }
 
 
-def _bound(day: Day, jobs: list[Job]) -> Figures:
-    shares: dict[Fate, float | None] = dict.fromkeys(Fate)
-    shares[Fate.IN_TIME] = most_in_time(day, jobs) / len(jobs)
-    return Figures(len(jobs), shares)
+def _bound(workload: Workload, jobs: list[Job]) -> Summary:
+    shares: dict[OutcomeKind, float | None] = dict.fromkeys(OutcomeKind)
+    shares[OutcomeKind.IN_TIME] = max_in_time(workload, jobs) / len(jobs)
+    return Summary(len(jobs), shares)
 
 
-def released_at(day: Day, job: Job) -> float:
+def released_at(workload: Workload, job: Job) -> float:
     """Return when a job's first task can begin at the earliest.
 
     :return: infinity if no instance can accept it as long as its caller tries.
     """
     at = job.at
-    for fault in day.faults:
-        if fault.what == "zone" and job.zone in fault.names and fault.covers(at):
+    for fault in workload.faults:
+        if fault.label == "zone" and job.zone in fault.names and fault.contains(at):
             at = fault.end
-    if at > job.at + PATIENCE_S:
+    if at > job.at + SUBMIT_TIMEOUT_S:
         return float("inf")
-    return at + job.kind.advice_takes_s(1)
+    return at + job.kind.advice_duration_s(1)
 
 
-def most_in_time(day: Day, jobs: Iterable[Job]) -> float:
+def max_in_time(workload: Workload, jobs: Iterable[Job]) -> float:
     """Return the largest number of jobs that the whole cell could have in time."""
-    cores = sum(day.speeds.values()) * day.scenario.cpu_m / 1000
-    count = int(day.end / _SLOT_S) + 2
+    cores = sum(workload.speeds.values()) * workload.scenario.cpu_m / 1000
+    count = int(workload.end / _SLOT_S) + 2
     # What is left of the cell from the start of each slot to the end of each.
-    room = np.subtract.outer(np.arange(count + 1), np.arange(count + 1)).T
-    left = room.astype(float) * (cores * _SLOT_S)
-    fastest = max(day.speeds.values())
+    span_slots = np.subtract.outer(np.arange(count + 1), np.arange(count + 1)).T
+    remaining = span_slots.astype(float) * (cores * _SLOT_S)
+    fastest = max(workload.speeds.values())
     total = 0.0
-    for work, first, last in sorted(_windows(day, jobs, fastest)):
+    for work, first, last in sorted(_windows(workload, jobs, fastest)):
         # Every span that holds the job's window bounds what is done within it.
-        spans = left[: first + 1, last:]
-        part = min(work, max(float(spans.min()), 0.0))
-        spans -= part
-        total += part / work
+        enclosing = remaining[: first + 1, last:]
+        done_work = min(work, max(float(enclosing.min()), 0.0))
+        enclosing -= done_work
+        total += done_work / work
     return total
 
 
 def _windows(
-    day: Day, jobs: Iterable[Job], fastest: float
+    workload: Workload, jobs: Iterable[Job], fastest: float
 ) -> Iterable[tuple[float, int, int]]:
     """Return work and first and last slot of each job that can be in time at all."""
     for job in jobs:
-        begin = released_at(day, job)
+        begin = released_at(workload, job)
         if begin + job.work_s / fastest > job.due:
             continue
         work = sum(step.core_s for step in job.steps)
--- a/bench/_lab/_tally.py
+++ b/bench/_lab/_outcomes.py
@@ -6,9 +6,9 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-from bench._lab._load import Day, Job
+from bench._lab._workload import Job, Workload
 
-_LONGEST_MS = 600_000
+_MAX_WAIT_MS = 600_000
 #: The groups that are told of: of what kind, and a job's name in it.
 GROUPS = {
     "all": lambda job: "all",
@@ -18,7 +18,7 @@
 }
 
 
-class Fate(enum.Enum):
+class OutcomeKind(enum.Enum):
     """What a caller got."""
 
     #: Done within the objective.
@@ -26,7 +26,7 @@
     #: Done later, before the caller gave up.
     LATE = "late"
     #: Accepted, and not done when the caller gave up.
-    IN_VAIN = "in_vain"
+    ABANDONED = "in_vain"
     #: Not accepted as long as the caller tried.
     REFUSED = "refused"
 
@@ -46,25 +46,25 @@
     done_at: float | None = None
 
     @property
-    def fate(self) -> Fate:
+    def kind(self) -> OutcomeKind:
         """What its caller got."""
         if self.done_at is not None and self.done_at <= self.job.due:
-            return Fate.IN_TIME
-        if self.done_at is not None and self.done_at <= self.job.given_up_at:
-            return Fate.LATE
-        return Fate.IN_VAIN if self.accepted else Fate.REFUSED
+            return OutcomeKind.IN_TIME
+        if self.done_at is not None and self.done_at <= self.job.abandoned_at:
+            return OutcomeKind.LATE
+        return OutcomeKind.ABANDONED if self.accepted else OutcomeKind.REFUSED
 
     @property
-    def wait_s(self) -> float:
+    def start_delay_s(self) -> float:
         """How long it waited to begin; until its caller gave up if it did not."""
-        until = self.job.given_up_at
+        waited_until = self.job.abandoned_at
         if self.started_at is not None:
-            until = min(until, self.started_at)
-        return until - self.job.at
+            waited_until = min(waited_until, self.started_at)
+        return waited_until - self.job.at
 
 
 @attrs.frozen
-class Figures:
+class Summary:
     """The figures of a group of jobs on one day; ``None`` where none is known.
 
     :param shares: the part of the jobs that met each fate.
@@ -72,37 +72,41 @@
     """
 
     jobs: int
-    shares: dict[Fate, float | None]
+    shares: dict[OutcomeKind, float | None]
     p50_s: float | None = None
     p99_s: float | None = None
 
 
-def groups_of(day: Day) -> Iterator[tuple[str, str, list[Job]]]:
+def iter_groups(workload: Workload) -> Iterator[tuple[str, str, list[Job]]]:
     """Return the groups of a day's jobs: kind, name and jobs."""
     for kind, name_of in GROUPS.items():
-        for name in sorted({name_of(job) for job in day.jobs}):
-            yield kind, name, [job for job in day.jobs if name_of(job) == name]
+        for name in sorted({name_of(job) for job in workload.jobs}):
+            yield kind, name, [job for job in workload.jobs if name_of(job) == name]
 
 
-def tally(day: Day, outcomes: Iterable[Outcome]) -> dict[tuple[str, str], Figures]:
+def summarize_groups(
+    workload: Workload, outcomes: Iterable[Outcome]
+) -> dict[tuple[str, str], Summary]:
     """Return the figures of each group."""
     by_id = {outcome.job.id: outcome for outcome in outcomes}
     return {
-        (kind, name): figures([by_id[job.id] for job in jobs])
-        for kind, name, jobs in groups_of(day)
+        (kind, name): summarize([by_id[job.id] for job in jobs])
+        for kind, name, jobs in iter_groups(workload)
     }
 
 
-def figures(outcomes: list[Outcome]) -> Figures:
+def summarize(outcomes: list[Outcome]) -> Summary:
     """Return the figures of some jobs."""
-    waits = HdrHistogram(1, _LONGEST_MS, 3)
-    counts = dict.fromkeys(Fate, 0)
+    waits = HdrHistogram(1, _MAX_WAIT_MS, 3)
+    counts = dict.fromkeys(OutcomeKind, 0)
     for outcome in outcomes:
-        counts[outcome.fate] += 1
-        waits.record_value(min(max(round(outcome.wait_s * 1000), 1), _LONGEST_MS))
-    return Figures(
+        counts[outcome.kind] += 1
+        waits.record_value(
+            min(max(round(outcome.start_delay_s * 1000), 1), _MAX_WAIT_MS)
+        )
+    return Summary(
         len(outcomes),
-        {fate: count / len(outcomes) for fate, count in counts.items()},
+        {kind: count / len(outcomes) for kind, count in counts.items()},
         waits.get_value_at_percentile(50) / 1000,
         waits.get_value_at_percentile(99) / 1000,
     )
--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from bench._lab._cell import play_day
-from bench._lab._load import Day
-from bench._lab._tally import Figures, tally
+from bench._lab._cell import simulate
+from bench._lab._outcomes import Summary, summarize_groups
+from bench._lab._workload import Workload
 from firhook._instance import load_services
 from firhook.cell import JobTable, Step
 from firhook.decide.adviser_slots import SlotPlan
@@ -18,7 +18,7 @@
 
 POLICIES: dict[str, type["Policy"]] = {}
 #: What is compared if nothing else is asked for.
-SHIPPED = ("present", "first_come", "oracle")
+DEFAULT_POLICIES = ("present", "first_come", "oracle")
 
 
 class Policy(abc.ABC):
@@ -38,7 +38,7 @@
             POLICIES[name] = cls
 
     @abc.abstractmethod
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
         """Return what the callers of each group get on a day."""
 
 
@@ -51,20 +51,22 @@
     bounds: ClassVar[Bounds] = Bounds()
 
     @abc.abstractmethod
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """Return what the lead decides by in place of its own, by attribute."""
 
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
         """Play a day."""
-        changed = {name: staticmethod(func) for name, func in self.decisions().items()}
-        lead = type("_Lead", (load_services()["lead"],), changed)
-        return tally(day, play_day(day, lead, self.bounds))
+        overridden = {
+            name: staticmethod(func) for name, func in self.overrides().items()
+        }
+        lead = type("_Lead", (load_services()["lead"],), overridden)
+        return summarize_groups(workload, simulate(workload, lead, self.bounds))
 
 
-class Present(CellPolicy, name="present"):
+class Current(CellPolicy, name="present"):
     """What firhook decides."""
 
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
         return {}
 
@@ -77,15 +79,15 @@
 
     def place(
         self,
-        book: JobTable,
+        jobs: JobTable,
         workers: dict[str, WorkerView],
         tickets: TicketTable,
         now: float,
     ) -> RoundResult:
         """Decide which waiting tasks start now, and where."""
-        return self.round(book, workers, tickets, now).run()
+        return self.round(jobs, workers, tickets, now).run()
 
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
         return {"place": self.place, "slot_plan": self.slot_plan}
 
@@ -122,8 +124,10 @@
     ) -> list[WorkerView] | None:
         chosen: list[WorkerView] = []
         for worker in sorted(workers, key=lambda w: w.name):
-            left = step.spec.count - len(chosen)
-            chosen += [worker] * worker.free.count_fitting(step.spec.reserved, left)
+            remaining = step.spec.count - len(chosen)
+            chosen += [worker] * worker.free.count_fitting(
+                step.spec.reserved, remaining
+            )
         if len(chosen) < step.spec.count:
             return None
         for worker in chosen:
@@ -134,7 +138,7 @@
         """Keep no room."""
 
 
-class OpenSeats(SlotPlan):
+class NoReservedSlots(SlotPlan):
     """Keeps no seat for any question."""
 
     def reserved_slots(self, cost_s: float, slots: int, now: float) -> int:
@@ -149,4 +153,4 @@
     """
 
     round = _FirstComeRound
-    slot_plan = OpenSeats
+    slot_plan = NoReservedSlots
--- a/bench/_lab/_report.py
+++ b/bench/_lab/_report.py
@@ -9,19 +9,25 @@
 
 import attrs
 
-from bench._lab._load import Scenario, make_day
+from bench._lab._outcomes import OutcomeKind, Summary
 from bench._lab._policies import POLICIES
-from bench._lab._tally import Fate, Figures
+from bench._lab._workload import Scenario, generate_workload
 
-_IN_TIME = Fate.IN_TIME.value
-_FIELDS = (_IN_TIME, "gain", *(f.value for f in list(Fate)[1:]), "p50_s", "p99_s")
+_IN_TIME = OutcomeKind.IN_TIME.value
+_FIELDS = (
+    _IN_TIME,
+    "gain",
+    *(f.value for f in list(OutcomeKind)[1:]),
+    "p50_s",
+    "p99_s",
+)
 
 
-_Days = Sequence[dict[tuple[str, str], Figures]]
+_Summaries = Sequence[dict[tuple[str, str], Summary]]
 
 
 @attrs.frozen
-class Value:
+class Statistic:
     """A figure over seeds.
 
     :param spread: the standard deviation over the seeds; 0 for one seed.
@@ -32,7 +38,7 @@
     values: tuple[float, ...]
 
     @classmethod
-    def of(cls, values: Sequence[float | None]) -> "Value | None":
+    def of(cls, values: Sequence[float | None]) -> "Statistic | None":
         """Return the figure; ``None`` if there is none."""
         known = tuple(v for v in values if v is not None)
         if not known:
@@ -54,7 +60,7 @@
     kind: str
     name: str
     jobs: int
-    fields: dict[str, Value | None]
+    fields: dict[str, Statistic | None]
 
 
 def compare(
@@ -68,50 +74,51 @@
     :param processes: how many days are played at a time.
     """
     names = list(policies)
-    days = [(scenario, name, seed) for name in names for seed in seeds]
+    runs = [(scenario, name, seed) for name in names for seed in seeds]
     if processes > 1:
         with ProcessPoolExecutor(processes) as pool:
-            played = list(pool.map(_play, days))
+            results = list(pool.map(_evaluate, runs))
     else:
-        played = [_play(day) for day in days]
-    first = played[: len(seeds)]
+        results = [_evaluate(run) for run in runs]
+    first = results[: len(seeds)]
     by_policy = {
-        name: played[i * len(seeds) : (i + 1) * len(seeds)] if i else first
+        name: results[i * len(seeds) : (i + 1) * len(seeds)] if i else first
         for i, name in enumerate(names)
     }
     return [row for name in names for row in _rows(name, by_policy[name], first)]
 
 
-def _play(day: tuple[Scenario, str, int]) -> dict[tuple[str, str], Figures]:
-    scenario, policy, seed = day
-    return POLICIES[policy]().figures(make_day(scenario, seed))
+def _evaluate(run: tuple[Scenario, str, int]) -> dict[tuple[str, str], Summary]:
+    scenario, policy, seed = run
+    return POLICIES[policy]().evaluate(generate_workload(scenario, seed))
 
 
-def _rows(policy: str, days: _Days, first: _Days) -> Iterator[Row]:
-    for key in dict.fromkeys(key for day in days for key in day):
+def _rows(policy: str, runs: _Summaries, first: _Summaries) -> Iterator[Row]:
+    for key in dict.fromkeys(key for run in runs for key in run):
         pairs = [
-            (day[key], other[key])
-            for day, other in zip(days, first, strict=True)
-            if key in day
+            (run[key], other[key])
+            for run, other in zip(runs, first, strict=True)
+            if key in run
         ]
-        found = [figures for figures, _ in pairs]
+        selected = [summary for summary, _ in pairs]
         shares = {
-            fate.value: Value.of([f.shares[fate] for f in found]) for fate in Fate
+            kind.value: Statistic.of([f.shares[kind] for f in selected])
+            for kind in OutcomeKind
         }
         waits = {
-            "p50_s": Value.of([f.p50_s for f in found]),
-            "p99_s": Value.of([f.p99_s for f in found]),
+            "p50_s": Statistic.of([f.p50_s for f in selected]),
+            "p99_s": Statistic.of([f.p99_s for f in selected]),
         }
         gain = None
-        if days is not first:
-            gain = Value.of([_gain(figures, other) for figures, other in pairs])
-        jobs = sum(f.jobs for f in found)
+        if runs is not first:
+            gain = Statistic.of([_gain(summary, other) for summary, other in pairs])
+        jobs = sum(f.jobs for f in selected)
         yield Row(policy, *key, jobs, {**shares, **waits, "gain": gain})
 
 
-def _gain(figures: Figures, other: Figures) -> float | None:
-    one, base = figures.shares[Fate.IN_TIME], other.shares[Fate.IN_TIME]
-    return None if one is None or base is None else one - base
+def _gain(summary: Summary, other: Summary) -> float | None:
+    own, base = summary.shares[OutcomeKind.IN_TIME], other.shares[OutcomeKind.IN_TIME]
+    return None if own is None or base is None else own - base
 
 
 def markdown(rows: Iterable[Row]) -> str:
@@ -128,7 +135,7 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def _cell(value: Value | None) -> str:
+def _cell(value: Statistic | None) -> str:
     if value is None:
         return ""
     return f"{value.mean:.3f} ± {value.spread:.3f}"
@@ -156,13 +163,13 @@
     figure, axes = pyplot.subplots(figsize=size, layout="constrained")
     height = 0.8 / len(policies)
     for i, policy in enumerate(policies):
-        found = {
+        selected = {
             (r.kind, r.name): r.fields[_IN_TIME] for r in rows if r.policy == policy
         }
-        places = [n + i * height for n, g in enumerate(groups) if found.get(g)]
-        values = [found[g] for g in groups if found.get(g)]
+        positions = [n + i * height for n, g in enumerate(groups) if selected.get(g)]
+        values = [selected[g] for g in groups if selected.get(g)]
         axes.barh(
-            places,
+            positions,
             [v.mean for v in values],
             height,
             xerr=[v.spread for v in values],
--- a/bench/_lab/_load.py
+++ b/bench/_lab/_workload.py
@@ -11,31 +11,31 @@
 import attrs
 
 #: Callers give up after so many times their objective.
-GIVE_UP_FACTOR = 3.0
+ABANDON_FACTOR = 3.0
 #: Workers that an objective allows the adviser to be asked about, for each step.
-ALLOWED_ADVICE = 30
+OBJECTIVE_ADVICE_WORKERS = 30
 #: For how long callers try to hand a job in.
-PATIENCE_S = 3.0
+SUBMIT_TIMEOUT_S = 3.0
 ZONES = ("z0", "z1", "z2")
 ACCOUNTS = ("a", "b", "c", "d", "e", "f")
 
 
 @attrs.frozen
-class Spread:
+class LogNormal:
     """A lognormal quantity.
 
     :param rel: its standard deviation, as a part of the mean.
     """
 
     mean: float
-    rel: float
-    most: float = math.inf
+    rel_std: float
+    maximum: float = math.inf
 
     def draw(self, rng: random.Random) -> float:
         """Return a value."""
-        sigma = math.sqrt(math.log(1 + self.rel**2))
+        sigma = math.sqrt(math.log(1 + self.rel_std**2))
         value = self.mean * rng.lognormvariate(-(sigma**2) / 2, sigma)
-        return min(value, self.most)
+        return min(value, self.maximum)
 
 
 @attrs.frozen
@@ -53,26 +53,26 @@
 
     name: str
     rate: float
-    work_s: Spread
-    width: Spread
-    cpu_m: Spread
-    memory_mb: Spread
-    steps: Spread
+    work_s: LogNormal
+    width: LogNormal
+    cpu_m: LogNormal
+    memory_mb: LogNormal
+    steps: LogNormal
     priority: int
     slack_factor: float
     target_s: float
-    uneven: float
-    off: float
-    gangs: float
-    saves: float
-    advice_s: float
-    advice_worker_s: float
-    good: float
-    valid_s: float = 2.0
-
-    def advice_takes_s(self, workers: int) -> float:
+    task_rel_std: float
+    estimate_rel_std: float
+    gang_fraction: float
+    checkpoint_fraction: float
+    advice_base_s: float
+    advice_per_worker_s: float
+    eligible_fraction: float
+    advice_valid_s: float = 2.0
+
+    def advice_duration_s(self, workers: int) -> float:
         """Return how long an answer about so many workers takes."""
-        return self.advice_s + self.advice_worker_s * workers
+        return self.advice_base_s + self.advice_per_worker_s * workers
 
 
 #: Short narrow work that people wait for, wide steps of many processors, and
@@ -81,59 +81,59 @@
     JobClass(
         "urgent",
         rate=32.0,
-        work_s=Spread(0.6, 0.6, 1.5),
-        width=Spread(2.0, 0.7, 10),
-        cpu_m=Spread(1500, 0.5, 4000),
-        memory_mb=Spread(3000, 0.5, 8000),
-        steps=Spread(1, 0),
+        work_s=LogNormal(0.6, 0.6, 1.5),
+        width=LogNormal(2.0, 0.7, 10),
+        cpu_m=LogNormal(1500, 0.5, 4000),
+        memory_mb=LogNormal(3000, 0.5, 8000),
+        steps=LogNormal(1, 0),
         priority=0,
         slack_factor=1.6,
         target_s=0.3,
-        uneven=0.2,
-        off=0.8,
-        gangs=0.25,
-        saves=0.0,
-        advice_s=0.008,
-        advice_worker_s=0.0001,
-        good=0.7,
+        task_rel_std=0.2,
+        estimate_rel_std=0.8,
+        gang_fraction=0.25,
+        checkpoint_fraction=0.0,
+        advice_base_s=0.008,
+        advice_per_worker_s=0.0001,
+        eligible_fraction=0.7,
     ),
     JobClass(
         "wide",
         rate=0.75,
-        work_s=Spread(3.5, 0.6, 9.0),
-        width=Spread(8.0, 0.6, 30),
-        cpu_m=Spread(4000, 0.5, 8000),
-        memory_mb=Spread(6000, 0.5, 16000),
-        steps=Spread(1.3, 0.4, 3),
+        work_s=LogNormal(3.5, 0.6, 9.0),
+        width=LogNormal(8.0, 0.6, 30),
+        cpu_m=LogNormal(4000, 0.5, 8000),
+        memory_mb=LogNormal(6000, 0.5, 16000),
+        steps=LogNormal(1.3, 0.4, 3),
         priority=1,
         slack_factor=2.0,
         target_s=1.5,
-        uneven=0.25,
-        off=0.25,
-        gangs=1.0,
-        saves=0.0,
-        advice_s=0.4,
-        advice_worker_s=0.004,
-        good=0.5,
+        task_rel_std=0.25,
+        estimate_rel_std=0.25,
+        gang_fraction=1.0,
+        checkpoint_fraction=0.0,
+        advice_base_s=0.4,
+        advice_per_worker_s=0.004,
+        eligible_fraction=0.5,
     ),
     JobClass(
         "bulk",
         rate=2.0,
-        work_s=Spread(2.5, 0.6, 7.0),
-        width=Spread(12.0, 0.7, 50),
-        cpu_m=Spread(1000, 0.5, 3000),
-        memory_mb=Spread(2000, 0.5, 6000),
-        steps=Spread(1.6, 0.4, 4),
+        work_s=LogNormal(2.5, 0.6, 7.0),
+        width=LogNormal(12.0, 0.7, 50),
+        cpu_m=LogNormal(1000, 0.5, 3000),
+        memory_mb=LogNormal(2000, 0.5, 6000),
+        steps=LogNormal(1.6, 0.4, 4),
         priority=2,
         slack_factor=3.5,
         target_s=4.0,
-        uneven=0.2,
-        off=0.6,
-        gangs=0.0,
-        saves=0.75,
-        advice_s=0.06,
-        advice_worker_s=0.001,
-        good=0.5,
+        task_rel_std=0.2,
+        estimate_rel_std=0.6,
+        gang_fraction=0.0,
+        checkpoint_fraction=0.75,
+        advice_base_s=0.06,
+        advice_per_worker_s=0.001,
+        eligible_fraction=0.5,
     ),
 )
 
@@ -147,18 +147,18 @@
     :param names: workers or zones that it befalls.
     """
 
-    what: str
+    label: str
     at: float
-    for_s: float
+    duration_s: float
     factor: float = 1.0
     names: tuple[str, ...] = ()
 
     @property
     def end(self) -> float:
         """When it is over."""
-        return self.at + self.for_s
+        return self.at + self.duration_s
 
-    def covers(self, at: float) -> bool:
+    def contains(self, at: float) -> bool:
         """Return whether a moment lies in it."""
         return self.at <= at < self.end
 
@@ -226,7 +226,7 @@
     memory_mb: int
     estimate_s: float
     gang: bool
-    saves: bool
+    checkpoints: bool
 
     @property
     def longest_s(self) -> float:
@@ -262,9 +262,11 @@
     @property
     def objective_s(self) -> float:
         """Within which time it should be done."""
-        advice_s = self.kind.advice_takes_s(ALLOWED_ADVICE) * len(self.steps)
+        total_advice_s = self.kind.advice_duration_s(OBJECTIVE_ADVICE_WORKERS) * len(
+            self.steps
+        )
         factor = self.kind.slack_factor
-        return factor * (self.work_s + advice_s) + self.kind.target_s
+        return factor * (self.work_s + total_advice_s) + self.kind.target_s
 
     @property
     def due(self) -> float:
@@ -272,13 +274,13 @@
         return self.at + self.objective_s
 
     @property
-    def given_up_at(self) -> float:
+    def abandoned_at(self) -> float:
         """When its caller wants it no more."""
-        return self.at + GIVE_UP_FACTOR * self.objective_s
+        return self.at + ABANDON_FACTOR * self.objective_s
 
 
 @attrs.frozen
-class Day:
+class Workload:
     """A day of the lab.
 
     :param speeds: of the workers, by name.
@@ -293,7 +295,7 @@
     @property
     def end(self) -> float:
         """When the last caller has given up."""
-        last = max((job.given_up_at for job in self.jobs), default=0.0)
+        last = max((job.abandoned_at for job in self.jobs), default=0.0)
         return max(last, self.scenario.seconds)
 
 
@@ -307,45 +309,47 @@
     return ZONES[number % len(ZONES)]
 
 
-def make_day(scenario: Scenario, seed: int) -> Day:
+def generate_workload(scenario: Scenario, seed: int) -> Workload:
     """Draw a day."""
     rng = random.Random(f"{seed}/day")
-    bursts = [_moved(window, scenario, rng) for window in scenario.bursts]
-    faults = [_moved(window, scenario, rng) for window in scenario.faults]
+    bursts = [_add_jitter(window, scenario, rng) for window in scenario.bursts]
+    faults = [_add_jitter(window, scenario, rng) for window in scenario.faults]
     names = worker_names(scenario)
-    befallen = tuple(_befall(fault, names, rng) for fault in faults)
+    targeted_faults = tuple(_choose_targets(fault, names, rng) for fault in faults)
     speeds = {
         name: scenario.speeds[i % len(scenario.speeds)]
         for i, name in enumerate(rng.sample(names, len(names)))
     }
-    jobs = list(_all_jobs(scenario, seed, bursts))
+    jobs = list(_generate_jobs(scenario, seed, bursts))
     jobs.sort(key=lambda job: job.at)
     numbered = (attrs.evolve(job, id=f"{i + 1:016x}") for i, job in enumerate(jobs))
-    return Day(seed, scenario, tuple(numbered), befallen, speeds)
+    return Workload(seed, scenario, tuple(numbered), targeted_faults, speeds)
 
 
-def _moved(window: Window, scenario: Scenario, rng: random.Random) -> Window:
+def _add_jitter(window: Window, scenario: Scenario, rng: random.Random) -> Window:
     at = window.at + rng.uniform(-1, 1) * scenario.jitter_s
     return attrs.evolve(window, at=max(at, 0.0))
 
 
-def _befall(fault: Window, names: list[str], rng: random.Random) -> Window:
-    if fault.what == "zone":
+def _choose_targets(fault: Window, names: list[str], rng: random.Random) -> Window:
+    if fault.label == "zone":
         return attrs.evolve(fault, names=(rng.choice(ZONES),))
     count = max(round(fault.factor * len(names)), 1)
     return attrs.evolve(fault, names=tuple(sorted(rng.sample(names, count))))
 
 
-def _all_jobs(scenario: Scenario, seed: int, bursts: list[Window]) -> Iterator[Job]:
+def _generate_jobs(
+    scenario: Scenario, seed: int, bursts: list[Window]
+) -> Iterator[Job]:
     for kind in scenario.classes:
         for account in ACCOUNTS:
             rng = random.Random(f"{seed}/{kind.name}/{account}")
-            heard = [b for b in bursts if b.what in (kind.name, account)]
+            matching = [b for b in bursts if b.label in (kind.name, account)]
             rate = kind.rate * scenario.load / len(ACCOUNTS)
-            yield from _stream(kind, account, rate, heard, scenario, rng)
+            yield from _generate_stream(kind, account, rate, matching, scenario, rng)
 
 
-def _stream(
+def _generate_stream(
     kind: JobClass,
     account: str,
     rate: float,
@@ -354,37 +358,37 @@
     rng: random.Random,
 ) -> Iterator[Job]:
     """Return the jobs of one class and account, more of them in bursts."""
-    most = math.prod(burst.factor for burst in bursts)
-    now = rng.expovariate(rate * most)
+    max_factor = math.prod(burst.factor for burst in bursts)
+    now = rng.expovariate(rate * max_factor)
     while now < scenario.seconds:
-        factor = math.prod(b.factor for b in bursts if b.covers(now))
-        job = _job(kind, account, now, scenario.step_cpu_m, rng)
-        if rng.random() < factor / most:
+        factor = math.prod(b.factor for b in bursts if b.contains(now))
+        job = _draw_job(kind, account, now, scenario.step_cpu_m, rng)
+        if rng.random() < factor / max_factor:
             yield job
-        now += rng.expovariate(rate * most)
+        now += rng.expovariate(rate * max_factor)
 
 
-def _job(
+def _draw_job(
     kind: JobClass, account: str, at: float, step_cpu_m: int, rng: random.Random
 ) -> Job:
     count = max(round(kind.steps.draw(rng)), 1)
-    steps = tuple(_step(kind, step_cpu_m, rng) for _ in range(count))
+    steps = tuple(_draw_step(kind, step_cpu_m, rng) for _ in range(count))
     return Job("", at, kind, account, rng.choice(ZONES), steps)
 
 
-def _step(kind: JobClass, most_cpu_m: int, rng: random.Random) -> Step:
+def _draw_step(kind: JobClass, max_cpu_m: int, rng: random.Random) -> Step:
     work_s = max(kind.work_s.draw(rng), 0.05)
     cpu_m = max(int(kind.cpu_m.draw(rng)), 100)
     width = max(round(kind.width.draw(rng)), 1)
-    width = min(width, max(most_cpu_m // cpu_m, 1))
-    uneven = Spread(work_s, kind.uneven, kind.work_s.most)
-    tasks = tuple(Task(max(uneven.draw(rng), 0.05)) for _ in range(width))
-    gang = width > 1 and rng.random() < kind.gangs
+    width = min(width, max(max_cpu_m // cpu_m, 1))
+    task_work_s = LogNormal(work_s, kind.task_rel_std, kind.work_s.maximum)
+    tasks = tuple(Task(max(task_work_s.draw(rng), 0.05)) for _ in range(width))
+    gang = width > 1 and rng.random() < kind.gang_fraction
     return Step(
         tasks,
         cpu_m,
         max(int(kind.memory_mb.draw(rng)), 100),
-        max(Spread(work_s, kind.off).draw(rng), 0.05),
+        max(LogNormal(work_s, kind.estimate_rel_std).draw(rng), 0.05),
         gang,
-        not gang and rng.random() < kind.saves,
+        not gang and rng.random() < kind.checkpoint_fraction,
     )
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -18,7 +18,7 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-_HIGHEST_US = 60_000_000
+_MAX_LATENCY_US = 60_000_000
 
 
 @attrs.define
@@ -31,43 +31,43 @@
     hist: HdrHistogram
     outcomes: Counter[str]
 
-    def ms(self, percentile: float) -> float:
+    def latency_ms(self, percentile: float) -> float:
         """Return a percentile of the latency in ms."""
         return self.hist.get_value_at_percentile(percentile) / 1000
 
 
-async def offer(
+async def generate_load(
     url: str, rate: float, seconds: float, headers: dict[str, str] | None = None
 ) -> Result:
     """Offer load and return what it met.
 
     :param rate: requests a second.
     """
-    result = Result(HdrHistogram(1, _HIGHEST_US, 3), Counter())
+    result = Result(HdrHistogram(1, _MAX_LATENCY_US, 3), Counter())
     connector = aiohttp.TCPConnector(limit=0)
     async with (
-        aiohttp.ClientSession(connector=connector, headers=headers) as http,
+        aiohttp.ClientSession(connector=connector, headers=headers) as session,
         asyncio.TaskGroup() as group,
     ):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for i in range(int(rate * seconds)):
-            due = began + i / rate
-            await asyncio.sleep(max(due - time.perf_counter(), 0))
-            group.create_task(_one(http, url, due, result))
+            due_at = started_at + i / rate
+            await asyncio.sleep(max(due_at - time.perf_counter(), 0))
+            group.create_task(_send_request(session, url, due_at, result))
     return result
 
 
-async def _one(
-    http: aiohttp.ClientSession, url: str, due: float, result: Result
+async def _send_request(
+    session: aiohttp.ClientSession, url: str, due_at: float, result: Result
 ) -> None:
     try:
-        async with http.get(url) as resp:
+        async with session.get(url) as resp:
             await resp.read()
             result.outcomes[str(resp.status)] += 1
     except (aiohttp.ClientError, TimeoutError):
         result.outcomes["cut"] += 1
-    took_us = (time.perf_counter() - due) * 1e6
-    result.hist.record_value(min(max(int(took_us), 1), _HIGHEST_US))
+    took_us = (time.perf_counter() - due_at) * 1e6
+    result.hist.record_value(min(max(int(took_us), 1), _MAX_LATENCY_US))
 
 
 def main() -> None:
@@ -79,8 +79,8 @@
     parser.add_argument("--key", default="")
     args = parser.parse_args()
     headers = {"Authorization": f"Bearer {args.key}"} if args.key else None
-    result = asyncio.run(offer(args.url, args.rate, args.seconds, headers))
-    line: dict[str, Any] = {f"p{p}_ms": result.ms(p) for p in (50, 90, 99)}
+    result = asyncio.run(generate_load(args.url, args.rate, args.seconds, headers))
+    line: dict[str, Any] = {f"p{p}_ms": result.latency_ms(p) for p in (50, 90, 99)}
     print(json.dumps({**line, "outcomes": result.outcomes}))
 
 
--- a/bench/_virtual.py
+++ b/bench/_simulation.py
@@ -28,9 +28,9 @@
 from firhook.errors import FirhookError
 from firhook.model import Endpoint
 
-GOSSIP_S = 0.5
-TICK_S = 0.05
-SERVED_HALF_S = 5.0
+GOSSIP_INTERVAL_S = 0.5
+TICK_INTERVAL_S = 0.05
+SERVED_HALF_LIFE_S = 5.0
 
 
 @attrs.define(slots=True, eq=False)
@@ -50,12 +50,12 @@
     code: str = ""
 
     @property
-    def good(self) -> bool:
+    def in_time(self) -> bool:
         """Whether its caller got the answer in time."""
         return 0 <= self.done_at <= self.at + self.deadline_s
 
 
-def runners(count: int, zones: int = 4) -> list[Endpoint]:
+def make_runners(count: int, zones: int = 4) -> list[Endpoint]:
     """Return runners of eight slots over some zones."""
     return [
         Endpoint(f"r{i:04}", "runner", f"z{i % zones}", f"10.0.{i // 250}.{i % 250}:80")
@@ -102,12 +102,12 @@
     ) -> None:
         self.clock = Clock()
         self.shares = shares
-        self.endpoints = runners(count)
+        self.endpoints = make_runners(count)
         self.slow = slow or {}
         self.failing = set(failing)
         self.load: Counter[str] = Counter()
-        self.most_load = 0
-        self.over_s = 0.0
+        self.max_load = 0
+        self.overload_s = 0.0
         self.sent: Counter[str] = Counter()
         self.used_s: Counter[str] = Counter()
         self.busy_since: dict[int, tuple[str, float]] = {}
@@ -123,12 +123,12 @@
         self.clock.run(until)
         return reqs
 
-    def heard(self, asker: "Instance") -> FleetUse:
+    def read_gossip(self, asker: "Instance") -> FleetUse:
         """Return what an instance knows of the fleet from the last gossip."""
         served: Counter[str] = Counter()
         for inst in self.instances:
-            served.update(inst.told_served)
-        return FleetUse({i.name: i.told for i in self.instances}, served)
+            served.update(inst.gossiped_served)
+        return FleetUse({i.name: i.gossiped_demand for i in self.instances}, served)
 
 
 class Instance:
@@ -145,16 +145,16 @@
         self.dispatcher = Dispatcher(
             self.name, self.zone, self.account, QueueLimits(waiting, waiting)
         )
-        self.told: dict[str, float] = {}
-        self.told_served: dict[str, float] = {}
-        self.told_beyond: Counter[str] = Counter()
+        self.gossiped_demand: dict[str, float] = {}
+        self.gossiped_served: dict[str, float] = {}
+        self.gossiped_excess: Counter[str] = Counter()
         self._served: Counter[str] = Counter()
         self._rng = random.Random(index)
 
     def start(self) -> None:
         """Learn of the runners and begin to tick and gossip."""
         self.dispatcher.update(self.fleet.endpoints, 0.0)
-        phase = GOSSIP_S * (self.fleet.instances.index(self) % 7) / 7
+        phase = GOSSIP_INTERVAL_S * (self.fleet.instances.index(self) % 7) / 7
         self.fleet.clock.at(phase, self._gossip)
         self.fleet.clock.at(0.0, self._rebalance)
         self._tick()
@@ -163,33 +163,35 @@
         clock = self.fleet.clock
         waiting = {t: self.dispatcher.queue.waiting(t) for t in self.fleet.shares}
         running = self.account.running
-        self.told = {t: float(n + running.get(t, 0)) for t, n in waiting.items()}
-        self.told_served = dict(self._served)
-        self.told_beyond = self.dispatcher.router.excess_by_runner()
-        clock.at(clock.now + GOSSIP_S, self._gossip)
+        self.gossiped_demand = {
+            t: float(n + running.get(t, 0)) for t, n in waiting.items()
+        }
+        self.gossiped_served = dict(self._served)
+        self.gossiped_excess = self.dispatcher.router.excess_by_runner()
+        clock.at(clock.now + GOSSIP_INTERVAL_S, self._gossip)
 
     def _rebalance(self) -> None:
         fleet = self.fleet
         now = fleet.clock.now
-        self.dispatcher.rebalance(fleet.heard(self), fleet.shares, now)
-        elsewhere: Counter[str] = Counter()
+        self.dispatcher.rebalance(fleet.read_gossip(self), fleet.shares, now)
+        peer_excess: Counter[str] = Counter()
         for inst in fleet.instances:
             if inst is not self:
-                elsewhere.update(inst.told_beyond)
-        self.dispatcher.router.set_peer_excess(elsewhere)
-        self._pump()
+                peer_excess.update(inst.gossiped_excess)
+        self.dispatcher.router.set_peer_excess(peer_excess)
+        self._dispatch()
         fleet.clock.at(now + REBALANCE_S, self._rebalance)
 
     def _tick(self) -> None:
         clock = self.fleet.clock
-        fade = 0.5 ** (TICK_S / SERVED_HALF_S)
+        decay = 0.5 ** (TICK_INTERVAL_S / SERVED_HALF_LIFE_S)
         for team in self.fleet.shares:
-            used = self.account.running.get(team, 0) * TICK_S
-            self._served[team] = self._served[team] * fade + used
-        for given_up in self.dispatcher.refuse_hopeless(clock.now, self._rng.random()):
-            self._refuse(given_up.item.token, given_up.exc)
-        self._pump()
-        clock.at(clock.now + TICK_S, self._tick)
+            used_slot_s = self.account.running.get(team, 0) * TICK_INTERVAL_S
+            self._served[team] = self._served[team] * decay + used_slot_s
+        for refused in self.dispatcher.refuse_hopeless(clock.now, self._rng.random()):
+            self._refuse(refused.item.token, refused.exc)
+        self._dispatch()
+        clock.at(clock.now + TICK_INTERVAL_S, self._tick)
 
     def arrive(self, req: Req) -> None:
         """Admit a request or refuse it."""
@@ -208,52 +210,54 @@
             self.dispatcher.admit(item, now, self._rng.random())
         except FirhookError as exc:
             self._refuse(req, exc)
-        self._pump()
+        self._dispatch()
 
     def _refuse(self, req: Req, exc: FirhookError) -> None:
         req.refused_at = self.fleet.clock.now
         req.code = exc.code
 
-    def _pump(self) -> None:
-        while (got := self.dispatcher.dispatch_next(self.fleet.clock.now)) is not None:
-            if isinstance(got, RefusedRequest):
-                self._refuse(got.item.token, got.exc)
+    def _dispatch(self) -> None:
+        while (
+            decision := self.dispatcher.dispatch_next(self.fleet.clock.now)
+        ) is not None:
+            if isinstance(decision, RefusedRequest):
+                self._refuse(decision.item.token, decision.exc)
             else:
-                self._send(got)
+                self._start_request(decision)
 
-    def _send(self, placed: DispatchedRequest) -> None:
+    def _start_request(self, dispatched: DispatchedRequest) -> None:
         fleet = self.fleet
         now = fleet.clock.now
-        req: Req = placed.item.token
-        name = placed.view.endpoint.name
+        req: Req = dispatched.item.token
+        name = dispatched.view.endpoint.name
         req.wait_s = now - req.at
         fleet.sent[name] += 1
         fleet.load[name] += 1
-        fleet.most_load = max(fleet.most_load, fleet.load[name])
-        took_s = req.service_s * fleet.slow.get(name, 1.0)
+        fleet.max_load = max(fleet.max_load, fleet.load[name])
+        duration_s = req.service_s * fleet.slow.get(name, 1.0)
         failing = name in fleet.failing
-        end = now + (0.001 if failing else took_s)
-        fleet.clock.at(end, lambda: self._end(placed, name, failing))
+        end = now + (0.001 if failing else duration_s)
+        fleet.clock.at(end, lambda: self._finish(dispatched, name, failing))
 
-    def _end(self, placed: DispatchedRequest, name: str, failing: bool) -> None:
+    def _finish(self, dispatched: DispatchedRequest, name: str, failing: bool) -> None:
         fleet = self.fleet
         now = fleet.clock.now
-        req: Req = placed.item.token
-        took_s = now - placed.started
+        req: Req = dispatched.item.token
+        duration_s = now - dispatched.started
         fleet.load[name] -= 1
-        fleet.used_s[req.team] += took_s
+        fleet.used_s[req.team] += duration_s
         dispatcher = self.dispatcher
         kind = (req.team, req.klass, req.path)
         if failing:
-            dispatcher.router.note_failure(placed.view, now)
+            dispatcher.router.note_failure(dispatched.view, now)
             req.code = "endpoint.failed"
         else:
             expected_s = dispatcher.times.expected_s(kind)
-            dispatcher.router.note_answer(placed.view, took_s, expected_s, now)
-            dispatcher.times.record(kind, took_s, now)
+            dispatcher.router.note_answer(dispatched.view, duration_s, expected_s, now)
+            dispatcher.times.record(kind, duration_s, now)
             req.done_at = now
-        dispatcher.end(placed, now)
-        self._pump()
+        dispatcher.end(dispatched, now)
+        self._dispatch()
 
 
 def run_fifo_random(reqs: list[Req], count: int, until: float, seed: int = 1) -> None:
@@ -263,22 +267,22 @@
     queues: list[deque[Req]] = [deque() for _ in range(count)]
     free = [8] * count
 
-    def pump(i: int) -> None:
+    def dispatch(i: int) -> None:
         while queues[i] and free[i]:
             req = queues[i].popleft()
             free[i] -= 1
             req.wait_s = clock.now - req.at
-            clock.at(clock.now + req.service_s, partial(end, i, req))
+            clock.at(clock.now + req.service_s, partial(finish, i, req))
 
-    def end(i: int, req: Req) -> None:
+    def finish(i: int, req: Req) -> None:
         req.done_at = clock.now
         free[i] += 1
-        pump(i)
+        dispatch(i)
 
     def arrive(req: Req) -> None:
         i = rng.randrange(count)
         queues[i].append(req)
-        pump(i)
+        dispatch(i)
 
     for req in reqs:
         clock.at(req.at, lambda r=req: arrive(r))
@@ -294,27 +298,27 @@
     clock = Clock()
     heap: list[tuple[Any, ...]] = []
     order = ("interactive", "standard", "bulk")
-    seen = itertools.count()
+    sequence = itertools.count()
     free = 8 * count
 
-    def pump() -> None:
+    def dispatch() -> None:
         nonlocal free
         while heap and free:
             req = heapq.heappop(heap)[-1]
             free -= 1
             req.wait_s = clock.now - req.at
-            clock.at(clock.now + req.service_s, partial(end, req))
+            clock.at(clock.now + req.service_s, partial(finish, req))
 
-    def end(req: Req) -> None:
+    def finish(req: Req) -> None:
         nonlocal free
         req.done_at = clock.now
         free += 1
-        pump()
+        dispatch()
 
     def arrive(req: Req) -> None:
         rank = order.index(req.klass)
-        heapq.heappush(heap, (rank, req.service_s, next(seen), req))
-        pump()
+        heapq.heappush(heap, (rank, req.service_s, next(sequence), req))
+        dispatch()
 
     for req in reqs:
         clock.at(req.at, lambda r=req: arrive(r))
@@ -347,9 +351,9 @@
     burst: int = 1
     instances: tuple[int, ...] = tuple(range(9))
     path: str = ""
-    spread: float = 0.3
+    sigma: float = 0.3
 
-    def make(self, seconds: float, rng: random.Random) -> list[Req]:
+    def generate(self, seconds: float, rng: random.Random) -> list[Req]:
         """Return the stream's requests over some seconds."""
         reqs, now = [], 0.0
         while True:
@@ -358,9 +362,9 @@
                 return reqs
             for _ in range(self.burst):
                 service_s = self.mean_s * rng.lognormvariate(
-                    -(self.spread**2) / 2, self.spread
+                    -(self.sigma**2) / 2, self.sigma
                 )
-                where = rng.choice(self.instances)
+                instance = rng.choice(self.instances)
                 reqs.append(
                     Req(
                         now,
@@ -368,14 +372,14 @@
                         self.klass,
                         service_s,
                         self.deadline_s,
-                        where,
+                        instance,
                         self.path,
                     )
                 )
 
 
-def make_all(streams: list[Stream], seconds: float, seed: int) -> list[Req]:
+def generate_requests(streams: list[Stream], seconds: float, seed: int) -> list[Req]:
     """Return the requests of all streams in order of arrival."""
     rng = random.Random(seed)
-    reqs = [req for stream in streams for req in stream.make(seconds, rng)]
+    reqs = [req for stream in streams for req in stream.generate(seconds, rng)]
     return sorted(reqs, key=lambda r: r.at)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -34,15 +34,17 @@
 CALLERS = 8
 
 
-def filled_config(teams: int, changes: int) -> tuple[ConfigState, list[bytes], float]:
+def make_config_state(
+    teams: int, changes: int
+) -> tuple[ConfigState, list[bytes], float]:
     """Return lists with keys, their records, and the time to apply them."""
-    bodies: list[Any] = [
+    rows: list[Any] = [
         Row("plans", f"plan{i}", {"share": "1", "limit": "40"}) for i in range(6)
     ]
-    first = [
+    team_rows = [
         Row("teams", f"team{i:03}", {"plan": f"plan{i % 6}"}) for i in range(teams)
     ]
-    records: list[Any] = [RowsChanged(0, tuple(bodies + first), "root")]
+    records: list[Any] = [RowsChanged(0, tuple(rows + team_rows), "root")]
     records += [
         KeyGiven(f"{i:012x}", f"team{i % teams:03}", f"{i:064x}")
         for i in range(3 * teams)
@@ -58,7 +60,7 @@
     return state, payloads, replay(state, payloads)
 
 
-def filled_once(claims: int) -> tuple[OnceState, list[bytes], float]:
+def make_once_state(claims: int) -> tuple[OnceState, list[bytes], float]:
     """Return finished claims with answers of 200 B, their records and the time."""
     payloads = []
     for i in range(claims):
@@ -81,7 +83,7 @@
     return time.perf_counter() - started
 
 
-def memory_bytes(payloads: list[bytes]) -> int:
+def measure_memory_bytes(payloads: list[bytes]) -> int:
     """Return the bytes that a state of claims takes in memory."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -92,7 +94,7 @@
     return after - before
 
 
-def rebuild_s(state: StreamState, fresh: StreamState) -> tuple[int, int, float]:
+def measure_rebuild(state: StreamState, rebuilt: StreamState) -> tuple[int, int, float]:
     """Return a snapshot's bytes and chunks, and the seconds to rebuild from it."""
     chunks = split_snapshot(state.next_offset, state.to_text())
     payloads = [
@@ -100,62 +102,62 @@
         for i, chunk in enumerate(chunks)
     ]
     started = time.perf_counter()
-    rebuild = SnapshotFinder(state.next_offset)
+    finder = SnapshotFinder(state.next_offset)
     for payload in payloads:
         envelope = decode_envelope(payload)
         assert isinstance(envelope.body, SnapshotChunk)
-        snapshot = rebuild.add(envelope.lane, envelope.body)
+        snapshot = finder.add(envelope.lane, envelope.body)
     assert snapshot is not None
-    fresh.from_text(snapshot.upto, snapshot.text)
-    took = time.perf_counter() - started
-    assert fresh.to_text() == state.to_text()
-    return sum(map(len, payloads)), len(chunks), took
+    rebuilt.from_text(snapshot.upto, snapshot.text)
+    elapsed_s = time.perf_counter() - started
+    assert rebuilt.to_text() == state.to_text()
+    return sum(map(len, payloads)), len(chunks), elapsed_s
 
 
 @measure("snapshots")
 def snapshots() -> Iterable[dict[str, Any]]:
     """Yield sizes of snapshots and times of rebuilds, in process."""
     for teams in (6, 24, 120):
-        state, payloads, applied_s = filled_config(teams, 3400)
-        size, parts, took = rebuild_s(state, ConfigState())
+        state, payloads, applied_s = make_config_state(teams, 3400)
+        snapshot_bytes, chunk_count, elapsed_s = measure_rebuild(state, ConfigState())
         yield {
             "stream": "config",
             "teams": teams,
             "keys": 3 * teams,
-            "snapshot_bytes": size,
-            "chunks": parts,
-            "rebuild_ms": round(took * 1000, 2),
+            "snapshot_bytes": snapshot_bytes,
+            "chunks": chunk_count,
+            "rebuild_ms": round(elapsed_s * 1000, 2),
             "records": len(payloads),
             "record_bytes": sum(map(len, payloads)),
             "apply_us_per_record": round(applied_s / len(payloads) * 1e6, 1),
         }
     for claims in (1000, 4900, OnceState.MAX_ENTRIES):
-        once, payloads, applied_s = filled_once(claims)
-        size, parts, took = rebuild_s(once, OnceState())
+        once, payloads, applied_s = make_once_state(claims)
+        snapshot_bytes, chunk_count, elapsed_s = measure_rebuild(once, OnceState())
         yield {
             "stream": "once",
             "claims": claims,
-            "snapshot_bytes": size,
-            "chunks": parts,
-            "rebuild_ms": round(took * 1000, 2),
+            "snapshot_bytes": snapshot_bytes,
+            "chunks": chunk_count,
+            "rebuild_ms": round(elapsed_s * 1000, 2),
             "record_bytes": sum(map(len, payloads)),
             "apply_us_per_record": round(applied_s / len(payloads) * 1e6, 1),
-            "memory_bytes": memory_bytes(payloads),
+            "memory_bytes": measure_memory_bytes(payloads),
         }
 
 
 @measure("journal")
 def journal() -> Iterable[dict[str, Any]]:
     """Yield appends and bytes of a small cell, idle and with keyed charges."""
-    return asyncio.run(_journal())
+    return asyncio.run(_run_cluster())
 
 
-async def _log(cluster: Cluster) -> tuple[int, int]:
-    counted = await cluster.admin("/admin/faults", {})
-    return counted["appends"], counted["bytes"]
+async def _read_log_counters(cluster: Cluster) -> tuple[int, int]:
+    counters = await cluster.admin("/admin/faults", {})
+    return counters["appends"], counters["bytes"]
 
 
-async def _journal() -> list[dict[str, Any]]:
+async def _run_cluster() -> list[dict[str, Any]]:
     zones = ("ikeja", "lekki")
     async with Cluster(zones) as cluster:
         for zone in zones:
@@ -164,45 +166,51 @@
         await cluster.wait_ready(*entries)
         body = {"base": 0, "plans": PLANS, "teams": TEAMS}
         await cluster.call(entries[0], "POST", "/v1/config", json=body)
-        status, given = await cluster.call(
+        status, created_key = await cluster.call(
             entries[0], "POST", "/v1/keys", json={"team": "lisboa"}
         )
         assert status == 201
         await asyncio.sleep(2)
-        idle = await _rates(cluster, asyncio.sleep(IDLE_S))
-        done: list[int] = []
+        idle = await _measure_rates(cluster, asyncio.sleep(IDLE_S))
+        statuses: list[int] = []
         charges = asyncio.gather(
-            *(_charge(cluster, entries, given["key"], n, done) for n in range(CALLERS))
+            *(
+                _send_charges(cluster, entries, created_key["key"], n, statuses)
+                for n in range(CALLERS)
+            )
         )
-        loaded = await _rates(cluster, charges)
+        loaded = await _measure_rates(cluster, charges)
     return [
         {"load": "idle", "instances": len(entries), **idle},
         {
             "load": "keyed charges",
             "instances": len(entries),
-            "charges_per_s": round(done.count(200) / LOAD_S, 1),
-            "refused": len(done) - done.count(200),
+            "charges_per_s": round(statuses.count(200) / LOAD_S, 1),
+            "refused": len(statuses) - statuses.count(200),
             "appends_per_charge": round(
-                loaded["appends_per_s"] * LOAD_S / max(done.count(200), 1), 2
+                loaded["appends_per_s"] * LOAD_S / max(statuses.count(200), 1), 2
             ),
             **loaded,
         },
     ]
 
 
-async def _rates(cluster: Cluster, work: Any) -> dict[str, Any]:
-    started, (appends, size) = time.monotonic(), await _log(cluster)
+async def _measure_rates(cluster: Cluster, work: Any) -> dict[str, Any]:
+    started, (appends, byte_count) = (
+        time.monotonic(),
+        await _read_log_counters(cluster),
+    )
     await work
-    took = time.monotonic() - started
-    appends_after, size_after = await _log(cluster)
+    elapsed_s = time.monotonic() - started
+    appends_after, byte_count_after = await _read_log_counters(cluster)
     return {
-        "appends_per_s": round((appends_after - appends) / took, 2),
-        "appended_bytes_per_s": round((size_after - size) / took, 1),
+        "appends_per_s": round((appends_after - appends) / elapsed_s, 2),
+        "appended_bytes_per_s": round((byte_count_after - byte_count) / elapsed_s, 1),
     }
 
 
-async def _charge(
-    cluster: Cluster, entries: list[Any], key: str, caller: int, done: list[int]
+async def _send_charges(
+    cluster: Cluster, entries: list[Any], key: str, caller: int, statuses: list[int]
 ) -> None:
     end = time.monotonic() + LOAD_S
     count = 0
@@ -216,4 +224,4 @@
             headers={"Idempotency-Key": f"{caller}-{count}"},
             data="x",
         )
-        done.append(status)
+        statuses.append(status)
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -8,17 +8,25 @@
 
 from cyclopts import App, Parameter
 
-from bench._lab import POLICIES, SCENARIOS, SHIPPED, compare, markdown, plot, to_json
+from bench._lab import (
+    DEFAULT_POLICIES,
+    POLICIES,
+    SCENARIOS,
+    compare,
+    markdown,
+    plot,
+    to_json,
+)
 
 app = App(name="python -m bench lab", help=__doc__)
 
-Several = Parameter(consume_multiple=True)
+_MultiValue = Parameter(consume_multiple=True)
 
 
 @app.default
 def lab(
     *,
-    policies: Annotated[tuple[str, ...], Several] = SHIPPED,
+    policies: Annotated[tuple[str, ...], _MultiValue] = DEFAULT_POLICIES,
     seeds: int = 5,
     first_seed: int = 1,
     scenario: str = "trouble",
@@ -53,11 +61,11 @@
             file=sys.stderr,
         )
         return 2
-    chosen = range(first_seed, first_seed + seeds)
-    rows = compare(SCENARIOS[scenario], policies, chosen, processes)
+    seed_range = range(first_seed, first_seed + seeds)
+    rows = compare(SCENARIOS[scenario], policies, seed_range, processes)
     print(markdown(rows))
     if json is not None:
-        json.write_text(to_json(rows, scenario=scenario, seeds=list(chosen)))
+        json.write_text(to_json(rows, scenario=scenario, seeds=list(seed_range)))
     if plot_to is not None:
         plot(rows, plot_to)
     return 0
@@ -65,11 +73,11 @@
 
 def main(args: Sequence[str]) -> int:
     """Run the lab from the command line."""
-    events = logging.getLogger("firhook.events")
-    level = events.level
+    event_logger = logging.getLogger("firhook.events")
+    level = event_logger.level
     # The instances of the model warn of every fault that they meet.
-    events.setLevel(logging.ERROR)
+    event_logger.setLevel(logging.ERROR)
     try:
         return app(args, result_action="return_value") or 0
     finally:
-        events.setLevel(level)
+        event_logger.setLevel(level)
--- a/bench/members.py
+++ b/bench/members.py
@@ -32,36 +32,38 @@
 
     def __init__(self) -> None:
         self._streams: dict[str, list[bytes]] = {}
-        self._grown = asyncio.Condition()
+        self._appended = asyncio.Condition()
         self.appends = 0
 
     async def append(self, stream: str, payloads: Any) -> int:
         """Append records together."""
-        async with self._grown:
+        async with self._appended:
             records = self._streams.setdefault(stream, [])
             first = len(records)
             records += [bytes(p) for p in payloads]
-            self._grown.notify_all()
+            self._appended.notify_all()
         self.appends += 1
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         """Return the records from an offset on."""
-        give_up = time.monotonic() + wait_s
+        deadline = time.monotonic() + wait_s
         records = self._streams.setdefault(stream, [])
-        async with self._grown:
-            while len(records) <= offset and time.monotonic() < give_up:
-                left = give_up - time.monotonic()
+        async with self._appended:
+            while len(records) <= offset and time.monotonic() < deadline:
+                remaining_s = deadline - time.monotonic()
                 try:
-                    await asyncio.wait_for(self._grown.wait(), max(left, 0.001))
+                    await asyncio.wait_for(
+                        self._appended.wait(), max(remaining_s, 0.001)
+                    )
                 except TimeoutError:
                     break
-        part = records[offset : offset + 1000]
-        entries = tuple(LogEntry(offset + i, p) for i, p in enumerate(part))
+        page = records[offset : offset + 1000]
+        entries = tuple(LogEntry(offset + i, p) for i, p in enumerate(page))
         return LogPage(entries, len(records))
 
 
-class FixedList(InstanceList):
+class StaticInstanceList(InstanceList):
     """The instances of this process."""
 
     def __init__(self) -> None:
@@ -72,28 +74,34 @@
         return self.entries
 
 
-def _settings(name: str, zone: str, zones: list[str], curve: tuple[str, str]) -> Any:
+def _settings(
+    name: str, zone: str, zones: list[str], curve_keys: tuple[str, str]
+) -> Any:
     return parse_settings(
         f"[instance]\nname = {name}\nzone = {zone}\nzones = {', '.join(zones)}\n"
         "instances_expected = 63\n"
         "[listen]\ngateway = 127.0.0.1:0\nops = 127.0.0.1:0\npeers = 127.0.0.1:0\n"
         "[platform]\nlog_url = http://127.0.0.1:1\nappend_budget_per_s = 1000\n"
-        f"[mesh]\ncurve_public = {curve[0]}\ncurve_secret = {curve[1]}\n"
+        f"[mesh]\ncurve_public = {curve_keys[0]}\ncurve_secret = {curve_keys[1]}\n"
         f"[keys]\noperator_digest = {'0' * 64}\n"
     )
 
 
-class Members:
+class MemberCluster:
     """Journal and members of several instances, over real sockets."""
 
     def __init__(self, count: int, zones: int) -> None:
         names = [f"zone{i}" for i in range(zones)]
         public, secret = zmq.curve_keypair()
-        curve = public.decode(), secret.decode()
-        self.log, self.listed = MemoryLog(), FixedList()
-        platform = Platform(self.log, self.listed, None, None)  # type: ignore[arg-type]
+        curve_keys = public.decode(), secret.decode()
+        self.log, self.instance_list = MemoryLog(), StaticInstanceList()
+        platform = Platform(self.log, self.instance_list, None, None)  # type: ignore[arg-type]
         self.kernels = [
-            Kernel(_settings(f"i{i:03}", names[i % zones], names, curve), platform, "x")
+            Kernel(
+                _settings(f"i{i:03}", names[i % zones], names, curve_keys),
+                platform,
+                "x",
+            )
             for i in range(count)
         ]
 
@@ -102,7 +110,7 @@
         for kernel in self.kernels:
             await kernel.roles["journal"].start()
             await kernel.roles["members"].start()
-        self.listed.entries = tuple(
+        self.instance_list.entries = tuple(
             Endpoint(k.cfg.name, "entry", k.cfg.zone, k.ports["peers"])
             for k in self.kernels
         )
@@ -123,13 +131,13 @@
         for kernel in self.kernels:
             await kernel.roles["journal"].stop()
 
-    def load(self, teams: int) -> None:
+    def set_demand(self, teams: int) -> None:
         """Have each instance run and want requests of each team."""
         for i, kernel in enumerate(self.kernels):
             for t in range(teams):
                 kernel.account.running[f"team{t:03}"] = 1 + (i + t) % 5
 
-    def traffic(self) -> list[int]:
+    def traffic_bytes(self) -> list[int]:
         """Return bytes sent and received by each instance so far."""
         counts = [k.roles["members"]._mesh.counts for k in self.kernels]  # type: ignore[attr-defined]
         return [
@@ -139,18 +147,21 @@
 
 
 async def _run(count: int, zones: int, teams: int) -> dict[str, Any]:
-    members = Members(count, zones)
-    await members.start()
+    cluster = MemberCluster(count, zones)
+    await cluster.start()
     await asyncio.sleep(8.0)
-    members.load(teams)
+    cluster.set_demand(teams)
     await asyncio.sleep(4.0)
-    before, appends = members.traffic(), members.log.appends
-    cpu, began = time.process_time(), time.monotonic()
+    before, appends = cluster.traffic_bytes(), cluster.log.appends
+    cpu, started_at = time.process_time(), time.monotonic()
     await asyncio.sleep(RUN_S)
-    took = time.monotonic() - began
-    used = time.process_time() - cpu
-    rates = [(b - a) / took for a, b in zip(before, members.traffic(), strict=True)]
-    every = max(k.roles["members"]._every_s for k in members.kernels)  # type: ignore[attr-defined]
+    elapsed_s = time.monotonic() - started_at
+    cpu_s = time.process_time() - cpu
+    rates = [
+        (b - a) / elapsed_s
+        for a, b in zip(before, cluster.traffic_bytes(), strict=True)
+    ]
+    gossip_interval_s = max(k.roles["members"]._every_s for k in cluster.kernels)  # type: ignore[attr-defined]
     result = {
         "instances": count,
         "zones": zones,
@@ -158,11 +169,11 @@
         "bytes_per_s_mean": round(sum(rates) / count),
         "bytes_per_s_max": round(max(rates)),
         "of_budget_max": round(max(rates) / BUDGET_BYTES_PER_S, 3),
-        "cpu_percent_per_instance": round(100 * used / took / count, 2),
-        "appends_per_s_all": round((members.log.appends - appends) / took, 2),
-        "gossip_every_s": round(every, 2),
+        "cpu_percent_per_instance": round(100 * cpu_s / elapsed_s / count, 2),
+        "appends_per_s_all": round((cluster.log.appends - appends) / elapsed_s, 2),
+        "gossip_every_s": round(gossip_interval_s, 2),
     }
-    await members.stop()
+    await cluster.stop()
     return result
 
 
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -28,7 +28,7 @@
     return ordered[min(int(len(ordered) * q), len(ordered) - 1)]
 
 
-def _mixed_job(rng: random.Random, i: int, team: str, **fields: object) -> JobSpec:
+def _make_mixed_job(rng: random.Random, i: int, team: str, **fields: object) -> JobSpec:
     cpus = rng.choice([0.5, 1.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0])
     memory_mb = int(cpus * rng.choice([512, 1024, 2048, 3072, 4096]))
     return JobSpec(f"j{i}", team, 1, cpus, memory_mb, run_s=600.0, **fields)
@@ -45,27 +45,27 @@
         for i in range(size):
             sim.submit(f"base{i}", f"t{i % 120}", tasks=10, cpus=1.0, run_s=1e6)
         sim.round()
-        times = []
+        round_times_s = []
         for i in range(min(200, 4 * size)):
-            job = _mixed_job(rng, i, f"t{i % 120}")
+            job = _make_mixed_job(rng, i, f"t{i % 120}")
             sim.submit(job.job_id, job.team, cpus=job.cpus, memory_mb=job.memory_mb)
-            begun = time.perf_counter()
+            started = time.perf_counter()
             items, _ = sim.scheduler.plan(sim.term, sim.left(), 0.0, 0.0)
-            times.append(time.perf_counter() - begun)
+            round_times_s.append(time.perf_counter() - started)
             assert len(items) == 1
             sim.round()
         yield {
             "what": "one round that places one task",
             "workers": size,
             "running": size * 10,
-            "p50_ms": round(_quantile(times, 0.5) * 1e3, 3),
-            "p99_ms": round(_quantile(times, 0.99) * 1e3, 3),
+            "p50_ms": round(_quantile(round_times_s, 0.5) * 1e3, 3),
+            "p99_ms": round(_quantile(round_times_s, 0.99) * 1e3, 3),
             "target_p99_ms": 5.0,
         }
-        yield from _rate(size)
+        yield from _measure_placement_rate(size)
 
 
-def _rate(size: int) -> Iterator[dict]:
+def _measure_placement_rate(size: int) -> Iterator[dict]:
     """Time of each placement within one large round over mixed tasks."""
     rng = random.Random(size + 1)
     capacities = [
@@ -77,19 +77,19 @@
     count = min(size * 4, 3000)
     teams = [f"t{i}" for i in range(120)]
     requests = [
-        TaskRequest(_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)
+        TaskRequest(_make_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)
     ]
     left = dict.fromkeys(teams, 10**6)
     total = ResourceNeed(32.0 * size, 65536 * size, 0)
-    begun = time.perf_counter()
+    started = time.perf_counter()
     plan = plan_placements(requests, CapacityIndex(capacities), {}, {}, left, total)
-    spent = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started
     yield {
         "what": "tasks placed a second on one core, in turns over 120 teams",
         "workers": size,
         "placed": len(plan.placements),
         "asked": count,
-        "per_s": round(len(plan.placements) / spent),
+        "per_s": round(len(plan.placements) / elapsed_s),
         "target_per_s": 2000,
     }
 
@@ -98,16 +98,16 @@
 def placing_packing() -> Iterator[dict]:
     """Used share of the binding resource when work is refused for space."""
     for size in SIZES:
-        ours, first = [], []
+        best_fit, first_fit = [], []
         for seed in range(5):
-            ours.append(_packed(size, seed, _best_fit))
-            first.append(_packed(size, seed, _first_fit))
+            best_fit.append(_fill_zone(size, seed, _best_fit))
+            first_fit.append(_fill_zone(size, seed, _first_fit))
         yield {
             "what": "used share of the binding resource at the first refusals",
             "workers": size,
-            "share_of_bound": round(statistics.mean(ours), 4),
-            "worst_of_5": round(min(ours), 4),
-            "first_fit": round(statistics.mean(first), 4),
+            "share_of_bound": round(statistics.mean(best_fit), 4),
+            "worst_of_5": round(min(best_fit), 4),
+            "first_fit": round(statistics.mean(first_fit), 4),
             "target": 0.95,
         }
 
@@ -124,7 +124,7 @@
     return None
 
 
-def _packed(size: int, seed: int, choose: object) -> float:
+def _fill_zone(size: int, seed: int, choose: object) -> float:
     """Fill a zone until twenty tasks in a row found no room.
 
     The bound takes the zone as one large worker: the binding resource whole.
@@ -137,7 +137,7 @@
     cpus = memory = refused = 0.0
     i = 0
     while refused < 20:
-        job = _mixed_job(rng, i, "t")
+        job = _make_mixed_job(rng, i, "t")
         need = ResourceNeed.of(job)
         i += 1
         worker = choose(capacities, need)  # type: ignore[operator]
@@ -154,12 +154,12 @@
     )
 
 
-def _day(rng: random.Random, fifo: bool) -> ZoneSimulation:
+def _simulate_mixed_load(rng: random.Random, fifo: bool) -> ZoneSimulation:
     """Run a full zone: services, bulk batch, small teams, urgent, gangs."""
     teams = {f"s{i}": {} for i in range(5)} | {"large": {}}
     sim = ZoneSimulation(fleet(24), teams)
     if fifo:
-        _make_fifo(sim)
+        _use_fifo(sim)
     sim.submit("portal", "large", tasks=40, cpus=2.0, priority="service")
     for second in range(600):
         if second % 60 == 0:
@@ -184,7 +184,7 @@
     return sim
 
 
-def _make_fifo(sim: ZoneSimulation) -> None:
+def _use_fifo(sim: ZoneSimulation) -> None:
     """Replace turns, preemption and reservations by order of arrival, first fit."""
 
     def plan(term, left, now, wall):  # type: ignore[no-untyped-def]
@@ -215,20 +215,20 @@
 @measure("placing_waiting")
 def placing_waiting() -> Iterator[dict]:
     """Waiting time by class against first come, first served."""
-    ours = _waits(_day(random.Random(1), fifo=False))
-    fifo = _waits(_day(random.Random(1), fifo=True))
+    with_firhook = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=False))
+    fifo = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=True))
     for kind in ("urgent", "small", "gang", "bulk"):
         yield {
             "what": f"wait until started, {kind}, s",
-            "p50_s": round(_quantile(ours[kind], 0.5), 1),
-            "p99_s": round(_quantile(ours[kind], 0.99), 1),
+            "p50_s": round(_quantile(with_firhook[kind], 0.5), 1),
+            "p99_s": round(_quantile(with_firhook[kind], 0.99), 1),
             "fifo_p50_s": round(_quantile(fifo[kind], 0.5), 1),
             "fifo_p99_s": round(_quantile(fifo[kind], 0.99), 1),
-            "tasks": len(ours[kind]),
+            "tasks": len(with_firhook[kind]),
         }
 
 
-def _waits(sim: ZoneSimulation) -> dict[str, list[float]]:
+def _waits_by_kind(sim: ZoneSimulation) -> dict[str, list[float]]:
     """Return each task's wait; one that never started waited until the end."""
     waits: dict[str, list[float]] = {}
     for key, entry in sim.cell.jobs.items():
@@ -255,17 +255,18 @@
                 memory_mb=1024,
                 run_s=rng.choice([5.0, 11.0]),
             )
-    got: dict[str, float] = dict.fromkeys(shares, 0.0)
+    cpu_s_by_team: dict[str, float] = dict.fromkeys(shares, 0.0)
     while sim.now < 60:
         sim.round()
         if sim.now >= 20:
             for team, used in sim.cpus_by_team().items():
-                got[team] += used
+                cpu_s_by_team[team] += used
         sim.now += 1.0
-    whole = sum(got.values())
+    total_cpu_s = sum(cpu_s_by_team.values())
     weights = sum(shares.values())
     errors = [
-        abs(got[t] / whole - s / weights) / (s / weights) for t, s in shares.items()
+        abs(cpu_s_by_team[t] / total_cpu_s - s / weights) / (s / weights)
+        for t, s in shares.items()
     ]
     yield {
         "what": "share error over 12 teams, 100 workers, saturated",
@@ -298,9 +299,9 @@
                 run_s=3.0,
                 priority="urgent" if urgent else "batch",
             )
-        begun = time.perf_counter()
+        started = time.perf_counter()
         sim.scheduler.plan(sim.term, {}, sim.now, sim.now)
-        rounds.append(time.perf_counter() - begun)
+        rounds.append(time.perf_counter() - started)
         sim.round()
         sim.now += 0.1
     for _ in range(100):
@@ -327,7 +328,7 @@
 @measure("placing_cost")
 def placing_cost() -> Iterator[dict]:
     """Log records and bytes per task started, work lost to preemption."""
-    sim = _day(random.Random(2), fifo=False)
+    sim = _simulate_mixed_load(random.Random(2), fifo=False)
     preempted = [e for e in sim.ended if e.outcome == "preempted"]
     yield {
         "what": "log records and bytes per task started, mixed day",
@@ -337,10 +338,10 @@
         "preempted": len(preempted),
         "preempted_per_start": round(len(preempted) / sim.starts, 4),
     }
-    yield from _sync_cost()
+    yield from _measure_sync_cost()
 
 
-def _sync_cost() -> Iterator[dict]:
+def _measure_sync_cost() -> Iterator[dict]:
     """Processor time and bytes of one lead's regular orders to 130 workers."""
     for brief in (False, True):
         sim = ZoneSimulation(fleet(130), {"t": {}})
@@ -348,21 +349,21 @@
         sim.round()
         sim.round()
         order_bytes = report_bytes = 0
-        begun = time.perf_counter()
+        started = time.perf_counter()
         for worker in sim.workers:
             view = sim.term.workers[worker]
             view.report = attrs.evolve(view.report, brief=brief)
             order = sim.term.next_order(worker, HEALTHY, sim.now)
-            sent = {k: v for k, v in msgspec.to_builtins(order).items() if v}
-            order_bytes += len(msgspec.json.encode(sent))
+            order_fields = {k: v for k, v in msgspec.to_builtins(order).items() if v}
+            order_bytes += len(msgspec.json.encode(order_fields))
             report = view.report
             if order.renew_all:
                 report = attrs.evolve(report, tasks=(), same=True)
-            text = msgspec.json.encode(report)
-            report_bytes += len(text)
-            read = msgspec.json.decode(text, type=Report)
-            sim.term.note_report(worker, read, sim.now)
-        spent = time.perf_counter() - begun
+            encoded = msgspec.json.encode(report)
+            report_bytes += len(encoded)
+            decoded = msgspec.json.decode(encoded, type=Report)
+            sim.term.note_report(worker, decoded, sim.now)
+        elapsed_s = time.perf_counter() - started
         yield {
             "what": "orders to and reports from 130 workers with 1,300 tasks",
             "how": "renewed by digest" if brief else "renewed by name",
@@ -370,6 +371,6 @@
             "order_bytes_per_s": round(order_bytes / TIMING.sync_s),
             "report_bytes_per_s": round(report_bytes / TIMING.sync_s),
             "target_bytes_per_s": 14_000,
-            "core_share_without_http": round(spent / TIMING.sync_s, 4),
+            "core_share_without_http": round(elapsed_s / TIMING.sync_s, 4),
             "target_core_share": 0.047,
         }
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -10,11 +10,11 @@
 from hdrh.histogram import HdrHistogram
 
 from bench._registry import measure
-from bench._virtual import (
+from bench._simulation import (
     Fleet,
     Req,
     Stream,
-    make_all,
+    generate_requests,
     percentile,
     run_fifo_random,
     run_oracle,
@@ -25,7 +25,7 @@
 SLOTS = 192
 #: Waits under this count as this: the ratio of two waits of microseconds would
 #: say nothing that a caller could notice.
-_LEAST_WAIT_S = 0.001
+_MIN_WAIT_S = 0.001
 
 
 def mixed_load(utilisation: float) -> list[Stream]:
@@ -45,15 +45,15 @@
     ]
 
 
-def _fresh(reqs: list[Req]) -> list[Req]:
+def _copy_requests(reqs: list[Req]) -> list[Req]:
     return [attrs.evolve(r, wait_s=-1.0, done_at=-1.0) for r in reqs]
 
 
-def _interactive(reqs: list[Req]) -> list[float]:
+def _interactive_waits(reqs: list[Req]) -> list[float]:
     return [r.wait_s for r in reqs if r.klass == "interactive" and r.wait_s >= 0]
 
 
-def _bulk_wait(reqs: list[Req]) -> float:
+def _median_bulk_wait(reqs: list[Req]) -> float:
     """Return the median wait of bulk work, which pays for the others' waits."""
     return percentile([r.wait_s for r in reqs if r.klass == "bulk"], 50)
 
@@ -61,35 +61,39 @@
 @measure("requests_wait")
 def wait() -> Iterable[dict[str, Any]]:
     """Waiting time against plain FIFO with random routing and an oracle."""
-    reqs = make_all(mixed_load(0.9), 20.0, 7)
+    reqs = generate_requests(mixed_load(0.9), 20.0, 7)
     shares = {f"t{i}": 1.0 for i in range(6)}
-    ours, fifo, oracle = _fresh(reqs), _fresh(reqs), _fresh(reqs)
+    with_firhook, fifo, oracle = (
+        _copy_requests(reqs),
+        _copy_requests(reqs),
+        _copy_requests(reqs),
+    )
     fleet = Fleet(shares)
-    fleet.run(ours, 40.0)
+    fleet.run(with_firhook, 40.0)
     run_fifo_random(fifo, 24, 40.0)
     run_oracle(oracle, 24, 40.0)
     waits = {
-        "firhook": percentile(_interactive(ours), 99),
-        "fifo": percentile(_interactive(fifo), 99),
-        "oracle": percentile(_interactive(oracle), 99),
+        "firhook": percentile(_interactive_waits(with_firhook), 99),
+        "fifo": percentile(_interactive_waits(fifo), 99),
+        "oracle": percentile(_interactive_waits(oracle), 99),
     }
-    floor = max(waits["oracle"], _LEAST_WAIT_S)
+    oracle_wait_s = max(waits["oracle"], _MIN_WAIT_S)
     yield {
         "what": "p99 wait of interactive requests, mixed load, 90% utilisation",
         "unit": "s",
-        "requests": len(_interactive(ours)),
+        "requests": len(_interactive_waits(with_firhook)),
         **{k: round(v, 4) for k, v in waits.items()},
-        "p50_firhook": round(percentile(_interactive(ours), 50), 4),
-        "ratio_to_oracle": round(max(waits["firhook"], _LEAST_WAIT_S) / floor, 3),
+        "p50_firhook": round(percentile(_interactive_waits(with_firhook), 50), 4),
+        "ratio_to_oracle": round(max(waits["firhook"], _MIN_WAIT_S) / oracle_wait_s, 3),
         "ratio_to_fifo": round(waits["firhook"] / waits["fifo"], 4),
         "target_ratio_to_oracle": 1.5,
-        "refused": sum(1 for r in ours if r.refused_at >= 0),
+        "refused": sum(1 for r in with_firhook if r.refused_at >= 0),
         "p50_bulk": {
-            "firhook": round(_bulk_wait(ours), 3),
-            "fifo": round(_bulk_wait(fifo), 3),
-            "oracle": round(_bulk_wait(oracle), 3),
+            "firhook": round(_median_bulk_wait(with_firhook), 3),
+            "fifo": round(_median_bulk_wait(fifo), 3),
+            "oracle": round(_median_bulk_wait(oracle), 3),
         },
-        "most_at_one_runner": fleet.most_load,
+        "most_at_one_runner": fleet.max_load,
     }
 
 
@@ -97,65 +101,65 @@
 def share() -> Iterable[dict[str, Any]]:
     """Closeness to share over nine instances with skewed arrival."""
     shares = {"a": 1.0, "b": 1.0, "c": 2.0, "d": 4.0, "e": 1.0, "f": 3.0}
-    full = SLOTS / 0.1
-    skew = ((0, 1, 2), (0,), (3, 4, 5, 6), (7, 8), tuple(range(9)), (2, 3))
+    saturation_rate = SLOTS / 0.1
+    arrival_instances = ((0, 1, 2), (0,), (3, 4, 5, 6), (7, 8), tuple(range(9)), (2, 3))
     streams = [
-        Stream(t, "standard", full * 0.6, 0.1, 2.0, 1, where)
-        for t, where in zip(shares, skew, strict=True)
+        Stream(t, "standard", saturation_rate * 0.6, 0.1, 2.0, 1, instances)
+        for t, instances in zip(shares, arrival_instances, strict=True)
         if t != "e"
     ]
     # One team wants less than its share and must get all of it.
-    streams.append(Stream("e", "standard", full * 0.04, 0.1, 2.0))
+    streams.append(Stream("e", "standard", saturation_rate * 0.04, 0.1, 2.0))
     # One team's requests are long: turns counted by request would favour it.
-    streams[3] = attrs.evolve(streams[3], rate=full * 0.12, mean_s=0.5)
-    reqs = make_all(streams, 40.0, 3)
+    streams[3] = attrs.evolve(streams[3], rate=saturation_rate * 0.12, mean_s=0.5)
+    reqs = generate_requests(streams, 40.0, 3)
     fleet = Fleet(shares)
-    used: dict[str, Counter[str]] = {}
-    fleet.clock.at(10.0, lambda: used.update(start=Counter(fleet.used_s)))
+    used_at_start: dict[str, Counter[str]] = {}
+    fleet.clock.at(10.0, lambda: used_at_start.update(start=Counter(fleet.used_s)))
     fleet.run(reqs, 40.0)
-    got = fleet.used_s - used["start"]
-    wanted = dict.fromkeys(shares, 1000000000.0) | {"e": SLOTS * 0.04}
-    due = fair_amounts(SLOTS, wanted, shares)
-    total = sum(got.values())
-    errors = {t: got[t] / total * SLOTS / due[t] - 1 for t in shares}
+    used = fleet.used_s - used_at_start["start"]
+    wanted_slots = dict.fromkeys(shares, 1000000000.0) | {"e": SLOTS * 0.04}
+    fair_slots = fair_amounts(SLOTS, wanted_slots, shares)
+    total = sum(used.values())
+    errors = {t: used[t] / total * SLOTS / fair_slots[t] - 1 for t in shares}
     yield {
         "what": "share error over teams, 9 instances, skewed arrival, saturation",
         "worst": round(max(abs(e) for e in errors.values()), 4),
         "target": 0.05,
         "errors": {t: round(e, 4) for t, e in errors.items()},
         "slots_used": round(total / 30.0 / SLOTS, 4),
-        "most_at_one_runner": fleet.most_load,
+        "most_at_one_runner": fleet.max_load,
     }
 
 
-def _goodput(factor: float) -> tuple[float, Counter[str]]:
+def _measure_goodput(factor: float) -> tuple[float, Counter[str]]:
     streams = [
         attrs.evolve(s, rate=s.rate * factor, deadline_s=min(s.deadline_s, 4.0))
         for s in mixed_load(1.0)
     ]
-    reqs = make_all(streams, 20.0, 5)
+    reqs = generate_requests(streams, 20.0, 5)
     fleet = Fleet({f"t{i}": 1.0 for i in range(6)})
     fleet.run(reqs, 26.0)
-    late = [r for r in reqs if 5.0 <= r.at < 20.0]
-    codes = Counter(r.code or ("good" if r.good else "late") for r in late)
-    return sum(r.service_s for r in late if r.good) / 15.0, codes
+    measured = [r for r in reqs if 5.0 <= r.at < 20.0]
+    codes = Counter(r.code or ("good" if r.in_time else "late") for r in measured)
+    return sum(r.service_s for r in measured if r.in_time) / 15.0, codes
 
 
 @measure("requests_goodput")
 def goodput() -> Iterable[dict[str, Any]]:
     """Goodput at twice the load as a share of that at the load."""
-    (once, _), (twice, codes) = _goodput(1.0), _goodput(2.0)
+    (at_1x, _), (at_2x, codes) = _measure_goodput(1.0), _measure_goodput(2.0)
     yield {
         "what": "slot seconds of answers in time a second, at 2x against 1x load",
-        "at_1x": round(once, 2),
-        "at_2x": round(twice, 2),
-        "ratio": round(twice / once, 4),
+        "at_1x": round(at_1x, 2),
+        "at_2x": round(at_2x, 2),
+        "ratio": round(at_2x / at_1x, 4),
         "target": 0.95,
         "outcomes_at_2x": dict(codes),
     }
 
 
-def _decisions(count: int, teams: int, instances: int) -> dict[str, Any]:
+def _time_decisions(count: int, teams: int, instances: int) -> dict[str, Any]:
     """Time admission and dispatch of an instance with a full queue."""
     shares = {f"t{i}": 1.0 + i % 3 for i in range(teams)}
     fleet = Fleet(shares, count, instances)
@@ -163,11 +167,11 @@
         inst.dispatcher.update(fleet.endpoints, 0.0)
     inst = fleet.instances[0]
     for peer in fleet.instances:
-        peer.told = dict.fromkeys(shares, 10.0)
-    inst.dispatcher.rebalance(fleet.heard(inst), shares, 0.0)
+        peer.gossiped_demand = dict.fromkeys(shares, 10.0)
+    inst.dispatcher.rebalance(fleet.read_gossip(inst), shares, 0.0)
     rng = random.Random(1)
     hist = HdrHistogram(1, 10_000_000, 3)
-    placed = []
+    dispatched = []
     backlog = 1000
     for i in range(4000):
         req = Req(0.0, f"t{rng.randrange(teams)}", "standard", 0.1)
@@ -182,17 +186,17 @@
             req,
         )
         inst.dispatcher.admit(item, 0.001 * i, 0.5)
-        got = inst.dispatcher.dispatch_next(0.001 * i)
+        result = inst.dispatcher.dispatch_next(0.001 * i)
         took = time.perf_counter_ns() - started
         if i > backlog:
             hist.record_value(max(took // 1000, 1))
-        if got is not None:
-            placed.append(got)
+        if result is not None:
+            dispatched.append(result)
         # From here on as many end as come, and the backlog stays.
-        if i > backlog and placed:
-            inst.dispatcher.end(placed.pop(0), 0.001 * i)
+        if i > backlog and dispatched:
+            inst.dispatcher.end(dispatched.pop(0), 0.001 * i)
     started = time.perf_counter()
-    inst.dispatcher.rebalance(fleet.heard(inst), shares, 10.0)
+    inst.dispatcher.rebalance(fleet.read_gossip(inst), shares, 10.0)
     rebalance_s = time.perf_counter() - started
     started = time.perf_counter()
     inst.dispatcher.refuse_hopeless(10.0, 0.5)
@@ -213,6 +217,6 @@
         yield {
             "what": f"admit and dispatch, {count} runners, {teams} teams",
             "unit": "ms",
-            **_decisions(count, teams, instances),
+            **_time_decisions(count, teams, instances),
             "target_p99": target,
         }
--- a/bench/requests_process.py
+++ b/bench/requests_process.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from bench._load import Result, offer
+from bench._load import Result, generate_load
 from bench._registry import measure
 from standins.cluster import Cluster, Proc
 
@@ -27,7 +27,7 @@
     at: float
 
 
-def usage(proc: Proc) -> Usage:
+def read_usage(proc: Proc) -> Usage:
     """Read a process's usage."""
     root = Path(f"/proc/{proc.process.pid}")
     fields = (root / "stat").read_text().rpartition(")")[2].split()
@@ -37,26 +37,26 @@
     return Usage(cpu_s, rss_mb, time.monotonic())
 
 
-def cores(before: Usage, after: Usage) -> float:
+def cpu_percent(before: Usage, after: Usage) -> float:
     """Return the part of a core used between two readings, in percent."""
     return 100 * (after.cpu_s - before.cpu_s) / (after.at - before.at)
 
 
-async def _set_up(cluster: Cluster, entry: Proc) -> str:
+async def _configure(cluster: Cluster, entry: Proc) -> str:
     body = {
         "base": 0,
         "plans": "[p]\nshare = 1\nlimit = 1000\n",
         "teams": "[t]\nplan = p\n",
     }
     await cluster.call(entry, "POST", "/v1/config", json=body)
-    _, given = await cluster.call(entry, "POST", "/v1/keys", json={"team": "t"})
+    _, created_key = await cluster.call(entry, "POST", "/v1/keys", json={"team": "t"})
 
-    async def works(proc: Proc) -> bool:
-        status, _ = await cluster.call(proc, "GET", "/r/s/x", key=given["key"])
+    async def is_served(proc: Proc) -> bool:
+        status, _ = await cluster.call(proc, "GET", "/r/s/x", key=created_key["key"])
         return status == 200
 
-    await cluster.until(entry, works)
-    return str(given["key"])
+    await cluster.until(entry, is_served)
+    return str(created_key["key"])
 
 
 async def _measure() -> tuple[Result, Result, list[Usage]]:
@@ -64,41 +64,43 @@
         runners = [await cluster.add_runner(f"r{i}", "z", "s") for i in range(4)]
         entry = await cluster.add_entry("e", "z")
         await cluster.wait_ready(entry)
-        key = await _set_up(cluster, entry)
+        key = await _configure(cluster, entry)
         headers = {"Authorization": f"Bearer {key}"}
-        through = f"http://{entry.ports['gateway']}/r/s/quote?ms=5"
-        direct = f"http://{runners[0].ports['http']}/quote?ms=5"
-        await offer(through, _RATE, 1.0, headers)
-        await offer(direct, _RATE, 1.0)
-        uses = [usage(entry)]
+        firhook_url = f"http://{entry.ports['gateway']}/r/s/quote?ms=5"
+        direct_url = f"http://{runners[0].ports['http']}/quote?ms=5"
+        await generate_load(firhook_url, _RATE, 1.0, headers)
+        await generate_load(direct_url, _RATE, 1.0)
+        usages = [read_usage(entry)]
         await asyncio.sleep(_SECONDS)
-        uses.append(usage(entry))
-        ours = await offer(through, _RATE, _SECONDS, headers)
-        uses.append(usage(entry))
-        plain = await offer(direct, _RATE, _SECONDS)
-        return ours, plain, uses
+        usages.append(read_usage(entry))
+        via_firhook = await generate_load(firhook_url, _RATE, _SECONDS, headers)
+        usages.append(read_usage(entry))
+        direct_result = await generate_load(direct_url, _RATE, _SECONDS)
+        return via_firhook, direct_result, usages
 
 
 @measure("requests_overhead")
 def overhead() -> Iterable[dict[str, Any]]:
     """Overhead of a request through a daemon, and what the daemon uses."""
-    ours, plain, (start, idle, loaded) = asyncio.run(_measure())
+    via_firhook, direct_result, (start, idle, loaded) = asyncio.run(_measure())
     for p in (50, 99):
         yield {
             "what": f"p{p} through firhookd against a direct call, {_RATE:g}/s",
             "unit": "ms",
-            "firhook": round(ours.ms(p), 3),
-            "direct": round(plain.ms(p), 3),
-            "overhead": round(ours.ms(p) - plain.ms(p), 3),
-            "ratio": round(ours.ms(p) / plain.ms(p), 3),
-            "outcomes": dict(ours.outcomes),
+            "firhook": round(via_firhook.latency_ms(p), 3),
+            "direct": round(direct_result.latency_ms(p), 3),
+            "overhead": round(
+                via_firhook.latency_ms(p) - direct_result.latency_ms(p), 3
+            ),
+            "ratio": round(via_firhook.latency_ms(p) / direct_result.latency_ms(p), 3),
+            "outcomes": dict(via_firhook.outcomes),
         }
     yield {
         "what": "an instance idle and under load",
         "rss_idle_mb": round(idle.rss_mb, 1),
         "rss_loaded_mb": round(loaded.rss_mb, 1),
-        "cpu_idle_percent": round(cores(start, idle), 2),
-        "cpu_loaded_percent": round(cores(idle, loaded), 2),
+        "cpu_idle_percent": round(cpu_percent(start, idle), 2),
+        "cpu_loaded_percent": round(cpu_percent(idle, loaded), 2),
         "requests_a_second": _RATE,
         "target_rss_idle_mb": 60,
     }
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -14,34 +14,36 @@
 _STEP = {"count": 1, "millicpus": 1000, "task_memory_mb": 100}
 
 
-async def _play(seed: int, how: str) -> float:
+async def _measure_takeover(seed: int, cause: str) -> float:
     cell = ModelCell(instances=5, workers=6, seed=seed)
     await cell.begin()
     await pause(seed % 10 / 50)
     name = cell.lead_name()
-    old = cell.instances[name]
+    old_lead = cell.instances[name]
     # Work that runs, so that the successor has something to take over.
     for _ in range(20):
         await cell.submit([_STEP], work_s=30.0)
-    began = now()
-    if how == "killed":
+    started_at = now()
+    if cause == "killed":
         cell.kill(name)
     else:
-        await old.lead.drain()
-    running = set(cell.checks.last_start)
+        await old_lead.lead.drain()
+    started_before = set(cell.checks.last_start)
     await cell.submit([_STEP], work_s=30.0)
-    await cell.until(lambda: cell.lead() not in (None, old), 10.0)
-    await cell.until(lambda: set(cell.checks.last_start) - running, 10.0)
-    return now() - began
+    await cell.until(lambda: cell.lead() not in (None, old_lead), 10.0)
+    await cell.until(lambda: set(cell.checks.last_start) - started_before, 10.0)
+    return now() - started_at
 
 
 @measure("takeover")
 def takeover() -> Iterable[dict[str, Any]]:
     """Measure both ways in which a lead goes."""
-    for how, target_s in TARGETS_S.items():
-        times = sorted(run_virtual(_play(seed, how)) for seed in range(SEEDS))
+    for cause, target_s in TARGETS_S.items():
+        times = sorted(
+            run_virtual(_measure_takeover(seed, cause)) for seed in range(SEEDS)
+        )
         yield {
-            "how": how,
+            "how": cause,
             "seeds": SEEDS,
             "p50_ms": round(statistics.median(times) * 1000),
             "worst_ms": round(times[-1] * 1000),
--- a/tests/decide/test_requests.py
+++ b/tests/decide/test_requests.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from bench._virtual import Fleet, Req, Stream, make_all, percentile
+from bench._simulation import Fleet, Req, Stream, generate_requests, percentile
 from firhook.decide.admit import (
     DispatchedRequest,
     Dispatcher,
@@ -82,7 +82,7 @@
     fleet = Fleet({"large": 1.0, "small": 1.0}, count=1, instances=1)
     fleet.run([*burst, *small], 10.0)
     assert max(r.wait_s for r in small) < 0.15
-    assert all(r.good for r in small)
+    assert all(r.in_time for r in small)
 
 
 def test_quotes_do_not_wait_for_long_work_to_end():
@@ -94,10 +94,10 @@
         Stream("a", "interactive", 60, 0.02, 2.0, 3, HERE),
         Stream("b", "bulk", 30, 2.0, 20.0, 1, HERE),
     ]
-    reqs = make_all(streams, 20.0, 2)
+    reqs = generate_requests(streams, 20.0, 2)
     Fleet({"a": 1.0, "b": 1.0}, count=3, instances=1).run(reqs, 20.0)
     assert percentile(waits(reqs, "a", "interactive"), 95) < 0.05
-    assert sum(r.good for r in reqs if r.team == "b") > 100
+    assert sum(r.in_time for r in reqs if r.team == "b") > 100
 
 
 def test_double_load_is_refused_at_once_and_costs_no_goodput():
@@ -108,15 +108,15 @@
 
     def run(factor):
         stream = Stream("a", "standard", factor * 24 / 0.1, 0.1, 1.0, 1, HERE)
-        reqs = make_all([stream], 10.0, 3)
+        reqs = generate_requests([stream], 10.0, 3)
         Fleet({"a": 1.0}, count=3, instances=1).run(reqs, 12.0)
         return reqs
 
     once, twice = run(1.0), run(2.0)
-    assert sum(r.good for r in twice) >= 0.95 * sum(r.good for r in once)
+    assert sum(r.in_time for r in twice) >= 0.95 * sum(r.in_time for r in once)
     refused = [r.refused_at - r.at for r in twice if r.refused_at >= 0]
     assert refused and percentile(refused, 95) < 0.1
-    late = [r for r in twice if r.done_at >= 0 and not r.good]
+    late = [r for r in twice if r.done_at >= 0 and not r.in_time]
     assert len(late) < 0.02 * len(twice)
 
 
@@ -125,7 +125,7 @@
     Callers should hardly notice either.
     """
     stream = Stream("a", "standard", 240, 0.1, 5.0, 1, HERE)
-    reqs = make_all([stream], 15.0, 4)
+    reqs = generate_requests([stream], 15.0, 4)
     fleet = Fleet(
         {"a": 1.0},
         count=12,
@@ -134,7 +134,7 @@
         failing=["r0005"],
     )
     fleet.run(reqs, 30.0)
-    assert sum(r.good for r in reqs) > 0.97 * len(reqs)
+    assert sum(r.in_time for r in reqs) > 0.97 * len(reqs)
     assert fleet.sent["r0005"] < 0.01 * len(reqs)
     assert fleet.sent["r0000"] < 0.03 * len(reqs)
 
@@ -242,10 +242,10 @@
         Stream("b", "standard", 900, 0.1, 2.0, 5, (5, 6, 7)),
     ]
     fleet = Fleet({"a": 1.0, "b": 2.0}, count=12)
-    reqs = make_all(streams, 6.0, 6)
+    reqs = generate_requests(streams, 6.0, 6)
     later = [attrs.evolve(r, at=r.at + 6, instance=r.instance + 2) for r in reqs]
     fleet.run([*reqs, *later], 14.0)
-    assert fleet.most_load <= 10
+    assert fleet.max_load <= 10
 
 
 def test_kind_that_was_slow_once_is_not_refused_for_good():
--- a/tests/golden/sessions.py
+++ b/tests/golden/sessions.py
@@ -66,21 +66,21 @@
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.lines: list[tuple[float, str]] = []
-        self.quiet = True
+        self.muted = True
         self.streams: dict[str, list[bytes]] = {}
-        self.grown: dict[str, asyncio.Event] = {}
+        self.append_events: dict[str, asyncio.Event] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.workers: dict[str, Worker] = {}
         self.kernels: dict[str, Kernel] = {}
         self.meshes: dict[str, FakeMesh] = {}
         self.runs: dict[str, int] = {}
-        self.parted: set[str] = set()
-        self.gone: set[str] = set()
+        self.isolated_zones: set[str] = set()
+        self.killed: set[str] = set()
         self.ports = itertools.count(7001)
 
     def write(self, text: str) -> None:
         """Write a line of the transcript."""
-        if not self.quiet:
+        if not self.muted:
             self.lines.append((round(self.loop.time() - 1000.0, 3), text))
 
     def transcript(self) -> str:
@@ -91,9 +91,9 @@
         """
         return "\n".join(text for _, text in sorted(self.lines))
 
-    def joined(self, a: str, b: str) -> bool:
+    def is_connected(self, a: str, b: str) -> bool:
         """Return whether two places reach each other."""
-        return a == b or not ({a, b} & self.parted)
+        return a == b or not ({a, b} & self.isolated_zones)
 
     async def add(self, name: str, zone: str) -> Kernel:
         """Start an entry instance."""
@@ -129,7 +129,7 @@
         )
         platform = Platform(
             FakeLog(self, zone),
-            FakeList(self, zone),
+            FakeInstanceList(self, zone),
             FakeWorkers(self, zone),
             FakeRunners(self, zone),
         )
@@ -154,7 +154,7 @@
     async def kill(self, name: str) -> None:
         """End an instance at once, as if its machine had gone."""
         self.write(f"{name} is killed")
-        self.gone.add(name)
+        self.killed.add(name)
         del self.endpoints[name]
         kernel = self.kernels.pop(name)
         with contextlib.suppress(Exception):
@@ -181,16 +181,18 @@
         """Call an instance as a caller or an operator."""
         raw = body.encode() if isinstance(body, str) else json.dumps(body).encode()
         raw = b"" if body is None else raw
-        sent = {"Authorization": f"Bearer {key}", "X-Request-Id": "rid"}
-        sent.update(headers or {}, **{"Content-Length": str(len(raw))})
+        request_headers = {"Authorization": f"Bearer {key}", "X-Request-Id": "rid"}
+        request_headers.update(headers or {}, **{"Content-Length": str(len(raw))})
         self.write(f"caller -> {name}: {method} {path} {raw.decode()} {headers or ''}")
         await asyncio.sleep(NET_S)
-        resp = await self._handle(name, method, path, sent, raw)
+        resp = await self._handle(name, method, path, request_headers, raw)
         await asyncio.sleep(NET_S)
         data = json.loads(resp.body) if resp.body else None
-        after = resp.headers.get("Retry-After")
-        told = f" Retry-After {after}" if after else ""
-        self.write(f"{name} -> caller: {resp.status}{told} {json.dumps(data)}")
+        retry_after = resp.headers.get("Retry-After")
+        retry_after_text = f" Retry-After {retry_after}" if retry_after else ""
+        self.write(
+            f"{name} -> caller: {resp.status}{retry_after_text} {json.dumps(data)}"
+        )
         return resp.status, data
 
     async def _handle(
@@ -236,7 +238,7 @@
         self._zone = zone
 
     def _check(self) -> None:
-        if self._zone in self._session.parted:
+        if self._zone in self._session.isolated_zones:
             raise LogUnavailableError("the log is cut off", retry_after_s=2.0)
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
@@ -252,8 +254,8 @@
                 text = json.dumps(to_builtins(envelope.body))
                 self._session.write(f"log {stream} <- {envelope.lane}: {kind} {text}")
         records += payloads
-        self._session.grown.setdefault(stream, asyncio.Event()).set()
-        self._session.grown[stream] = asyncio.Event()
+        self._session.append_events.setdefault(stream, asyncio.Event()).set()
+        self._session.append_events[stream] = asyncio.Event()
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
@@ -262,16 +264,18 @@
         self._check()
         records = self._session.streams.setdefault(stream, [])
         if offset >= len(records):
-            grown = self._session.grown.setdefault(stream, asyncio.Event())
+            append_events = self._session.append_events.setdefault(
+                stream, asyncio.Event()
+            )
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(grown.wait(), wait_s)
+                await asyncio.wait_for(append_events.wait(), wait_s)
         self._check()
-        part = records[offset : offset + 1000]
-        entries = tuple(LogEntry(offset + i, data) for i, data in enumerate(part))
+        page = records[offset : offset + 1000]
+        entries = tuple(LogEntry(offset + i, data) for i, data in enumerate(page))
         return LogPage(entries, len(records))
 
 
-class FakeList(InstanceList):
+class FakeInstanceList(InstanceList):
     """The instance list."""
 
     def __init__(self, session: Session, zone: str) -> None:
@@ -280,7 +284,7 @@
 
     async def list(self) -> tuple[Endpoint, ...]:
         """Return the list; see :class:`InstanceList`."""
-        if self._zone in self._session.parted:
+        if self._zone in self._session.isolated_zones:
             raise PlatformUnavailableError("cut off")
         return tuple(self._session.endpoints.values())
 
@@ -299,19 +303,21 @@
     async def send_order(self, worker: Endpoint, order: Any) -> Any:
         """Give an order; see :class:`WorkerClient`."""
         for start in order.start:
-            ref = f"{start.job_id}[{start.index}]"
+            task_ref = f"{start.job_id}[{start.index}]"
             self._session.write(
-                f"order -> {worker.name}: start {ref} attempt {start.attempt}"
+                f"order -> {worker.name}: start {task_ref} attempt {start.attempt}"
                 f" at epoch {order.epoch}"
             )
         for stop in order.stop:
-            ref = f"{stop.job_id}[{stop.index}]"
-            self._session.write(f"order -> {worker.name}: stop {ref} {stop.reason}")
+            task_ref = f"{stop.job_id}[{stop.index}]"
+            self._session.write(
+                f"order -> {worker.name}: stop {task_ref} {stop.reason}"
+            )
         return await self._call(worker, to_builtins(order))
 
     async def _call(self, worker: Endpoint, order: Any) -> Any:
         await asyncio.sleep(NET_S)
-        if not self._session.joined(self._zone, worker.zone):
+        if not self._session.is_connected(self._zone, worker.zone):
             raise WorkerUnreachableError(worker.name)
         target = self._session.workers[worker.name]
         if order is None:
@@ -342,7 +348,7 @@
         timeout_s: float,
     ) -> EndpointResponse:
         """Send a request; see :class:`EndpointClient`."""
-        if not self._session.joined(self._zone, endpoint.zone):
+        if not self._session.is_connected(self._zone, endpoint.zone):
             await asyncio.sleep(min(1.0, timeout_s))
             raise NoEndpointError(f"{endpoint.name}: not reached")
         self._session.write(
@@ -389,34 +395,34 @@
         """The peers connected to."""
         return set(self.connected)
 
-    def _name(self, address: str) -> str:
+    def _name_at(self, address: str) -> str:
         for name, endpoint in self.session.endpoints.items():
             if endpoint.address == address:
                 return name
         return "nobody"
 
-    def _zone(self, address: str) -> str:
-        endpoint = self.session.endpoints.get(self._name(address))
+    def _zone_at(self, address: str) -> str:
+        endpoint = self.session.endpoints.get(self._name_at(address))
         return endpoint.zone if endpoint else ""
 
-    def _write(self, address: str, msg: Any, arrow: str) -> None:
+    def _write_message(self, address: str, msg: Any, arrow: str) -> None:
         kind = type(msg).__name__
         if kind in ROUTINE or kind.startswith(("Grant", "Holdings")):
             return
-        own, other = self._name(self.address), self._name(address)
+        own, other = self._name_at(self.address), self._name_at(address)
         text = json.dumps(to_builtins(msg))
         self.session.write(f"peer {own} {arrow} {other}: {kind} {text}")
 
-    def _reaches(self, address: str) -> "FakeMesh | None":
-        here, there = self._zone(self.address), self._zone(address)
-        if not there or not self.session.joined(here, there):
+    def _reachable_peer(self, address: str) -> "FakeMesh | None":
+        own_zone, peer_zone = self._zone_at(self.address), self._zone_at(address)
+        if not peer_zone or not self.session.is_connected(own_zone, peer_zone):
             return None
         return self.session.meshes.get(address)
 
     def send(self, address: str, msg: Any) -> None:
         """Send a one-way message."""
-        self._write(address, msg, "->")
-        peer = self._reaches(address)
+        self._write_message(address, msg, "->")
+        peer = self._reachable_peer(address)
         if peer is not None:
             self.session.loop.call_later(
                 NET_S, lambda: asyncio.ensure_future(peer.serve(msg))
@@ -430,17 +436,17 @@
 
     async def request(self, address: str, msg: Any, timeout_s: float) -> Any:
         """Send a message and return the answer."""
-        self._write(address, msg, "->")
-        peer = self._reaches(address)
+        self._write_message(address, msg, "->")
+        peer = self._reachable_peer(address)
         if peer is None:
             await asyncio.sleep(timeout_s)
-            raise PeerUnreachableError(f"{self._name(address)}: no answer")
+            raise PeerUnreachableError(f"{self._name_at(address)}: no answer")
         await asyncio.sleep(NET_S)
         try:
             answer = await asyncio.wait_for(peer.serve(msg), timeout_s)
         except TimeoutError as exc:
             raise PeerUnreachableError("no answer") from exc
-        self._write(address, answer, "<-")
+        self._write_message(address, answer, "<-")
         return answer
 
     async def run(self) -> None:
@@ -452,7 +458,7 @@
         self.session.meshes.pop(self.address, None)
 
 
-class _Listener:
+class _IdleListener:
     """Stands for a listening socket, with no connections on it."""
 
     addresses = (("127.0.0.1", 0),)
@@ -465,26 +471,28 @@
         """Close what is left."""
 
 
-async def _serve(*args: Any, **kwargs: Any) -> tuple[_Listener, _Listener]:
-    return _Listener(), _Listener()
+async def _start_idle_listener(
+    *args: Any, **kwargs: Any
+) -> tuple[_IdleListener, _IdleListener]:
+    return _IdleListener(), _IdleListener()
 
 
-class _Recorder(logging.Handler):
+class _TranscriptHandler(logging.Handler):
     """Writes log lines into the transcript."""
 
     def __init__(self, session: Session) -> None:
         super().__init__()
         self._session = session
 
-    def emit(self, line: logging.LogRecord) -> None:
+    def emit(self, record: logging.LogRecord) -> None:
         """Write one line."""
-        fields = {k: v for k, v in vars(line).items() if k not in _OWN_FIELDS}
-        level = line.levelname.lower()
+        fields = {k: v for k, v in vars(record).items() if k not in _OWN_FIELDS}
+        level = record.levelname.lower()
         text = json.dumps(fields, default=str, sort_keys=True)
-        self._session.write(f"logged {level} {line.getMessage()} {text}")
+        self._session.write(f"logged {level} {record.getMessage()} {text}")
 
 
-class _Secrets:
+class _SequentialSecrets:
     """Keys that are the same in each session."""
 
     def __init__(self) -> None:
@@ -507,36 +515,36 @@
 Script = Callable[[Session], Awaitable[None]]
 
 
-def play(script: Script) -> str:
+def run_session(script: Script) -> str:
     """Play a session and return its transcript."""
     loop = VirtualLoop()
     session = Session(loop)
-    recorder = _Recorder(session)
+    handler = _TranscriptHandler(session)
     random.seed(0)
     with contextlib.ExitStack() as stack:
         patch = lambda target, new: stack.enter_context(mock.patch(target, new))  # noqa: E731
         patch("time.monotonic", loop.time)
         patch("time.time", lambda: 1_800_000_000 + loop.time())
-        patch("firhook.roles._config.secrets", _Secrets())
-        patch("firhook.roles._gateway.serve", _serve)
-        patch("firhook.roles._ops.serve", _serve)
+        patch("firhook.roles._config.secrets", _SequentialSecrets())
+        patch("firhook.roles._gateway.serve", _start_idle_listener)
+        patch("firhook.roles._ops.serve", _start_idle_listener)
         patch(
             "firhook.roles._members.Mesh",
             lambda public, secret, serve: FakeMesh(session, serve),
         )
-        _LOGGER.addHandler(recorder)
+        _LOGGER.addHandler(handler)
         level = _LOGGER.level
         _LOGGER.setLevel(logging.INFO)
         stack.callback(_LOGGER.setLevel, level)
-        stack.callback(_LOGGER.removeHandler, recorder)
+        stack.callback(_LOGGER.removeHandler, handler)
         asyncio.set_event_loop(loop)
         try:
             loop.run_until_complete(script(session))
         finally:
-            left = asyncio.all_tasks(loop)
-            for task in left:
+            pending = asyncio.all_tasks(loop)
+            for task in pending:
                 task.cancel()
-            loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+            loop.run_until_complete(asyncio.gather(*pending, return_exceptions=True))
             asyncio.set_event_loop(None)
             loop.close()
     return session.transcript()
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -8,13 +8,13 @@
 
 import asyncio
 
-from tests.golden.sessions import Session, play
+from tests.golden.sessions import Session, run_session
 
 PLANS = "[small]\nshare = 1\nlimit = 40\nurgent = yes\n"
 TEAMS = "[lisboa-cold]\nplan = small\n"
 
 
-async def start(s: Session, *entries: tuple[str, str]) -> str:
+async def start_cell(s: Session, *entries: tuple[str, str]) -> str:
     """Start instances, apply the lists and return a team's key, unrecorded."""
     for name, zone in entries:
         # The first of each zone leads it, so that the session does not depend
@@ -30,7 +30,7 @@
     status, data = await s.call(first, "POST", "/v1/keys", body={"team": "lisboa-cold"})
     assert status == 201, data
     await asyncio.sleep(1.0)
-    s.quiet = False
+    s.muted = False
     return data["key"]
 
 
@@ -43,7 +43,7 @@
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
-        key = await start(s, ("a", "porto"), ("b", "porto"))
+        key = await start_cell(s, ("a", "porto"), ("b", "porto"))
         for name in ("a", "b"):
             headers = {"Idempotency-Key": "renewal-7"}
             await s.call(
@@ -51,7 +51,7 @@
             )
         assert s.runs == {"installer 7": 1}
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
 
 
 def test_withdrawn_key(snapshot):
@@ -59,7 +59,7 @@
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
-        key = await start(s, ("a", "porto"), ("b", "porto"))
+        key = await start_cell(s, ("a", "porto"), ("b", "porto"))
         await s.call("b", "GET", "/r/logbook/certificates/3", key)
         key_id = next(iter(s.kernels["a"].states.config.key_ids))
         await s.call("a", "DELETE", f"/v1/keys/{key_id}")
@@ -67,14 +67,14 @@
         status, _ = await s.call("b", "GET", "/r/logbook/certificates/3", key)
         assert status == 401
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
 
 
 def test_racing_operators(snapshot):
     """Two operators change the lists from the same version at once."""
 
     async def script(s: Session) -> None:
-        await start(s, ("a", "porto"), ("b", "porto"))
+        await start_cell(s, ("a", "porto"), ("b", "porto"))
         rows = [{"list_name": "teams", "name": "faro", "values": {"plan": "small"}}]
         body = {"base": 1, "rows": rows}
         answers = await asyncio.gather(
@@ -84,7 +84,7 @@
         assert sorted(status for status, _ in answers) == [200, 409]
         await asyncio.sleep(0.5)
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
 
 
 def test_lead_lost_in_mid_assignment(snapshot):
@@ -96,7 +96,7 @@
 
     async def script(s: Session) -> None:
         s.add_worker("worker-1", "porto")
-        key = await start(s, ("a", "porto"), ("b", "porto"))
+        key = await start_cell(s, ("a", "porto"), ("b", "porto"))
         lead = s.kernels["a"].states.cell.leads["porto"].instance.partition("#")[0]
         other = "b" if lead == "a" else "a"
         job = {"job_id": "reconcile", "tasks": 2, "run_s": 2.0}
@@ -107,7 +107,7 @@
         await s.until(lambda: not any(zone.live_attempts()), 120.0)
         await s.call(other, "GET", "/v1/jobs/reconcile", key)
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
 
 
 def test_zone_cut_and_healed(snapshot):
@@ -116,9 +116,9 @@
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
         s.add_runner("runner-2", "lisboa")
-        key = await start(s, ("a", "porto"), ("c", "lisboa"))
+        key = await start_cell(s, ("a", "porto"), ("c", "lisboa"))
         s.write("zone lisboa is cut off")
-        s.parted.add("lisboa")
+        s.isolated_zones.add("lisboa")
         await s.call("c", "GET", "/r/logbook/certificates/3", key)
         key_id = next(iter(s.kernels["a"].states.config.key_ids))
         await s.call("a", "DELETE", f"/v1/keys/{key_id}")
@@ -126,12 +126,12 @@
         await s.call("c", "POST", "/r/logbook/declarations", key, "declaration 9")
         await s.call("c", "GET", "/r/logbook/certificates/3", key)
         s.write("zone lisboa is back")
-        s.parted.clear()
+        s.isolated_zones.clear()
         await asyncio.sleep(3.0)
         status, _ = await s.call("c", "GET", "/r/logbook/certificates/3", key)
         assert status == 401
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
 
 
 def test_rolling_restart(snapshot):
@@ -139,18 +139,18 @@
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
-        key = await start(s, ("a", "porto"), ("b", "porto"))
+        key = await start_cell(s, ("a", "porto"), ("b", "porto"))
         for name, peer in (("a", "b"), ("b", "a")):
-            going = asyncio.ensure_future(
+            request_task = asyncio.ensure_future(
                 s.call(name, "GET", f"/r/logbook/certificates/{name}", key)
             )
             await asyncio.sleep(0.05)
             await s.stop(name)
-            assert (await going)[0] == 200
+            assert (await request_task)[0] == 200
             await s.add(name, "porto")
             await s.until(lambda n=name: s.kernels[n].ready)
             await asyncio.sleep(3.0)
             status, _ = await s.call(peer, "GET", "/r/logbook/certificates/0", key)
             assert status == 200
 
-    assert play(script) == snapshot
+    assert run_session(script) == snapshot
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,18 +15,18 @@
     TROUBLE,
     Ablation,
     CellPolicy,
-    Day,
-    Fate,
     Job,
     Outcome,
+    OutcomeKind,
     Scenario,
+    Workload,
     compare,
-    make_day,
+    generate_workload,
     markdown,
-    most_in_time,
+    max_in_time,
 )
-from bench._lab._cell import play_day
-from bench._lab._load import CLASSES, Spread, Step, Task, Window
+from bench._lab._cell import simulate
+from bench._lab._workload import CLASSES, LogNormal, Step, Task, Window
 from firhook._instance import load_services
 from firhook.decide.schedule import RoundResult
 
@@ -51,64 +51,64 @@
 #: A class that all workers may run, whose objective is its work and one second more.
 PLAIN = attrs.evolve(
     CLASSES[0],
-    advice_s=0.0,
-    advice_worker_s=0.0,
-    good=1.0,
+    advice_base_s=0.0,
+    advice_per_worker_s=0.0,
+    eligible_fraction=1.0,
     slack_factor=1.0,
     target_s=1.0,
 )
 
 
-class Nothing(CellPolicy):
+class StartsNothing(CellPolicy):
     """Starts nothing."""
 
-    def decisions(self):
+    def overrides(self):
         return {"place": lambda book, workers, tickets, now: RoundResult()}
 
 
 @pytest.fixture(scope="module")
-def played():
+def small_rows():
     return compare(SMALL, ("present", "first_come", "oracle"), SEEDS)
 
 
-def share(rows, policy, kind="all", name="all", field="in_time"):
-    found = [r for r in rows if (r.policy, r.kind, r.name) == (policy, kind, name)]
-    return found[0].fields[field].mean
+def mean_of(rows, policy, kind="all", name="all", field="in_time"):
+    selected = [r for r in rows if (r.policy, r.kind, r.name) == (policy, kind, name)]
+    return selected[0].fields[field].mean
 
 
-def test_same_seeds_give_the_same_table(played):
+def test_same_seeds_give_the_same_table(small_rows):
     """Faults and jobs are drawn from the seed, and nothing else is random."""
     again = compare(SMALL, ("present", "first_come", "oracle"), SEEDS)
-    assert markdown(again) == markdown(played)
+    assert markdown(again) == markdown(small_rows)
 
 
-def test_days_of_two_seeds_differ():
-    assert make_day(SMALL, 1).jobs != make_day(SMALL, 2).jobs
+def test_workloads_of_two_seeds_differ():
+    assert generate_workload(SMALL, 1).jobs != generate_workload(SMALL, 2).jobs
 
 
-def test_policy_that_starts_nothing_serves_nothing():
-    figures = Nothing().figures(make_day(SMALL, 1))[("all", "all")]
-    assert figures.shares[Fate.IN_TIME] == figures.shares[Fate.LATE] == 0
-    assert figures.shares[Fate.IN_VAIN] > 0.5
-    assert sum(figures.shares.values()) == pytest.approx(1)
+def test_policy_that_starts_nothing_completes_nothing():
+    summary = StartsNothing().evaluate(generate_workload(SMALL, 1))[("all", "all")]
+    assert summary.shares[OutcomeKind.IN_TIME] == summary.shares[OutcomeKind.LATE] == 0
+    assert summary.shares[OutcomeKind.ABANDONED] > 0.5
+    assert sum(summary.shares.values()) == pytest.approx(1)
 
 
-def test_oracle_is_below_no_policy_in_any_group(played):
-    bounds = {(r.kind, r.name): r for r in played if r.policy == "oracle"}
-    for row in played:
+def test_oracle_is_no_lower_than_any_policy_in_any_group(small_rows):
+    bounds = {(r.kind, r.name): r for r in small_rows if r.policy == "oracle"}
+    for row in small_rows:
         bound = bounds[row.kind, row.name].fields["in_time"].values
         got = row.fields["in_time"].values
         assert all(b >= g - 1e-9 for b, g in zip(bound, got, strict=True)), row
 
 
-def test_gain_is_against_the_first_policy_on_the_same_day(played):
-    for row in played:
+def test_gain_is_against_the_first_policy_on_the_same_workload(small_rows):
+    for row in small_rows:
         if row.policy == "present":
             assert row.fields["gain"] is None
             continue
         first = next(
             r
-            for r in played
+            for r in small_rows
             if (r.policy, r.kind, r.name) == ("present", row.kind, row.name)
         )
         pairs = zip(
@@ -117,82 +117,82 @@
         assert row.fields["gain"].values == tuple(a - b for a, b in pairs)
 
 
-def test_ablation_changes_what_it_names_and_only_while_it_plays(monkeypatch):
+def test_ablation_patches_its_constants_only_during_evaluation(monkeypatch):
     """A constant that was renamed would leave its part in place, unnoticed."""
     ablations = [p for p in POLICIES.values() if issubclass(p, Ablation)]
     names = {name for p in ablations for name in p.constants}
-    usual = {name: constant(name) for name in names}
+    baseline = {name: read_constant(name) for name in names}
     seen = {}
 
-    def play(policy, day):
-        seen.update({name: constant(name) for name in policy.constants})
+    def record_constants(policy, workload):
+        seen.update({name: read_constant(name) for name in policy.constants})
         return {}
 
-    monkeypatch.setattr(CellPolicy, "figures", play)
+    monkeypatch.setattr(CellPolicy, "evaluate", record_constants)
     for policy in ablations:
-        policy().figures(make_day(SMALL, 1))
+        policy().evaluate(generate_workload(SMALL, 1))
         assert seen.items() >= policy.constants.items()
-    assert all(seen[name] != usual[name] for name in names)
-    assert {name: constant(name) for name in names} == usual
+    assert all(seen[name] != baseline[name] for name in names)
+    assert {name: read_constant(name) for name in names} == baseline
 
 
-def constant(name):
+def read_constant(name):
     module, _, attr = f"firhook.{name}".rpartition(".")
     return getattr(importlib.import_module(module), attr)
 
 
-def test_every_job_has_one_fate(played):
-    for row in played:
+def test_every_job_has_one_outcome_kind(small_rows):
+    for row in small_rows:
         if row.policy != "oracle":
-            shares = [row.fields[fate.value].mean for fate in Fate]
+            shares = [row.fields[kind.value].mean for kind in OutcomeKind]
             assert sum(shares) == pytest.approx(1)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_only_callers_of_the_zone_that_is_cut_off_are_refused(seed):
+def test_only_callers_of_an_isolated_zone_are_refused(seed):
     """They reach instances that reach nothing; the others are served meanwhile."""
-    cut = attrs.evolve(SMALL, bursts=(), faults=(Window("zone", 1.0, 4.0),))
-    zone = make_day(cut, seed).faults[0].names[0]
-    rows = compare(cut, ("present",), (seed,))
-    assert share(rows, "present", "zone", zone, "refused") > 0.1
+    isolated = attrs.evolve(SMALL, bursts=(), faults=(Window("zone", 1.0, 4.0),))
+    zone = generate_workload(isolated, seed).faults[0].names[0]
+    rows = compare(isolated, ("present",), (seed,))
+    assert mean_of(rows, "present", "zone", zone, "refused") > 0.1
     for other in {r.name for r in rows if r.kind == "zone"} - {zone}:
-        assert share(rows, "present", "zone", other, "refused") == 0
-        assert share(rows, "present", "zone", other) > 1.5 * share(
+        assert mean_of(rows, "present", "zone", other, "refused") == 0
+        assert mean_of(rows, "present", "zone", other) > 1.5 * mean_of(
             rows, "present", "zone", zone
         )
 
 
-def test_slow_workers_make_work_late():
+def test_slow_workers_delay_jobs():
     slow = attrs.evolve(SMALL, bursts=(), faults=(Window("slow", 0.0, 5.0, 0.5),))
     calm = attrs.evolve(slow, faults=())
-    assert share(compare(calm, ("present",), (1,)), "present") > share(
+    assert mean_of(compare(calm, ("present",), (1,)), "present") > mean_of(
         compare(slow, ("present",), (1,)), "present"
     )
 
 
-def test_burst_of_an_account_is_its_own():
+def test_burst_of_one_account_leaves_the_others_unchanged():
     """One account sends four times its usual for two seconds; the others do not."""
-    usual = make_day(attrs.evolve(CALM, seconds=20.0), 1)
+    baseline = generate_workload(attrs.evolve(CALM, seconds=20.0), 1)
     burst = (Window("a", 0.0, 20.0, 4.0),)
-    hot = make_day(attrs.evolve(CALM, seconds=20.0, bursts=burst), 1)
+    with_burst = generate_workload(attrs.evolve(CALM, seconds=20.0, bursts=burst), 1)
 
-    def count(day, account):
-        return sum(job.account == account for job in day.jobs)
+    def count(workload, account):
+        return sum(job.account == account for job in workload.jobs)
 
-    assert 3 < count(hot, "a") / count(usual, "a") < 5
-    assert count(hot, "b") == count(usual, "b")
+    assert 3 < count(with_burst, "a") / count(baseline, "a") < 5
+    assert count(with_burst, "b") == count(baseline, "b")
 
 
-def test_fate_follows_from_when_the_caller_was_served():
-    job = make_day(SMALL, 1).jobs[0]
-    after = {
-        Fate.IN_TIME: Outcome(job, True, done_at=job.due),
-        Fate.LATE: Outcome(job, True, done_at=job.given_up_at),
-        Fate.IN_VAIN: Outcome(job, True, done_at=job.given_up_at + 0.01),
-        Fate.REFUSED: Outcome(job),
+def test_outcome_kind_follows_from_the_time_of_completion():
+    job = generate_workload(SMALL, 1).jobs[0]
+    outcomes = {
+        OutcomeKind.IN_TIME: Outcome(job, True, done_at=job.due),
+        OutcomeKind.LATE: Outcome(job, True, done_at=job.abandoned_at),
+        OutcomeKind.ABANDONED: Outcome(job, True, done_at=job.abandoned_at + 0.01),
+        OutcomeKind.REFUSED: Outcome(job),
     }
-    assert {fate: outcome.fate for fate, outcome in after.items()} == {
-        fate: fate for fate in after
+    assert {kind: outcome.kind for kind, outcome in outcomes.items()} == {
+        kind: kind for kind in outcomes
     }
 
 
@@ -200,65 +200,69 @@
     """Ended by its first member, a gang would take less than the bound allows for."""
     scenario = attrs.evolve(CALM, workers=2, instances=1, classes=(PLAIN,))
     tasks = (Task(1.0), Task(1.0))
-    step = Step(tasks, scenario.cpu_m, 100, 1.0, gang=True, saves=False)
+    step = Step(tasks, scenario.cpu_m, 100, 1.0, gang=True, checkpoints=False)
     job = Job(f"{1:016x}", 0.5, PLAIN, "a", "z0", (step,))
-    day = Day(1, scenario, (job,), (), {"w0": 1.25, "w1": 0.8})
-    figures = POLICIES["present"]().figures(day)[("all", "all")]
-    assert figures.shares[Fate.IN_TIME] == 1
-    begun_s, done_s = figures.p99_s, played_s(day)
-    assert done_s - begun_s == pytest.approx(1.25, abs=0.1)
+    workload = Workload(1, scenario, (job,), (), {"w0": 1.25, "w1": 0.8})
+    summary = POLICIES["present"]().evaluate(workload)[("all", "all")]
+    assert summary.shares[OutcomeKind.IN_TIME] == 1
+    start_delay_s, response_s = summary.p99_s, max_response_s(workload)
+    assert response_s - start_delay_s == pytest.approx(1.25, abs=0.1)
 
 
-def played_s(day):
-    return max(o.done_at - o.job.at for o in play_day(day, load_services()["lead"]))
+def max_response_s(workload):
+    return max(
+        o.done_at - o.job.at for o in simulate(workload, load_services()["lead"])
+    )
 
 
 # The bound.
 
 
-def one_core(*jobs):
+def single_core_workload(*jobs):
     """Return a day on one worker of one processor: when each comes, and its work."""
     scenario = Scenario(workers=1, cpu_m=1000, speeds=(1.0,), classes=(PLAIN,))
-    made = tuple(
-        Job(f"{i:016x}", at, PLAIN, "a", "z0", (one_step(work_s),))
+    made_jobs = tuple(
+        Job(f"{i:016x}", at, PLAIN, "a", "z0", (make_step(work_s),))
         for i, (at, work_s) in enumerate(jobs)
     )
-    return Day(1, scenario, made, (), {"w0": 1.0})
+    return Workload(1, scenario, made_jobs, (), {"w0": 1.0})
 
 
-def one_step(work_s):
+def make_step(work_s):
     return Step((Task(work_s),), 1000, 100, work_s, False, False)
 
 
-def served_by_deadline(day):
+def simulate_earliest_deadline_first(workload):
     """Return how many jobs one processor has in time that never idles."""
-    left = {job.id: job.work_s for job in day.jobs}
+    remaining = {job.id: job.work_s for job in workload.jobs}
     now, tick = 0.0, 0.025
-    while now < day.end:
-        open_jobs = [j for j in day.jobs if j.at <= now < j.due and left[j.id] > 0]
+    while now < workload.end:
+        open_jobs = [
+            j for j in workload.jobs if j.at <= now < j.due and remaining[j.id] > 0
+        ]
         if open_jobs:
             first = min(open_jobs, key=lambda j: j.due)
-            left[first.id] -= tick
+            remaining[first.id] -= tick
         now += tick
-    return sum(work_s <= 1e-9 for work_s in left.values())
+    return sum(work_s <= 1e-9 for work_s in remaining.values())
 
 
-def test_bound_counts_no_more_than_the_cell_has_room_for():
+def test_bound_does_not_exceed_the_capacity_of_the_cell():
     """Ten seconds of work come at once, each job with two seconds; two are served."""
-    day = one_core(*[(0.0, 1.0)] * 10)
-    assert 2.0 <= most_in_time(day, day.jobs) < 2.2
+    workload = single_core_workload(*[(0.0, 1.0)] * 10)
+    assert 2.0 <= max_in_time(workload, workload.jobs) < 2.2
 
 
-def test_bound_takes_jobs_with_the_least_work():
-    day = one_core((0.0, 4.0), *[(0.0, 0.1)] * 10)
-    assert most_in_time(day, day.jobs) == pytest.approx(11.0)
+def test_bound_prefers_jobs_with_the_least_work():
+    workload = single_core_workload((0.0, 4.0), *[(0.0, 0.1)] * 10)
+    assert max_in_time(workload, workload.jobs) == pytest.approx(11.0)
 
 
-def test_bound_leaves_out_callers_that_reach_nobody_until_they_give_up():
-    day = one_core((1.0, 0.5), (8.0, 0.5))
-    cut = attrs.evolve(day, faults=(Window("zone", 0.5, 6.0, names=("z0",)),))
-    assert most_in_time(day, day.jobs) == pytest.approx(2.0)
-    assert most_in_time(cut, day.jobs) == pytest.approx(1.0)
+def test_bound_excludes_callers_that_reach_no_instance_until_they_give_up():
+    workload = single_core_workload((1.0, 0.5), (8.0, 0.5))
+    isolated = attrs.evolve(workload, faults=(Window("zone", 0.5, 6.0, names=("z0",)),))
+    assert max_in_time(workload, workload.jobs) == pytest.approx(2.0)
+    assert max_in_time(isolated, workload.jobs) == pytest.approx(1.0)
 
 
 @given(
@@ -266,39 +270,42 @@
         st.tuples(st.integers(0, 40), st.integers(1, 20)), min_size=1, max_size=8
     ).map(lambda jobs: [(at / 10, work / 10) for at, work in jobs])
 )
-def test_bound_is_below_no_schedule(jobs):
-    day = one_core(*jobs)
-    assert served_by_deadline(day) <= most_in_time(day, day.jobs) + 1e-6
+def test_bound_is_no_lower_than_any_schedule(jobs):
+    workload = single_core_workload(*jobs)
+    assert (
+        simulate_earliest_deadline_first(workload)
+        <= max_in_time(workload, workload.jobs) + 1e-6
+    )
 
 
 @given(st.floats(0.1, 10), st.floats(0.1, 1))
-def test_quantities_stay_below_their_most(mean, rel):
+def test_log_normal_values_stay_below_their_maximum(mean, rel_std):
     import random
 
-    spread = Spread(mean, rel, 1.5 * mean)
+    distribution = LogNormal(mean, rel_std, 1.5 * mean)
     rng = random.Random(1)
-    values = [spread.draw(rng) for _ in range(200)]
+    values = [distribution.draw(rng) for _ in range(200)]
     assert 0 < min(values) <= max(values) <= 1.5 * mean
 
 
 # The command.
 
 
-def test_command_prints_a_table_and_keeps_each_seed(tmp_path, capsys, monkeypatch):
+def test_command_prints_a_table_and_writes_each_seed(tmp_path, capsys, monkeypatch):
     monkeypatch.setitem(lab.SCENARIOS, "small", SMALL)
-    files = {"--json": tmp_path / "lab.json", "--plot": tmp_path / "lab.svg"}
-    args = [str(part) for pair in files.items() for part in pair]
+    output_files = {"--json": tmp_path / "lab.json", "--plot": tmp_path / "lab.svg"}
+    args = [str(part) for pair in output_files.items() for part in pair]
     options = ["--scenario", "small", "--seeds", "2", "--policies", "oracle"]
     assert lab.main([*options, *args]) == 0
     assert "| all | oracle |" in capsys.readouterr().out
-    found = json.loads(files["--json"].read_text())
-    assert found["seeds"] == [1, 2]
-    assert len(found["rows"][0]["fields"]["in_time"]["values"]) == 2
-    assert files["--plot"].read_text().startswith("<?xml")
+    written = json.loads(output_files["--json"].read_text())
+    assert written["seeds"] == [1, 2]
+    assert len(written["rows"][0]["fields"]["in_time"]["values"]) == 2
+    assert output_files["--plot"].read_text().startswith("<?xml")
 
 
 @pytest.mark.parametrize("wrong", [["--policies", "no"], ["--scenario", "no"]])
-def test_command_names_what_there_is_when_something_is_unknown(wrong, capsys):
+def test_command_lists_the_known_names_for_an_unknown_one(wrong, capsys):
     assert lab.main(wrong) == 2
-    said = capsys.readouterr().err
-    assert all(name in said for name in POLICIES)
+    stderr = capsys.readouterr().err
+    assert all(name in stderr for name in POLICIES)
