--- a/bench/_lab/__init__.py
+++ b/bench/_lab/__init__.py
@@ -1,7 +1,7 @@
-"""A lab for decisions: policies compared on the same load and faults.
+"""Compares scheduling policies on identical generated workloads and faults.
 
-The cells run firhook's own services over the model of the platform, in virtual
-time; a policy replaces what they decide by.
+Each simulation runs firhook's own services against the platform model, in virtual
+time.  A policy replaces some of the lead's decision functions.
 """
 
 from bench._lab._ablations import Ablation
--- a/bench/_lab/_ablations.py
+++ b/bench/_lab/_ablations.py
@@ -1,4 +1,4 @@
-"""The present decisions, each time without one of their parts."""
+"""Ablations: the current policy with one of its mechanisms disabled or replaced."""
 
 import contextlib
 import math
@@ -15,9 +15,9 @@
 
 
 class Ablation(CellPolicy):
-    """What firhook decides with some constants at values that undo them.
+    """The current policy with constants patched to disable a mechanism.
 
-    :cvar constants: the values, by module and name.
+    :cvar constants: patched values by dotted path below the package ``firhook``.
     """
 
     constants: ClassVar[dict[str, float]] = {}
@@ -35,43 +35,43 @@
 
 
 class NoReservations(Ablation, name="no_reservations"):
-    """No room is kept for gangs that do not fit yet."""
+    """Reserves no capacity for gangs that do not fit yet."""
 
     constants: ClassVar = {"decide._schedule.MAX_RESERVED_GANGS": 0}
 
 
 class NoBackfill(Ablation, name="no_backfill"):
-    """Nothing uses the room kept for a gang meanwhile."""
+    """Never backfills capacity that is reserved for a gang."""
 
     constants: ClassVar = {"decide._schedule._BACKFILL_FACTOR": math.inf}
 
 
 class NoUrgentHeadroom(Ablation, name="no_urgent_room"):
-    """No room is kept for urgent work."""
+    """Reserves no capacity for urgent work."""
 
     constants: ClassVar = {"decide._schedule._URGENT_FRACTION": 0.0}
 
 
 class NoSlackOrder(Ablation, name="no_spare_order"):
-    """Late urgent work goes after all that can be in time."""
+    """Ranks late urgent work after all work that can still meet its objective."""
 
     constants: ClassVar = {"decide._schedule._AMPLE_SLACK_S": math.inf}
 
 
 class NoSuspicion(Ablation, name="no_suspicion"):
-    """Workers are used until a call to them has failed."""
+    """Never suspects a worker before a call to it has failed."""
 
     constants: ClassVar = {"decide._suspicion.OVERDUE_S": math.inf}
 
 
 class NoSlowWorkerDetection(Ablation, name="no_slow_workers"):
-    """Slow workers are used like others."""
+    """Treats slow workers like all others."""
 
     constants: ClassVar = {"decide._speeds.SLOW_FACTOR": math.inf}
 
 
 class NoStallDetection(Ablation, name="no_stalls"):
-    """What stands still is waited for."""
+    """Never treats a run without progress as stalled."""
 
     constants: ClassVar = {
         "decide._stalls.STALL_TIMEOUT_S": math.inf,
@@ -80,25 +80,25 @@
 
 
 class NoAdvicePrefetch(Ablation, name="no_asking_ahead"):
-    """The adviser is asked again only when there is room."""
+    """Requests advice again only when there is capacity."""
 
     constants: ClassVar = {"decide._tickets.FAST_ANSWER_S": math.inf}
 
 
 class NoUnprovenRenewal(Ablation, name="no_blind_renewal"):
-    """Leases are renewed only while the lead can prove itself."""
+    """Renews leases only while the lead can prove that it still leads."""
 
     constants: ClassVar = {"services._term.RENEW_UNPROVEN_S": 0.0}
 
 
 class ShortLeases(Ablation, name="short_leases"):
-    """What runs on a worker that is not heard is free again after 3 s, not 10 s."""
+    """Runs on an unreachable worker can be restarted after 3 s instead of 10 s."""
 
     bounds = Bounds(lease_s=3.0)
 
 
 class NoAdviserSlots(RoundPolicy, name="no_seats"):
-    """No seat at the adviser is kept for fast questions."""
+    """Reserves no adviser slot for fast requests."""
 
     slot_plan = NoReservedSlots
 
@@ -109,7 +109,7 @@
 
 
 class LatestStart(RoundPolicy, name="latest_start"):
-    """What must start soonest goes first, late or not, whatever its class."""
+    """Ranks steps by latest start only, whether late or not, across all classes."""
 
     round = _LatestStartRound
 
@@ -120,6 +120,6 @@
 
 
 class Priority(RoundPolicy, name="priority"):
-    """Classes in the order of their priority, late or not."""
+    """Ranks steps by class priority, then by latest start, whether late or not."""
 
     round = _PriorityRound
--- a/bench/_lab/_cell.py
+++ b/bench/_lab/_cell.py
@@ -1,4 +1,7 @@
-"""A cell of the model for the lab: zones, classes and accounts, and a policy."""
+"""The model cell in which the lab simulates a workload under a policy.
+
+It extends the platform model with zones, job classes, accounts and faults.
+"""
 
 import asyncio
 import hashlib
@@ -41,7 +44,7 @@
 from standins.model._cell import HOST
 from standins.model._workers import Gangs
 
-#: Modes of workers that are faults, the worst first.
+#: Worker modes set by faults, the most severe first.
 _FAULT_MODES = ("cut", "mute")
 _SLOWDOWN_FACTOR = 6.0
 _RETRY_S = 0.2
@@ -50,12 +53,12 @@
 
 
 def api_key(account: str) -> str:
-    """Return an account's key."""
+    """Return the API key of an account."""
     return f"key-of-{account}"
 
 
 class LabGangs(Gangs):
-    """Gangs that are as slow as their slowest member."""
+    """Gangs whose members all take as long as the slowest one."""
 
     def add(self, worker: ModelWorker, run: Any) -> None:
         """See :meth:`Gangs.add`."""
@@ -70,7 +73,10 @@
 
 
 class LabChecks(Checks):
-    """Checks that note when each job began."""
+    """Checks that also record when each job started.
+
+    :ivar job_started_at: start of the first run of each job, by job id.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -85,7 +91,10 @@
 
 
 class LabAdviser(ModelAdviser):
-    """An adviser whose answers take as long as the class of the job says."""
+    """An adviser whose answer times and permitted workers depend on the job class.
+
+    :param classes: the class of each job, by job id.
+    """
 
     def __init__(self, classes: dict[str, JobClass]) -> None:
         super().__init__(0.0, 0.0, next(iter(classes.values())).advice_valid_s, 1.0)
@@ -105,10 +114,11 @@
 
 
 class LabCell(ModelCell):
-    """The cell of one day.
+    """A model cell that runs one workload.
 
-    :param lead: the class of the service that leads.
-    :param bounds: the times that the cell is held to.
+    :param lead: class of the lead service.
+    :param bounds: time limits of the cell; the defaults if ``None``.
+    :ivar outcomes: the outcome of each job, by job id.
     """
 
     def __init__(
@@ -132,7 +142,7 @@
         self._active_faults: list[Window] = []
         self._submissions: set[asyncio.Task[None]] = set()
 
-    # How it is made.
+    # Setup.
 
     def services(self) -> dict[str, type[InstanceService]]:
         """See :meth:`ModelCell.services`."""
@@ -190,14 +200,14 @@
         if view is not None and view.status is JobStatus.COMPLETED:
             outcome.done_at = self.elapsed_s()
 
-    # How a day goes.
+    # Simulation.
 
     def elapsed_s(self) -> float:
-        """Return the time of the day."""
+        """Return the seconds since the workload started."""
         return now() - self._start_time
 
     async def run(self) -> list[Outcome]:
-        """Play the day."""
+        """Run the workload and return the outcome of every job."""
         await self.begin()
         self._start_time = now()
         loop = asyncio.get_running_loop()
@@ -216,7 +226,11 @@
         return list(self.outcomes.values())
 
     def _is_settled(self) -> bool:
-        """Return whether every caller has an answer, or has given up."""
+        """Return whether no caller is waiting any more.
+
+        A caller stops waiting when its job is done, was not accepted, or took so
+        long that it gave up.
+        """
         at = self.elapsed_s()
         return not self._submissions and all(
             o.done_at is not None or not o.accepted or at > o.job.abandoned_at
@@ -224,7 +238,10 @@
         )
 
     async def _submit_job(self, job: Job) -> None:
-        """Send a job as its caller does, to instances of the caller's zone."""
+        """Send a job to random instances of the caller's zone until one accepts it.
+
+        The caller stops trying after ``SUBMIT_TIMEOUT_S``.
+        """
         rng = random.Random(job.id)
         submit_by = job.at + SUBMIT_TIMEOUT_S
         body = msgspec.json.encode(_job_body(job))
@@ -243,7 +260,7 @@
                 return
             await pause(_RETRY_S)
 
-    # What goes wrong.
+    # Faults.
 
     def _zone_of_instance(self, instance: str) -> str:
         return self.instances[instance].instance.settings.zone
@@ -257,7 +274,7 @@
         self._apply_faults()
 
     def _apply_faults(self) -> None:
-        """Have all be as the faults say that there are now."""
+        """Set worker modes, worker speeds and links according to the active faults."""
         for name, worker in self.workers.items():
             active_labels = {
                 fault.label for fault in self._active_faults if name in fault.names
@@ -272,7 +289,7 @@
         )
 
     def _isolate_zones(self, zones: set[str]) -> None:
-        """Let nothing through between these zones and all else, the store included."""
+        """Isolate zones from each other, from all other zones and from the store."""
 
         def separated(one: str, other: str) -> bool:
             return one != other and (one in zones or other in zones)
@@ -329,9 +346,12 @@
 def simulate(
     workload: Workload, lead: type[InstanceService], bounds: Bounds | None = None
 ) -> list[Outcome]:
-    """Play a day in virtual time.
+    """Run a workload in virtual time.
 
-    :raises AssertionError: if a task ran twice, or a worker was overfull.
+    :param lead: class of the lead service.
+    :param bounds: time limits of the cell; the defaults if ``None``.
+    :return: the outcome of every job.
+    :raises AssertionError: if a task ran twice or a worker was overcommitted.
     """
     cell = LabCell(workload, lead, bounds)
     outcomes = run_virtual(cell.run())
--- a/bench/_lab/_oracle.py
+++ b/bench/_lab/_oracle.py
@@ -1,4 +1,4 @@
-"""An upper bound on what any policy can reach."""
+"""An upper bound on the jobs that any policy can complete in time."""
 
 from collections.abc import Iterable
 
@@ -8,36 +8,35 @@
 from bench._lab._policies import Policy
 from bench._lab._workload import SUBMIT_TIMEOUT_S, Job, Workload
 
-#: Times are rounded to so much, each window of work outwards.
+#: Times are rounded to slots of this length, each window outwards.
 _SLOT_S = 0.1
 
 
 class Oracle(Policy, name="oracle"):
-    """The most jobs that could be in time, were the cell one large machine.
-
-    No policy can have more of them in time, since each of these only makes it
-    easier, and the most is then found exactly:
-
-    - All workers are one machine that never fails, slows down or is cut off, and
-      that goes from one job to another, and splits each over all its processors,
-      at no cost.  A day's processors, each at its worker's speed, could do all
-      that the cell can do, and more.
-    - It knows all jobs beforehand, and the true work of each.  A job that is in
-      time had at least that work done between its window's ends: it was accepted
-      after its caller sent it, and after a cut of the caller's zone was over; its
-      first task began after the shortest answer of the adviser; and it was done
-      by its objective.
-    - A job counts by the part of its work that is done.  Whole jobs are a case of
-      that.  What work can be done within windows is a polymatroid, so that taking
-      the jobs with the least work first, each as far as there is room, gives the
-      largest sum of parts.
-
-    Each group's bound is found as if the cell served this group alone.  Other
-    fates and waits have no bound here.
+    """An upper bound on the jobs in time, for a relaxed model of the cell.
+
+    Each of these relaxations only makes the problem easier, so no policy can complete
+    more jobs in time.  The optimum of the relaxed problem is exact:
+
+    - All workers form one machine that never fails, slows down or is isolated.  It
+      switches between jobs and splits a job over all its cores at no cost.  Its
+      cores have the speeds of their workers, so it can do all that the cell can do,
+      and more.
+    - It knows all jobs and their true work beforehand.  A job in time has all its
+      work done within a window.  The window starts when the job can be accepted,
+      which is after its caller sends it and after the caller's zone is no longer
+      isolated, plus the shortest answer of the adviser.  It ends at the objective.
+    - A job counts by the completed fraction of its work, of which complete jobs are a
+      special case.  The amounts of work that fit within the windows form a
+      polymatroid.  So the greedy choice, which takes the jobs with the least work
+      first, each as far as capacity remains, maximises the sum of the fractions.
+
+    The bound of each group assumes that the cell serves only this group.  The other
+    outcomes and the wait times have no bound.
     """
 
     def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
-        """Return the bounds."""
+        """Return the bound of each group; see :meth:`Policy.evaluate`."""
         return {
             (kind, name): _bound(workload, jobs)
             for kind, name, jobs in iter_groups(workload)
@@ -51,9 +50,9 @@
 
 
 def released_at(workload: Workload, job: Job) -> float:
-    """Return when a job's first task can begin at the earliest.
+    """Return the earliest time at which the first task of a job can start.
 
-    :return: infinity if no instance can accept it as long as its caller tries.
+    :return: infinity if no instance can accept the job while its caller tries.
     """
     at = job.at
     for fault in workload.faults:
@@ -65,16 +64,16 @@
 
 
 def max_in_time(workload: Workload, jobs: Iterable[Job]) -> float:
-    """Return the largest number of jobs that the whole cell could have in time."""
+    """Return an upper bound on the jobs in time, counting fractions of jobs."""
     cores = sum(workload.speeds.values()) * workload.scenario.cpu_m / 1000
     count = int(workload.end / _SLOT_S) + 2
-    # What is left of the cell from the start of each slot to the end of each.
+    # Remaining capacity, in core seconds, from the start of slot i to that of slot j.
     span_slots = np.subtract.outer(np.arange(count + 1), np.arange(count + 1)).T
     remaining = span_slots.astype(float) * (cores * _SLOT_S)
     fastest = max(workload.speeds.values())
     total = 0.0
     for work, first, last in sorted(_windows(workload, jobs, fastest)):
-        # Every span that holds the job's window bounds what is done within it.
+        # Every span that contains the window limits the work done in it.
         enclosing = remaining[: first + 1, last:]
         done_work = min(work, max(float(enclosing.min()), 0.0))
         enclosing -= done_work
@@ -85,7 +84,7 @@
 def _windows(
     workload: Workload, jobs: Iterable[Job], fastest: float
 ) -> Iterable[tuple[float, int, int]]:
-    """Return work and first and last slot of each job that can be in time at all."""
+    """Yield the work, first slot and end slot of each job that can be in time."""
     for job in jobs:
         begin = released_at(workload, job)
         if begin + job.work_s / fastest > job.due:
--- a/bench/_lab/_outcomes.py
+++ b/bench/_lab/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a day's jobs, as their callers saw it."""
+"""Outcomes of jobs from the view of their callers, and summaries by group."""
 
 import enum
 from collections.abc import Iterable, Iterator
@@ -9,7 +9,7 @@
 from bench._lab._workload import Job, Workload
 
 _MAX_WAIT_MS = 600_000
-#: The groups that are told of: of what kind, and a job's name in it.
+#: Ways to group jobs: from each kind of group to the name of a job's group.
 GROUPS = {
     "all": lambda job: "all",
     "class": lambda job: job.kind.name,
@@ -19,25 +19,25 @@
 
 
 class OutcomeKind(enum.Enum):
-    """What a caller got."""
+    """The outcome of a job for its caller."""
 
-    #: Done within the objective.
+    #: Completed within the objective.
     IN_TIME = "in_time"
-    #: Done later, before the caller gave up.
+    #: Completed after the objective, before the caller gave up.
     LATE = "late"
-    #: Accepted, and not done when the caller gave up.
+    #: Accepted, but not complete when the caller gave up.
     ABANDONED = "in_vain"
-    #: Not accepted as long as the caller tried.
+    #: Never accepted while the caller tried.
     REFUSED = "refused"
 
 
 @attrs.define
 class Outcome:
-    """What became of a job.
+    """The progress of a job, as its caller could see it.
 
-    :ivar accepted: whether its caller was told that it is accepted.
-    :ivar started_at: when its first task began to run.
-    :ivar done_at: when its end could be asked for.
+    :ivar accepted: whether its caller received the acceptance.
+    :ivar started_at: when its first task started; ``None`` if none did.
+    :ivar done_at: when an instance first reported it complete; ``None`` if none did.
     """
 
     job: Job
@@ -47,7 +47,7 @@
 
     @property
     def kind(self) -> OutcomeKind:
-        """What its caller got."""
+        """The outcome for the caller."""
         if self.done_at is not None and self.done_at <= self.job.due:
             return OutcomeKind.IN_TIME
         if self.done_at is not None and self.done_at <= self.job.abandoned_at:
@@ -56,7 +56,7 @@
 
     @property
     def start_delay_s(self) -> float:
-        """How long it waited to begin; until its caller gave up if it did not."""
+        """The wait until the first task started, at most until the caller gave up."""
         waited_until = self.job.abandoned_at
         if self.started_at is not None:
             waited_until = min(waited_until, self.started_at)
@@ -65,10 +65,11 @@
 
 @attrs.frozen
 class Summary:
-    """The figures of a group of jobs on one day; ``None`` where none is known.
+    """A summary of a group of jobs in one simulation; ``None`` where unknown.
 
-    :param shares: the part of the jobs that met each fate.
-    :param p50_s: of the waits until the first task began.
+    :param shares: fraction of the jobs with each outcome.
+    :param p50_s: median wait until the first task started.
+    :param p99_s: 99th percentile of that wait.
     """
 
     jobs: int
@@ -78,7 +79,7 @@
 
 
 def iter_groups(workload: Workload) -> Iterator[tuple[str, str, list[Job]]]:
-    """Return the groups of a day's jobs: kind, name and jobs."""
+    """Yield the kind, the name and the jobs of each group."""
     for kind, name_of in GROUPS.items():
         for name in sorted({name_of(job) for job in workload.jobs}):
             yield kind, name, [job for job in workload.jobs if name_of(job) == name]
@@ -87,7 +88,7 @@
 def summarize_groups(
     workload: Workload, outcomes: Iterable[Outcome]
 ) -> dict[tuple[str, str], Summary]:
-    """Return the figures of each group."""
+    """Return the summary of each group, by kind and name."""
     by_id = {outcome.job.id: outcome for outcome in outcomes}
     return {
         (kind, name): summarize([by_id[job.id] for job in jobs])
@@ -96,7 +97,7 @@
 
 
 def summarize(outcomes: list[Outcome]) -> Summary:
-    """Return the figures of some jobs."""
+    """Return the summary of a list of outcomes."""
     waits = HdrHistogram(1, _MAX_WAIT_MS, 3)
     counts = dict.fromkeys(OutcomeKind, 0)
     for outcome in outcomes:
--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -1,4 +1,4 @@
-"""The policies that the lab compares; each registers itself by its name."""
+"""The policies that the lab compares, registered by name."""
 
 import abc
 from collections.abc import Callable
@@ -17,16 +17,16 @@
 from firhook.platform.instance import Bounds
 
 POLICIES: dict[str, type["Policy"]] = {}
-#: What is compared if nothing else is asked for.
+#: The policies that are compared by default.
 DEFAULT_POLICIES = ("present", "first_come", "oracle")
 
 
 class Policy(abc.ABC):
-    """A way to serve a day.
+    """A scheduling policy.
 
-    A subclass that gives its name as a class argument is registered under it.
+    A subclass with the class argument ``name`` is registered under that name.
 
-    :cvar name: what it is called in tables.
+    :cvar name: name on the command line and in tables.
     """
 
     name: ClassVar[str] = ""
@@ -39,23 +39,23 @@
 
     @abc.abstractmethod
     def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
-        """Return what the callers of each group get on a day."""
+        """Return the summary of each group of a workload, by kind and name."""
 
 
 class CellPolicy(Policy):
-    """A policy that decides in a cell of the model.
+    """A policy that is simulated in a model cell.
 
-    :cvar bounds: the times that the cell is held to.
+    :cvar bounds: time limits of the cell.
     """
 
     bounds: ClassVar[Bounds] = Bounds()
 
     @abc.abstractmethod
     def overrides(self) -> dict[str, Callable[..., Any]]:
-        """Return what the lead decides by in place of its own, by attribute."""
+        """Return replacements of the lead's decision functions, by attribute name."""
 
     def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
-        """Play a day."""
+        """Simulate a workload; see :meth:`Policy.evaluate`."""
         overridden = {
             name: staticmethod(func) for name, func in self.overrides().items()
         }
@@ -64,7 +64,7 @@
 
 
 class Current(CellPolicy, name="present"):
-    """What firhook decides."""
+    """The decisions of firhook, unchanged."""
 
     def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
@@ -72,7 +72,11 @@
 
 
 class RoundPolicy(CellPolicy):
-    """A policy with rounds, and seats at the adviser, of classes of its own."""
+    """A policy with its own classes for rounds and for reserved adviser slots.
+
+    :cvar round: the class of a placement round.
+    :cvar slot_plan: the class that reserves adviser slots.
+    """
 
     round: ClassVar[type[Round]] = Round
     slot_plan: ClassVar[type[SlotPlan]] = SlotPlan
@@ -84,7 +88,7 @@
         tickets: TicketTable,
         now: float,
     ) -> RoundResult:
-        """Decide which waiting tasks start now, and where."""
+        """Decide which waiting tasks start, and on which workers."""
         return self.round(jobs, workers, tickets, now).run()
 
     def overrides(self) -> dict[str, Callable[..., Any]]:
@@ -93,10 +97,10 @@
 
 
 class _FirstComeRound(Round):
-    """The oldest first, each task on the first worker with room."""
+    """Places steps in order of arrival, each task on the first worker that fits."""
 
     def run(self) -> RoundResult:
-        """See :meth:`Round.run`; the adviser is asked in order of arrival too."""
+        """See :meth:`Round.run`; advice is requested in order of arrival too."""
         result = super().run()
         result.advice_requests = [
             attrs.evolve(request, order_key=request.step.job.accepted_at)
@@ -135,11 +139,11 @@
         return chosen
 
     def _reserve(self, step: Step, workers: list[WorkerView]) -> None:
-        """Keep no room."""
+        """Reserve no capacity."""
 
 
 class NoReservedSlots(SlotPlan):
-    """Keeps no seat for any question."""
+    """Reserves no adviser slot for any request."""
 
     def reserved_slots(self, cost_s: float, slots: int, now: float) -> int:
         """See :meth:`SlotPlan.reserved_slots`."""
@@ -147,9 +151,9 @@
 
 
 class FirstCome(RoundPolicy, name="first_come"):
-    """First come, first fit: no order by urgency, and no room or seat kept.
+    """First come, first fit, without urgency and without reservations.
 
-    What does not fit is passed over; the adviser is asked as the platform demands.
+    Steps that do not fit are skipped.  The adviser is asked as the platform requires.
     """
 
     round = _FirstComeRound
--- a/bench/_lab/_report.py
+++ b/bench/_lab/_report.py
@@ -1,4 +1,4 @@
-"""Policies on the same seeds, as a table, as JSON and as a plot."""
+"""Compares policies on the same seeds, as a table, JSON and a plot."""
 
 import json
 import statistics
@@ -28,9 +28,10 @@
 
 @attrs.frozen
 class Statistic:
-    """A figure over seeds.
+    """The mean and spread of a value over seeds.
 
-    :param spread: the standard deviation over the seeds; 0 for one seed.
+    :param spread: standard deviation over the seeds; 0 for one seed.
+    :param values: the known values, in order of the seeds.
     """
 
     mean: float
@@ -39,7 +40,7 @@
 
     @classmethod
     def of(cls, values: Sequence[float | None]) -> "Statistic | None":
-        """Return the figure; ``None`` if there is none."""
+        """Return the statistic of the known values; ``None`` if there are none."""
         known = tuple(v for v in values if v is not None)
         if not known:
             return None
@@ -49,11 +50,11 @@
 
 @attrs.frozen
 class Row:
-    """What the callers of a group get under a policy, over all seeds.
+    """The results of a policy for a group of jobs, over all seeds.
 
-    :param jobs: on all days together.
-    :param fields: the figures by column; ``gain`` is by how much more of the jobs
-        are in time than under the first policy on the same day.
+    :param jobs: number of jobs over all seeds.
+    :param fields: the statistics by column; ``gain`` is the share of jobs in time
+        minus that of the first policy on the same seed.
     """
 
     policy: str
@@ -69,9 +70,9 @@
     seeds: Sequence[int],
     processes: int = 1,
 ) -> list[Row]:
-    """Play each policy on each seed.
+    """Simulate each policy on each seed.
 
-    :param processes: how many days are played at a time.
+    :param processes: number of simulations that run in parallel.
     """
     names = list(policies)
     runs = [(scenario, name, seed) for name in names for seed in seeds]
@@ -122,7 +123,7 @@
 
 
 def markdown(rows: Iterable[Row]) -> str:
-    """Return the rows as a table: mean and spread of each figure."""
+    """Return the rows as a Markdown table with mean and spread of each field."""
     ordered = list(rows)
     groups = list(dict.fromkeys((r.kind, r.name) for r in ordered))
     ordered.sort(key=lambda r: groups.index((r.kind, r.name)))
@@ -142,15 +143,15 @@
 
 
 def to_json(rows: Iterable[Row], **about: Any) -> str:
-    """Return the rows with the values of each seed.
+    """Return the rows as JSON, with the values of each seed.
 
-    :param about: what the run was.
+    :param about: metadata of the run, written next to the rows.
     """
     return json.dumps({**about, "rows": [attrs.asdict(row) for row in rows]}, indent=1)
 
 
 def plot(rows: Sequence[Row], file: Path) -> None:
-    """Draw the share in time by group and policy, with the spread over seeds."""
+    """Plot the share of jobs in time by group and policy, with error bars."""
     import matplotlib as mpl
 
     mpl.use("Agg")
--- a/bench/_lab/_workload.py
+++ b/bench/_lab/_workload.py
@@ -1,7 +1,7 @@
-"""What a day of the lab brings: jobs and faults, drawn from a seed.
+"""Generates the workloads of the lab, jobs and faults, from a seed.
 
-The jobs are drawn before anything is decided, each stream by a generator of its
-own, so that all policies meet the same ones.
+All jobs are drawn before the simulation starts, and each stream has its own random
+generator, so that every policy runs the same jobs.
 """
 
 import math
@@ -10,11 +10,11 @@
 
 import attrs
 
-#: Callers give up after so many times their objective.
+#: Callers give up after this many times the objective of their job.
 ABANDON_FACTOR = 3.0
-#: Workers that an objective allows the adviser to be asked about, for each step.
+#: An objective includes the time for advice about this many workers per step.
 OBJECTIVE_ADVICE_WORKERS = 30
-#: For how long callers try to hand a job in.
+#: Callers try to submit a job for this long.
 SUBMIT_TIMEOUT_S = 3.0
 ZONES = ("z0", "z1", "z2")
 ACCOUNTS = ("a", "b", "c", "d", "e", "f")
@@ -22,9 +22,10 @@
 
 @attrs.frozen
 class LogNormal:
-    """A lognormal quantity.
+    """A log-normal distribution.
 
-    :param rel: its standard deviation, as a part of the mean.
+    :param rel_std: the standard deviation relative to the mean.
+    :param maximum: upper limit of the drawn values.
     """
 
     mean: float
@@ -32,7 +33,7 @@
     maximum: float = math.inf
 
     def draw(self, rng: random.Random) -> float:
-        """Return a value."""
+        """Draw a value."""
         sigma = math.sqrt(math.log(1 + self.rel_std**2))
         value = self.mean * rng.lognormvariate(-(sigma**2) / 2, sigma)
         return min(value, self.maximum)
@@ -40,15 +41,23 @@
 
 @attrs.frozen
 class JobClass:
-    """Jobs that are alike.
-
-    :param rate: jobs a second, from all accounts together.
-    :param uneven: how far the tasks of one step differ.
-    :param off: how far estimates are off.
-    :param gangs: the share of the steps that are gangs.
-    :param advice_s: what an answer of the adviser takes at least.
-    :param advice_worker_s: what it takes more for each worker asked about.
-    :param good: the share of the workers that may run a step.
+    """The distributions and parameters of a class of jobs.
+
+    :param rate: jobs per second, over all accounts.
+    :param work_s: work of the tasks of a step, in seconds at speed 1.
+    :param width: tasks per step.
+    :param cpu_m: millicores per task.
+    :param steps: steps per job.
+    :param slack_factor: the objective as a multiple of the work and the advice time.
+    :param target_s: added to the objective.
+    :param task_rel_std: relative standard deviation of the work within a step.
+    :param estimate_rel_std: relative standard deviation of the estimates.
+    :param gang_fraction: fraction of the steps with several tasks that are gangs.
+    :param checkpoint_fraction: fraction of the other steps that checkpoint.
+    :param advice_base_s: fixed time of an answer of the adviser.
+    :param advice_per_worker_s: additional time for each worker in the request.
+    :param eligible_fraction: fraction of the workers that may run a step.
+    :param advice_valid_s: how long an answer stays valid.
     """
 
     name: str
@@ -71,12 +80,12 @@
     advice_valid_s: float = 2.0
 
     def advice_duration_s(self, workers: int) -> float:
-        """Return how long an answer about so many workers takes."""
+        """Return how long an answer about a number of workers takes."""
         return self.advice_base_s + self.advice_per_worker_s * workers
 
 
-#: Short narrow work that people wait for, wide steps of many processors, and
-#: work by the dozen that has time to spare.
+#: Short narrow work that users wait for, wide gangs that need many cores at once, and
+#: batch work of many tasks with ample slack.
 CLASSES = (
     JobClass(
         "urgent",
@@ -140,11 +149,13 @@
 
 @attrs.frozen
 class Window:
-    """A time in which more is sent, or something is out of order.
+    """A time window with a burst of jobs or with a fault.
 
-    :param what: a class or an account for more load, or the kind of a fault.
-    :param factor: by how much.
-    :param names: workers or zones that it befalls.
+    :param label: the class or account that sends a burst, or the kind of the fault.
+    :param at: start, in seconds since the start of the workload.
+    :param factor: multiplies the rate of a burst; the fraction of the workers that a
+        worker fault affects.
+    :param names: affected workers, or the isolated zone.
     """
 
     label: str
@@ -155,26 +166,28 @@
 
     @property
     def end(self) -> float:
-        """When it is over."""
+        """The end of the window."""
         return self.at + self.duration_s
 
     def contains(self, at: float) -> bool:
-        """Return whether a moment lies in it."""
+        """Return whether a time lies within the window."""
         return self.at <= at < self.end
 
 
 @attrs.frozen
 class Scenario:
-    """What days of a kind have in common; seeds make them differ.
-
-    :param seconds: for how long jobs come.
-    :param load: a factor on all rates.
-    :param step_cpu_m: the most that a step needs at once.  The workers that the
-        adviser permits have to hold it, or its job can never be done.
-    :param bursts: times in which a class or an account sends more.
-    :param faults: the kinds are ``slow``, ``cut`` and ``mute`` for workers, whose
-        share is the factor, and ``zone`` for a zone that is cut off.
-    :param jitter_s: by how much a seed moves each window.
+    """Parameters of a family of workloads, from which a seed draws one.
+
+    :param seconds: how long jobs arrive.
+    :param cpu_m: millicores of each worker.
+    :param speeds: speeds of the workers, distributed evenly.
+    :param load: factor on all rates.
+    :param step_cpu_m: limit on the millicores of a step.  The step must fit on the
+        workers that the adviser permits, or its job can never complete.
+    :param bursts: windows in which a class or an account sends more jobs.
+    :param faults: the kinds are ``slow``, ``cut`` and ``mute``, each of which affects
+        a fraction ``factor`` of the workers, and ``zone``, which isolates a zone.
+    :param jitter_s: a seed moves the start of each window by up to this much.
     """
 
     seconds: float = 24.0
@@ -209,9 +222,9 @@
 
 @attrs.frozen
 class Task:
-    """A task: what only the model knows of it.
+    """A task, with its true work, which the scheduler does not know.
 
-    :param work_s: on a worker of speed 1.
+    :param work_s: duration on a worker of speed 1.
     """
 
     work_s: float
@@ -219,7 +232,12 @@
 
 @attrs.frozen
 class Step:
-    """A step of a job, whose tasks need the same."""
+    """A step of a job.  All its tasks need the same resources.
+
+    :param cpu_m: millicores per task.
+    :param memory_mb: memory per task.
+    :param estimate_s: the estimated work of a task.
+    """
 
     tasks: tuple[Task, ...]
     cpu_m: int
@@ -230,12 +248,12 @@
 
     @property
     def longest_s(self) -> float:
-        """The work of its longest task."""
+        """The work of the longest task."""
         return max(task.work_s for task in self.tasks)
 
     @property
     def core_s(self) -> float:
-        """The processor seconds it takes; members of a gang wait for the longest."""
+        """The core seconds of the step; members of a gang wait for the longest."""
         each = [self.longest_s if self.gang else t.work_s for t in self.tasks]
         return sum(each) * self.cpu_m / 1000
 
@@ -245,6 +263,7 @@
     """A job, whose steps run one after the other.
 
     :param at: when its caller first sends it.
+    :param zone: the zone of the caller.
     """
 
     id: str
@@ -256,12 +275,12 @@
 
     @property
     def work_s(self) -> float:
-        """The longest chain of its work, on workers of speed 1."""
+        """The critical path of the job, on workers of speed 1."""
         return sum(step.longest_s for step in self.steps)
 
     @property
     def objective_s(self) -> float:
-        """Within which time it should be done."""
+        """The time within which the job should complete."""
         total_advice_s = self.kind.advice_duration_s(OBJECTIVE_ADVICE_WORKERS) * len(
             self.steps
         )
@@ -270,20 +289,20 @@
 
     @property
     def due(self) -> float:
-        """Until when it should be done."""
+        """When the job should be complete."""
         return self.at + self.objective_s
 
     @property
     def abandoned_at(self) -> float:
-        """When its caller wants it no more."""
+        """When the caller gives up."""
         return self.at + ABANDON_FACTOR * self.objective_s
 
 
 @attrs.frozen
 class Workload:
-    """A day of the lab.
+    """The jobs and faults of one simulation.
 
-    :param speeds: of the workers, by name.
+    :param speeds: speeds of the workers, by name.
     """
 
     seed: int
@@ -294,7 +313,7 @@
 
     @property
     def end(self) -> float:
-        """When the last caller has given up."""
+        """When the last caller has given up, but no earlier than the last arrival."""
         last = max((job.abandoned_at for job in self.jobs), default=0.0)
         return max(last, self.scenario.seconds)
 
@@ -305,12 +324,12 @@
 
 
 def zone_of(number: int) -> str:
-    """Return the zone of the worker or instance of a number."""
+    """Return the zone of the worker or instance with a number."""
     return ZONES[number % len(ZONES)]
 
 
 def generate_workload(scenario: Scenario, seed: int) -> Workload:
-    """Draw a day."""
+    """Draw a workload from a seed."""
     rng = random.Random(f"{seed}/day")
     bursts = [_add_jitter(window, scenario, rng) for window in scenario.bursts]
     faults = [_add_jitter(window, scenario, rng) for window in scenario.faults]
@@ -357,7 +376,11 @@
     scenario: Scenario,
     rng: random.Random,
 ) -> Iterator[Job]:
-    """Return the jobs of one class and account, more of them in bursts."""
+    """Yield the jobs of one class and account, with a higher rate in bursts.
+
+    Draws jobs at the rate of all bursts together and drops a fraction of them
+    whenever fewer bursts are active.
+    """
     max_factor = math.prod(burst.factor for burst in bursts)
     now = rng.expovariate(rate * max_factor)
     while now < scenario.seconds:
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -34,24 +34,24 @@
     json: Path | None = None,
     plot_to: Annotated[Path | None, Parameter(name="--plot")] = None,
 ) -> int:
-    """Play days of a scenario under each policy, and print what callers get.
+    """Simulate a scenario under each policy, and print the outcomes of its jobs.
 
     Parameters
     ----------
     policies
-        What to compare.
+        Policies to compare.
     seeds
-        How many days are played under each.
+        Number of seeds that each policy is simulated on.
     first_seed
-        The seed of the first day.
+        The first seed; the others follow it.
     scenario
-        What the days are like.
+        Scenario that the workloads are drawn from.
     processes
-        How many days are played at a time.
+        Number of simulations that run in parallel.
     json
-        File for the figures of each seed.
+        File for the results of each seed.
     plot_to
-        File for a plot of the shares in time.
+        File for a plot of the shares of jobs in time.
     """
     unknown = sorted(set(policies) - set(POLICIES))
     if unknown or scenario not in SCENARIOS:
@@ -75,7 +75,7 @@
     """Run the lab from the command line."""
     event_logger = logging.getLogger("firhook.events")
     level = event_logger.level
-    # The instances of the model warn of every fault that they meet.
+    # The simulated instances log a warning for every injected fault.
     event_logger.setLevel(logging.ERROR)
     try:
         return app(args, result_action="return_value") or 0
