--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of firhook: each prints one JSON line, a ratio where it can be."""
+"""Measures of firhook.  Each prints JSON lines, with ratios where possible."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
-"""``python -m bench [NAME ...]`` runs the measures, all if none is named.
+"""``python -m bench [NAME ...]`` runs the named measures, or all of them.
 
 ``python -m bench --list`` prints their names, and ``python -m bench lab``
-compares decision policies, see ``python -m bench lab --help``.
+compares scheduling policies, see ``python -m bench lab --help``.
 """
 
 import importlib
@@ -15,7 +15,10 @@
 
 
 def main(names: list[str]) -> int:
-    """Run measures and print one JSON line for each result."""
+    """Run measures and print one JSON line per result.
+
+    :return: the exit status.
+    """
     if names[:1] == ["lab"]:
         return lab.main(names[1:])
     for module in pkgutil.iter_modules(bench.__path__):
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -1,10 +1,10 @@
-"""An open-loop load tool: requests at a steady rate, latencies in a histogram.
+"""An open-loop load generator: requests at a steady rate, latencies in a histogram.
 
 ``python -m bench._load URL --rate 200 --seconds 5 [--key KEY]``
 
-Requests start at their times whether or not earlier ones have been answered,
-and each is timed from when it was due: a server that stalls is charged for all
-that came due meanwhile, as its callers would be.
+Requests start on schedule whether or not earlier ones have been answered.  Each latency
+counts from the scheduled start, so that a stall of the server shows in the latencies
+of all requests that were due meanwhile, as it would for its callers.
 """
 
 import argparse
@@ -23,25 +23,26 @@
 
 @attrs.define
 class Result:
-    """What a run of load met.
+    """The result of a load run.
 
-    :ivar outcomes: how many got which status; ``cut`` if none.
+    :ivar hist: latencies in microseconds.
+    :ivar outcomes: number of requests by status; ``cut`` for those without an answer.
     """
 
     hist: HdrHistogram
     outcomes: Counter[str]
 
     def latency_ms(self, percentile: float) -> float:
-        """Return a percentile of the latency in ms."""
+        """Return a percentile of the latencies, in ms."""
         return self.hist.get_value_at_percentile(percentile) / 1000
 
 
 async def generate_load(
     url: str, rate: float, seconds: float, headers: dict[str, str] | None = None
 ) -> Result:
-    """Offer load and return what it met.
+    """Send requests at a steady rate and return the result.
 
-    :param rate: requests a second.
+    :param rate: requests per second.
     """
     result = Result(HdrHistogram(1, _MAX_LATENCY_US, 3), Counter())
     connector = aiohttp.TCPConnector(limit=0)
--- a/bench/_registry.py
+++ b/bench/_registry.py
@@ -1,4 +1,4 @@
-"""The registry that measures add themselves to."""
+"""The registry of measures."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -9,11 +9,12 @@
 
 
 def measure(name: str) -> Callable[[Measure], Measure]:
-    """Register a measure; used as a decorator.
+    """Return a decorator that registers a measure.
 
-    A measure yields one map for each line it prints.  Each says what was
-    measured against which baseline, with its unit and its target if it has
-    one.
+    A measure yields one map for each line of output.  The map states what was
+    measured, the baseline, the unit and the target, if there is one.
+
+    :param name: name on the command line.
     """
 
     def decorate(func: Measure) -> Measure:
--- a/bench/_simulation.py
+++ b/bench/_simulation.py
@@ -1,8 +1,8 @@
-"""Requests on virtual time: the decisions of several instances without sockets.
+"""Simulates the request decisions of several instances in virtual time.
 
-Only what the decisions see is here: arrivals, runners that hold a request for
-its true time, and gossip at fixed times.  Nothing is random but the arrivals,
-which come from a seeded generator.
+The simulation has no sockets.  It models only what the decisions depend on: arrivals,
+runners that hold a request for its true service time, and gossip at fixed intervals.
+All random values come from seeded generators.
 """
 
 import heapq
@@ -35,7 +35,16 @@
 
 @attrs.define(slots=True, eq=False)
 class Req:
-    """A request with what only an oracle knows: its true service time."""
+    """A request with its true service time, which only the oracle may use.
+
+    :ivar at: arrival time.
+    :ivar klass: priority class.
+    :ivar instance: index of the instance that it reaches.
+    :ivar wait_s: time in the queue; negative if it was never dispatched.
+    :ivar done_at: negative if it was not answered.
+    :ivar refused_at: negative if it was not refused.
+    :ivar code: error code of the refusal or failure.
+    """
 
     at: float
     team: str
@@ -51,12 +60,12 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether its caller got the answer in time."""
+        """Whether it was answered before its deadline."""
         return 0 <= self.done_at <= self.at + self.deadline_s
 
 
 def make_runners(count: int, zones: int = 4) -> list[Endpoint]:
-    """Return runners of eight slots over some zones."""
+    """Return runners of eight slots each, spread evenly over a number of zones."""
     return [
         Endpoint(f"r{i:04}", "runner", f"z{i % zones}", f"10.0.{i // 250}.{i % 250}:80")
         for i in range(count)
@@ -64,7 +73,7 @@
 
 
 class Clock:
-    """Events in order of their time."""
+    """An event queue with a virtual clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -72,22 +81,30 @@
         self._count = itertools.count()
 
     def at(self, when: float, func: Callable[[], None]) -> None:
-        """Call a function at a time."""
+        """Schedule a call of a function."""
         heapq.heappush(self._heap, (when, next(self._count), func))
 
     def run(self, until: float) -> None:
-        """Run all events up to a time."""
+        """Run all events up to a time, in order."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, func = heapq.heappop(self._heap)
             func()
 
 
 class Fleet:
-    """Instances of firhook before a service's runners.
+    """The instances of firhook in front of the runners of a service.
 
+    :param shares: share of each team.
+    :param count: number of runners.
+    :param instances: number of instances.
     :param slow: factor on the service time of some runners, by name.
     :param failing: names of runners that fail every request at once.
     :param limits: upper limit of each team at each instance.
+    :param waiting: limit on the queue of each instance.
+    :ivar load: requests in progress at each runner.
+    :ivar max_load: the largest load that any runner had.
+    :ivar sent: requests sent to each runner.
+    :ivar used_s: slot seconds used by each team.
     """
 
     def __init__(
@@ -114,7 +131,7 @@
         self.instances = [Instance(self, i, limits, waiting) for i in range(instances)]
 
     def run(self, reqs: list[Req], until: float) -> list[Req]:
-        """Run requests and return them with their outcome."""
+        """Run requests until a time and return them with their outcomes."""
         for req in reqs:
             inst = self.instances[req.instance % len(self.instances)]
             self.clock.at(req.at, lambda r=req, i=inst: i.arrive(r))
@@ -124,7 +141,7 @@
         return reqs
 
     def read_gossip(self, asker: "Instance") -> FleetUse:
-        """Return what an instance knows of the fleet from the last gossip."""
+        """Return the use of the fleet according to the last gossip of each instance."""
         served: Counter[str] = Counter()
         for inst in self.instances:
             served.update(inst.gossiped_served)
@@ -132,7 +149,12 @@
 
 
 class Instance:
-    """One instance: its decisions, and the carrying out of them."""
+    """An instance: makes decisions with its dispatcher and carries them out.
+
+    :ivar gossiped_demand: waiting and running requests of each team.
+    :ivar gossiped_served: recently used slot seconds of each team.
+    :ivar gossiped_excess: requests in flight beyond its part, by runner.
+    """
 
     def __init__(
         self, fleet: Fleet, index: int, limits: dict[str, int] | None, waiting: int
@@ -152,7 +174,7 @@
         self._rng = random.Random(index)
 
     def start(self) -> None:
-        """Learn of the runners and begin to tick and gossip."""
+        """Set the runners and start the periodic events."""
         self.dispatcher.update(self.fleet.endpoints, 0.0)
         phase = GOSSIP_INTERVAL_S * (self.fleet.instances.index(self) % 7) / 7
         self.fleet.clock.at(phase, self._gossip)
@@ -194,7 +216,7 @@
         clock.at(clock.now + TICK_INTERVAL_S, self._tick)
 
     def arrive(self, req: Req) -> None:
-        """Admit a request or refuse it."""
+        """Admit or refuse a request."""
         now = self.fleet.clock.now
         kind = (req.team, req.klass, req.path)
         item = make_queued_request(
@@ -261,7 +283,7 @@
 
 
 def run_fifo_random(reqs: list[Req], count: int, until: float, seed: int = 1) -> None:
-    """Run requests by the plain way: a random runner each, first in first out."""
+    """Run requests on random runners, each with a FIFO queue."""
     clock = Clock()
     rng = random.Random(seed)
     queues: list[deque[Req]] = [deque() for _ in range(count)]
@@ -290,10 +312,10 @@
 
 
 def run_oracle(reqs: list[Req], count: int, until: float) -> None:
-    """Run requests by one queue for all slots that knows every service time.
+    """Run requests from one queue for all slots, with known service times.
 
-    Interactive requests go first, the shortest before the others; it heeds no
-    team's share, which only makes it harder to come near to.
+    Orders requests by priority class, then the shortest first.  It ignores the shares
+    of the teams, which only makes it a stricter baseline.
     """
     clock = Clock()
     heap: list[tuple[Any, ...]] = []
@@ -326,7 +348,10 @@
 
 
 def percentile(values: list[float], q: float) -> float:
-    """Return a percentile of values, 0 to 100."""
+    """Return a percentile of values; NaN if there are none.
+
+    :param q: from 0 to 100.
+    """
     ordered = sorted(values)
     if not ordered:
         return float("nan")
@@ -335,12 +360,14 @@
 
 @attrs.frozen(slots=True)
 class Stream:
-    """A kind of request that comes at random.
+    """A stream of similar requests with exponential times between arrivals.
 
-    :param rate: requests a second.
+    :param klass: priority class.
+    :param rate: requests per second.
     :param mean_s: mean service time.
-    :param burst: how many come together.
+    :param burst: requests that arrive together.
     :param instances: indexes of the instances that they reach.
+    :param sigma: standard deviation of the logarithm of the service time.
     """
 
     team: str
@@ -354,7 +381,7 @@
     sigma: float = 0.3
 
     def generate(self, seconds: float, rng: random.Random) -> list[Req]:
-        """Return the stream's requests over some seconds."""
+        """Return the requests of the stream over a duration."""
         reqs, now = [], 0.0
         while True:
             now += rng.expovariate(self.rate / self.burst)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -1,4 +1,4 @@
-"""Cost of the journal: appends, bytes, snapshots, rebuilds and changes."""
+"""Measures the cost of the journal: appends, bytes, snapshots and rebuilds."""
 
 import asyncio
 import time
@@ -37,7 +37,12 @@
 def make_config_state(
     teams: int, changes: int
 ) -> tuple[ConfigState, list[bytes], float]:
-    """Return lists with keys, their records, and the time to apply them."""
+    """Return a config state, its encoded records and the seconds to apply them.
+
+    It has three keys per team.
+
+    :param changes: number of row changes after the first version.
+    """
     rows: list[Any] = [
         Row("plans", f"plan{i}", {"share": "1", "limit": "40"}) for i in range(6)
     ]
@@ -61,7 +66,10 @@
 
 
 def make_once_state(claims: int) -> tuple[OnceState, list[bytes], float]:
-    """Return finished claims with answers of 200 B, their records and the time."""
+    """Return a state of completed claims, its records and the seconds to apply them.
+
+    The body of each answer encodes 200 bytes.
+    """
     payloads = []
     for i in range(claims):
         holder = f"entry{i % 9}#0a1b2c3d"
@@ -76,7 +84,7 @@
 
 
 def replay(state: StreamState, payloads: list[bytes]) -> float:
-    """Apply records and return the seconds it took."""
+    """Apply records to a state and return the duration in seconds."""
     started = time.perf_counter()
     for offset, payload in enumerate(payloads):
         state.apply(offset, decode_envelope(payload))
@@ -84,7 +92,7 @@
 
 
 def measure_memory_bytes(payloads: list[bytes]) -> int:
-    """Return the bytes that a state of claims takes in memory."""
+    """Return the bytes of memory that a state of claims takes."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     state = OnceState()
@@ -95,7 +103,12 @@
 
 
 def measure_rebuild(state: StreamState, rebuilt: StreamState) -> tuple[int, int, float]:
-    """Return a snapshot's bytes and chunks, and the seconds to rebuild from it."""
+    """Measure the snapshot of a state and a rebuild from it.
+
+    :param rebuilt: an empty state to rebuild into.
+    :return: the bytes and chunks of the snapshot, and the seconds of the rebuild.
+    :raises AssertionError: if the rebuilt state differs.
+    """
     chunks = split_snapshot(state.next_offset, state.to_text())
     payloads = [
         encode_envelope(Envelope("entry1#0a1b2c3d", 10**6 + i, chunk))
@@ -116,7 +129,7 @@
 
 @measure("snapshots")
 def snapshots() -> Iterable[dict[str, Any]]:
-    """Yield sizes of snapshots and times of rebuilds, in process."""
+    """Measure snapshot sizes and rebuild times, in process."""
     for teams in (6, 24, 120):
         state, payloads, applied_s = make_config_state(teams, 3400)
         snapshot_bytes, chunk_count, elapsed_s = measure_rebuild(state, ConfigState())
@@ -148,7 +161,7 @@
 
 @measure("journal")
 def journal() -> Iterable[dict[str, Any]]:
-    """Yield appends and bytes of a small cell, idle and with keyed charges."""
+    """Measure log appends of a small cluster, idle and with idempotent charges."""
     return asyncio.run(_run_cluster())
 
 
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""What the members cost: bytes between instances, appends, processor time."""
+"""Measures the cost of membership: traffic, log appends and CPU time."""
 
 import asyncio
 import time
@@ -28,7 +28,7 @@
 
 
 class MemoryLog(LogService):
-    """The platform's log within this process."""
+    """The platform's log, in memory."""
 
     def __init__(self) -> None:
         self._streams: dict[str, list[bytes]] = {}
@@ -36,7 +36,7 @@
         self.appends = 0
 
     async def append(self, stream: str, payloads: Any) -> int:
-        """Append records together."""
+        """Append records atomically; see :meth:`LogService.append`."""
         async with self._appended:
             records = self._streams.setdefault(stream, [])
             first = len(records)
@@ -46,7 +46,7 @@
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Return the records from an offset on."""
+        """Return the records from an offset on; see :meth:`LogService.read`."""
         deadline = time.monotonic() + wait_s
         records = self._streams.setdefault(stream, [])
         async with self._appended:
@@ -64,13 +64,13 @@
 
 
 class StaticInstanceList(InstanceList):
-    """The instances of this process."""
+    """An instance list with the instances of this process."""
 
     def __init__(self) -> None:
         self.entries: tuple[Endpoint, ...] = ()
 
     async def list(self) -> tuple[Endpoint, ...]:
-        """Return them."""
+        """Return the list; see :meth:`InstanceList.list`."""
         return self.entries
 
 
@@ -88,7 +88,7 @@
 
 
 class MemberCluster:
-    """Journal and members of several instances, over real sockets."""
+    """The journal and members roles of several instances, with real sockets."""
 
     def __init__(self, count: int, zones: int) -> None:
         names = [f"zone{i}" for i in range(zones)]
@@ -106,7 +106,7 @@
         ]
 
     async def start(self) -> None:
-        """Start the roles, and publish the lists."""
+        """Start the roles and publish the plans and teams."""
         for kernel in self.kernels:
             await kernel.roles["journal"].start()
             await kernel.roles["members"].start()
@@ -132,13 +132,13 @@
             await kernel.roles["journal"].stop()
 
     def set_demand(self, teams: int) -> None:
-        """Have each instance run and want requests of each team."""
+        """Set running requests of some teams at each instance."""
         for i, kernel in enumerate(self.kernels):
             for t in range(teams):
                 kernel.account.running[f"team{t:03}"] = 1 + (i + t) % 5
 
     def traffic_bytes(self) -> list[int]:
-        """Return bytes sent and received by each instance so far."""
+        """Return the bytes sent and received by each instance, transport included."""
         counts = [k.roles["members"]._mesh.counts for k in self.kernels]  # type: ignore[attr-defined]
         return [
             c.sent_bytes + c.received_bytes + (c.sent + c.received) * TRANSPORT_BYTES
@@ -179,7 +179,7 @@
 
 @measure("members_traffic")
 def traffic() -> Iterable[dict[str, Any]]:
-    """Bytes sent and received by an instance, transport included, by size."""
+    """Measure the traffic of an instance by number of instances, zones and teams."""
     for count, zones in ((3, 1), (9, 1), (9, 4), (21, 7)):
         for teams in (0, TEAMS):
             yield asyncio.run(_run(count, zones, teams))
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,7 +1,7 @@
-"""Measures of the cell: placing, packing, waiting, share, gangs, preemption.
+"""Measures placement: time, packing, waits, shares, gangs and preemption.
 
-One zone with a lead that is well, no sockets: the states and decisions are
-the real ones, the workers small fakes.
+They simulate one zone with a healthy lead and without sockets.  States and decisions
+are the real ones; the workers are fakes.
 """
 
 import random
@@ -36,12 +36,12 @@
 
 @measure("placing_time")
 def placing_time() -> Iterator[dict]:
-    """Time of a whole round with one new task, and tasks placed a second."""
+    """Measure the time of a round with one new task, and the placement rate."""
     for size in SIZES:
         rng = random.Random(size)
         teams = {f"t{i}": {} for i in range(120)}
         sim = ZoneSimulation(fleet(size), teams)
-        # Ten tasks for each worker stand for 9,100 on 910.
+        # Ten running tasks per worker, as with 9,100 tasks on 910 workers.
         for i in range(size):
             sim.submit(f"base{i}", f"t{i % 120}", tasks=10, cpus=1.0, run_s=1e6)
         sim.round()
@@ -66,7 +66,7 @@
 
 
 def _measure_placement_rate(size: int) -> Iterator[dict]:
-    """Time of each placement within one large round over mixed tasks."""
+    """Measure the placement rate within one large round of mixed tasks."""
     rng = random.Random(size + 1)
     capacities = [
         WorkerCapacity(e.worker, e.rack, e.cpus, e.memory_mb, 0)
@@ -96,7 +96,7 @@
 
 @measure("placing_packing")
 def placing_packing() -> Iterator[dict]:
-    """Used share of the binding resource when work is refused for space."""
+    """Measure how full the binding resource is when tasks no longer fit."""
     for size in SIZES:
         best_fit, first_fit = [], []
         for seed in range(5):
@@ -125,9 +125,11 @@
 
 
 def _fill_zone(size: int, seed: int, choose: object) -> float:
-    """Fill a zone until twenty tasks in a row found no room.
+    """Fill a zone until twenty tasks in a row do not fit.
 
-    The bound takes the zone as one large worker: the binding resource whole.
+    :param choose: returns the worker for a need, or ``None``.
+    :return: the used fraction of the binding resource, which would be 1 if the zone
+        were one large worker.
     """
     rng = random.Random(seed)
     workers = fleet(size)
@@ -155,7 +157,10 @@
 
 
 def _simulate_mixed_load(rng: random.Random, fifo: bool) -> ZoneSimulation:
-    """Run a full zone: services, bulk batch, small teams, urgent, gangs."""
+    """Simulate a full zone with service, bulk, small, urgent and gang jobs.
+
+    :param fifo: whether to place in order of arrival instead; see :func:`_use_fifo`.
+    """
     teams = {f"s{i}": {} for i in range(5)} | {"large": {}}
     sim = ZoneSimulation(fleet(24), teams)
     if fifo:
@@ -185,7 +190,7 @@
 
 
 def _use_fifo(sim: ZoneSimulation) -> None:
-    """Replace turns, preemption and reservations by order of arrival, first fit."""
+    """Replace fair turns, preemption and reservations by FIFO with first fit."""
 
     def plan(term, left, now, wall):  # type: ignore[no-untyped-def]
         sim.scheduler._refresh(term)
@@ -214,7 +219,7 @@
 
 @measure("placing_waiting")
 def placing_waiting() -> Iterator[dict]:
-    """Waiting time by class against first come, first served."""
+    """Compare wait times by class with first come, first served."""
     with_firhook = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=False))
     fifo = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=True))
     for kind in ("urgent", "small", "gang", "bulk"):
@@ -229,7 +234,7 @@
 
 
 def _waits_by_kind(sim: ZoneSimulation) -> dict[str, list[float]]:
-    """Return each task's wait; one that never started waited until the end."""
+    """Return the wait of each task; one that never started waited until the end."""
     waits: dict[str, list[float]] = {}
     for key, entry in sim.cell.jobs.items():
         kind = key.partition("/")[2].rstrip("0123456789")
@@ -241,7 +246,10 @@
 
 @measure("placing_share")
 def placing_share() -> Iterator[dict]:
-    """Closeness to share on a full zone: max over teams of |got - due| / due."""
+    """Measure the share error on a full zone.
+
+    It is the maximum over teams of |used - fair share| / fair share.
+    """
     rng = random.Random(7)
     shares = {f"t{i}": rng.choice([1, 1, 2, 5, 10]) for i in range(12)}
     sim = ZoneSimulation(fleet(100), {t: {"share": str(s)} for t, s in shares.items()})
@@ -277,10 +285,10 @@
 
 @measure("placing_urgent")
 def placing_urgent() -> Iterator[dict]:
-    """Urgent work at 62 starts a second on a full zone of 910 workers.
+    """Measure the wait of urgent tasks on a full zone of 910 workers.
 
-    A round and its orders are taken as 0.1 s; the log's and the network's
-    time come on top.
+    62 tasks per second are submitted.  A round with its orders is assumed to take
+    0.1 s.  The delays of the log and the network are not included.
     """
     sim = ZoneSimulation(fleet(910), {"bulk": {}, "charges": {}})
     for i in range(10):
@@ -289,7 +297,7 @@
     waits = HdrHistogram(1, 60_000, 3)
     rounds = []
     for tick in range(100):
-        # Six in each tenth of a second make 62 a second; a third is urgent.
+        # Six per 0.1 s are about 62 per second; a third of them is urgent.
         for n in range(6):
             urgent = n < 2
             sim.submit(
@@ -327,7 +335,7 @@
 
 @measure("placing_cost")
 def placing_cost() -> Iterator[dict]:
-    """Log records and bytes per task started, work lost to preemption."""
+    """Measure log records and bytes per task start, and preemptions."""
     sim = _simulate_mixed_load(random.Random(2), fifo=False)
     preempted = [e for e in sim.ended if e.outcome == "preempted"]
     yield {
@@ -342,7 +350,7 @@
 
 
 def _measure_sync_cost() -> Iterator[dict]:
-    """Processor time and bytes of one lead's regular orders to 130 workers."""
+    """Measure CPU time and bytes of the periodic orders of a lead to 130 workers."""
     for brief in (False, True):
         sim = ZoneSimulation(fleet(130), {"t": {}})
         sim.submit("base", "t", tasks=1300, cpus=1.0, run_s=1e6)
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,4 +1,4 @@
-"""Measures of the request path."""
+"""Measures the request path in simulation, against baselines."""
 
 import random
 import time
@@ -23,22 +23,26 @@
 from firhook.decide.parts import fair_amounts
 
 SLOTS = 192
-#: Waits under this count as this: the ratio of two waits of microseconds would
-#: say nothing that a caller could notice.
+#: Shorter waits count as this long: a caller would not notice the ratio of two waits
+#: of microseconds.
 _MIN_WAIT_S = 0.001
 
 
 def mixed_load(utilisation: float) -> list[Stream]:
-    """Return short and long work of six teams that fills the slots so far."""
+    """Return streams of short and long requests of six teams.
+
+    :param utilisation: fraction of the slots that they fill.
+    """
     scale = utilisation * SLOTS
     return [
-        # A third of the slots: quotes and checks of small and large teams, in
-        # bursts as pages ask for several at once.
+        # A third of the slots: quotes and checks of small and large teams.  They come
+        # in bursts because a page requests several at once.
         *(
             Stream(f"t{i}", "interactive", scale * 0.05 / 0.02, 0.02, 2.0, 10)
             for i in range(6)
         ),
-        # Two teams' standard work and one's bulk work, long against the quotes.
+        # Standard requests of two teams and bulk requests of one, much longer than
+        # the quotes.
         Stream("t0", "standard", scale * 0.25 / 0.2, 0.2, 10.0, path="s"),
         Stream("t1", "standard", scale * 0.15 / 0.1, 0.1, 10.0, path="s"),
         Stream("t0", "bulk", scale * 0.30 / 2.0, 2.0, 30.0, path="b"),
@@ -54,13 +58,13 @@
 
 
 def _median_bulk_wait(reqs: list[Req]) -> float:
-    """Return the median wait of bulk work, which pays for the others' waits."""
+    """Return the median wait of bulk requests, which lets the others go first."""
     return percentile([r.wait_s for r in reqs if r.klass == "bulk"], 50)
 
 
 @measure("requests_wait")
 def wait() -> Iterable[dict[str, Any]]:
-    """Waiting time against plain FIFO with random routing and an oracle."""
+    """Compare wait times with FIFO queues on random runners and with the oracle."""
     reqs = generate_requests(mixed_load(0.9), 20.0, 7)
     shares = {f"t{i}": 1.0 for i in range(6)}
     with_firhook, fifo, oracle = (
@@ -99,7 +103,7 @@
 
 @measure("requests_share")
 def share() -> Iterable[dict[str, Any]]:
-    """Closeness to share over nine instances with skewed arrival."""
+    """Measure the share error over nine instances with skewed arrivals."""
     shares = {"a": 1.0, "b": 1.0, "c": 2.0, "d": 4.0, "e": 1.0, "f": 3.0}
     saturation_rate = SLOTS / 0.1
     arrival_instances = ((0, 1, 2), (0,), (3, 4, 5, 6), (7, 8), tuple(range(9)), (2, 3))
@@ -108,9 +112,9 @@
         for t, instances in zip(shares, arrival_instances, strict=True)
         if t != "e"
     ]
-    # One team wants less than its share and must get all of it.
+    # One team demands less than its share and must get all that it demands.
     streams.append(Stream("e", "standard", saturation_rate * 0.04, 0.1, 2.0))
-    # One team's requests are long: turns counted by request would favour it.
+    # One team has long requests and would get more if turns were counted by request.
     streams[3] = attrs.evolve(streams[3], rate=saturation_rate * 0.12, mean_s=0.5)
     reqs = generate_requests(streams, 40.0, 3)
     fleet = Fleet(shares)
@@ -147,7 +151,7 @@
 
 @measure("requests_goodput")
 def goodput() -> Iterable[dict[str, Any]]:
-    """Goodput at twice the load as a share of that at the load."""
+    """Measure the goodput at twice the capacity, relative to that at capacity."""
     (at_1x, _), (at_2x, codes) = _measure_goodput(1.0), _measure_goodput(2.0)
     yield {
         "what": "slot seconds of answers in time a second, at 2x against 1x load",
@@ -160,7 +164,7 @@
 
 
 def _time_decisions(count: int, teams: int, instances: int) -> dict[str, Any]:
-    """Time admission and dispatch of an instance with a full queue."""
+    """Time the decisions of an instance with a long queue."""
     shares = {f"t{i}": 1.0 + i % 3 for i in range(teams)}
     fleet = Fleet(shares, count, instances)
     for inst in fleet.instances:
@@ -192,7 +196,7 @@
             hist.record_value(max(took // 1000, 1))
         if result is not None:
             dispatched.append(result)
-        # From here on as many end as come, and the backlog stays.
+        # From here on a request ends for each arrival, so the backlog stays constant.
         if i > backlog and dispatched:
             inst.dispatcher.end(dispatched.pop(0), 0.001 * i)
     started = time.perf_counter()
@@ -212,7 +216,7 @@
 
 @measure("requests_decision")
 def decision() -> Iterable[dict[str, Any]]:
-    """Time of one admission and one dispatch, today and at two years' size."""
+    """Time one admission and one dispatch, at the present size and a larger one."""
     for count, teams, instances, target in ((24, 6, 9, 1.0), (1000, 120, 16, 3.0)):
         yield {
             "what": f"admit and dispatch, {count} runners, {teams} teams",
--- a/bench/requests_process.py
+++ b/bench/requests_process.py
@@ -1,4 +1,4 @@
-"""Measures of the request path through real processes."""
+"""Measures the request path through real processes."""
 
 import asyncio
 import os
@@ -20,7 +20,12 @@
 
 @attrs.frozen(slots=True)
 class Usage:
-    """What a process used: CPU seconds so far, and resident memory in MB."""
+    """The resource usage of a process.
+
+    :ivar cpu_s: CPU seconds since its start.
+    :ivar rss_mb: resident memory in MB.
+    :ivar at: when it was read, on the monotonic clock.
+    """
 
     cpu_s: float
     rss_mb: float
@@ -28,7 +33,7 @@
 
 
 def read_usage(proc: Proc) -> Usage:
-    """Read a process's usage."""
+    """Read the resource usage of a process from ``/proc``."""
     root = Path(f"/proc/{proc.process.pid}")
     fields = (root / "stat").read_text().rpartition(")")[2].split()
     pages = int((root / "statm").read_text().split()[1])
@@ -38,7 +43,7 @@
 
 
 def cpu_percent(before: Usage, after: Usage) -> float:
-    """Return the part of a core used between two readings, in percent."""
+    """Return the CPU usage between two readings, in percent of a core."""
     return 100 * (after.cpu_s - before.cpu_s) / (after.at - before.at)
 
 
@@ -81,7 +86,7 @@
 
 @measure("requests_overhead")
 def overhead() -> Iterable[dict[str, Any]]:
-    """Overhead of a request through a daemon, and what the daemon uses."""
+    """Measure the latency overhead and the resource usage of a daemon."""
     via_firhook, direct_result, (start, idle, loaded) = asyncio.run(_measure())
     for p in (50, 99):
         yield {
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,4 +1,4 @@
-"""How soon a successor gives its first order, over the model of the platform."""
+"""Measures the time until a new lead sends its first order, in the platform model."""
 
 import statistics
 from collections.abc import Iterable
@@ -8,8 +8,8 @@
 from standins.model import ModelCell, now, pause, run_virtual
 
 SEEDS = 50
-#: A new lead's first order: within 1.5 s of the old one's silence, within
-#: 150 ms of a planned stop.
+#: A new lead should send its first order within 1.5 s after the old one was killed,
+#: and within 150 ms after a planned stop.
 TARGETS_S = {"killed": 1.5, "stopped": 0.15}
 _STEP = {"count": 1, "millicpus": 1000, "task_memory_mb": 100}
 
@@ -20,7 +20,7 @@
     await pause(seed % 10 / 50)
     name = cell.lead_name()
     old_lead = cell.instances[name]
-    # Work that runs, so that the successor has something to take over.
+    # The successor has running tasks to take over.
     for _ in range(20):
         await cell.submit([_STEP], work_s=30.0)
     started_at = now()
@@ -37,7 +37,7 @@
 
 @measure("takeover")
 def takeover() -> Iterable[dict[str, Any]]:
-    """Measure both ways in which a lead goes."""
+    """Measure the takeover after a kill and after a planned stop."""
     for cause, target_s in TARGETS_S.items():
         times = sorted(
             run_virtual(_measure_takeover(seed, cause)) for seed in range(SEEDS)
--- a/tests/golden/sessions.py
+++ b/tests/golden/sessions.py
@@ -1,10 +1,10 @@
-"""Whole sessions of a small cell in one process, in virtual time.
+"""Runs complete sessions of a small cell in one process, in virtual time.
 
-The kernels and their roles are the real ones.  Small fakes stand in for the
-log, the instance list, the runners, the sockets between instances and those
-towards callers; the workers are the stand-in's.  The event loop jumps to its
-next timer, so a session takes as long as its events and is the same each time.
-What goes in and out at the interfaces is written down, in order.
+The kernels and their roles are real.  Fakes replace the log, the instance list, the
+runners, the sockets between instances and the sockets to callers.  The workers are
+those of the stand-in.  The event loop jumps to its next timer, so a session does not
+wait for real time and is deterministic.  The transcript records, in order, what passes
+the interfaces.
 """
 
 import asyncio
@@ -54,14 +54,21 @@
 from standins.worker import Worker
 
 NET_S = 0.001
-#: Renewals and gossip go on all the time and would hide everything else.
+#: Renewals and gossip are so frequent that they would hide everything else.
 ROUTINE = {"Gossip", "LeadRenewed", "GrantAsk", "GrantAnswer", "HoldingsAsk"}
-#: Fields of log lines that are about the process and not about the session.
+#: Attributes of log records that describe the process and not the session.
 _OWN_FIELDS = set(vars(logging.makeLogRecord({}))) | {"message", "taskName"}
 
 
 class Session:
-    """A cell and the transcript of what goes in and out of it."""
+    """A cell with the transcript of its inputs and outputs.
+
+    :ivar lines: time and text of each line of the transcript.
+    :ivar muted: whether the transcript is not written yet.
+    :ivar append_events: set when a stream of the log grows, by stream.
+    :ivar runs: how often each request body was run by a runner.
+    :ivar isolated_zones: zones that reach nothing outside and are not reached.
+    """
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -79,24 +86,24 @@
         self.ports = itertools.count(7001)
 
     def write(self, text: str) -> None:
-        """Write a line of the transcript."""
+        """Write a line to the transcript unless it is muted."""
         if not self.muted:
             self.lines.append((round(self.loop.time() - 1000.0, 3), text))
 
     def transcript(self) -> str:
-        """Return the transcript, lines of one moment in order of their text.
+        """Return the transcript; lines with the same time are sorted by text.
 
-        Which of two instances does its part first within a moment is of no
-        account and may differ between runs.
+        The order of two instances at the same time does not matter and may differ
+        between runs.
         """
         return "\n".join(text for _, text in sorted(self.lines))
 
     def is_connected(self, a: str, b: str) -> bool:
-        """Return whether two places reach each other."""
+        """Return whether two zones reach each other."""
         return a == b or not ({a, b} & self.isolated_zones)
 
     async def add(self, name: str, zone: str) -> Kernel:
-        """Start an entry instance."""
+        """Add and start an instance."""
         address = f"127.0.0.1:{next(self.ports)}"
         self.endpoints[name] = Endpoint(name, "entry", zone, address)
         zones = ", ".join(sorted({"lisboa", "porto"}))
@@ -152,7 +159,7 @@
         )
 
     async def kill(self, name: str) -> None:
-        """End an instance at once, as if its machine had gone."""
+        """Stop an instance at once, as if its machine had failed."""
         self.write(f"{name} is killed")
         self.killed.add(name)
         del self.endpoints[name]
@@ -178,7 +185,7 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, Any]:
-        """Call an instance as a caller or an operator."""
+        """Call an instance as a caller or an operator and return status and body."""
         raw = body.encode() if isinstance(body, str) else json.dumps(body).encode()
         raw = b"" if body is None else raw
         request_headers = {"Authorization": f"Bearer {key}", "X-Request-Id": "rid"}
@@ -211,11 +218,14 @@
         return await problem_middleware(req, match.handler)
 
     async def until(self, check: Callable[[], bool], limit_s: float = 60.0) -> None:
-        """Wait until a check holds, in virtual time."""
+        """Wait in virtual time until a check holds.
+
+        :raises TimeoutError: if it does not hold within the limit.
+        """
         end = self.loop.time() + limit_s
         while not check():
             if self.loop.time() > end:
-                raise TimeoutError("the session did not get there")
+                raise TimeoutError("the check did not hold within the time limit")
             await asyncio.sleep(0.05)
 
 
@@ -231,7 +241,7 @@
 
 
 class FakeLog(LogService):
-    """The platform's log as one zone reaches it."""
+    """The platform's log as reached from one zone."""
 
     def __init__(self, session: Session, zone: str) -> None:
         self._session = session
@@ -297,11 +307,11 @@
         self._zone = zone
 
     async def poll(self, worker: Endpoint) -> Any:
-        """Return the inventory; see :class:`WorkerClient`."""
+        """Poll a worker; see :class:`WorkerClient`."""
         return await self._call(worker, None)
 
     async def send_order(self, worker: Endpoint, order: Any) -> Any:
-        """Give an order; see :class:`WorkerClient`."""
+        """Send an order; see :class:`WorkerClient`."""
         for start in order.start:
             task_ref = f"{start.job_id}[{start.index}]"
             self._session.write(
@@ -332,7 +342,7 @@
 
 
 class FakeRunners(EndpointClient):
-    """Runners that take a tenth of a second."""
+    """Runners that answer every request after 0.1 s."""
 
     def __init__(self, session: Session, zone: str) -> None:
         self._session = session
@@ -362,12 +372,12 @@
         return EndpointResponse(200, (("Content-Type", "application/json"),), answer)
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as no connections are open."""
 
 
 @attrs.define(eq=False)
 class FakeMesh:
-    """Messages between instances, without sockets."""
+    """Carries messages between instances without sockets."""
 
     session: Session
     serve: Callable[[Any], Awaitable[Any]]
@@ -377,22 +387,22 @@
     received_bytes: int = 0
 
     def bind(self, address: Address) -> Address:
-        """Take an address."""
+        """Register the address and return it."""
         self.address = str(address)
         self.session.meshes[self.address] = self
         return address
 
     def connect(self, address: str) -> None:
-        """Note a peer."""
+        """Add a peer."""
         self.connected.add(address)
 
     def disconnect(self, address: str) -> None:
-        """Forget a peer."""
+        """Remove a peer."""
         self.connected.discard(address)
 
     @property
     def addresses(self) -> set[str]:
-        """The peers connected to."""
+        """The addresses of the connected peers."""
         return set(self.connected)
 
     def _name_at(self, address: str) -> str:
@@ -454,12 +464,12 @@
         await asyncio.Event().wait()
 
     def close(self) -> None:
-        """Be reached no more."""
+        """Unregister the address, so that peers no longer reach it."""
         self.session.meshes.pop(self.address, None)
 
 
 class _IdleListener:
-    """Stands for a listening socket, with no connections on it."""
+    """Replaces a listening socket that receives no connections."""
 
     addresses = (("127.0.0.1", 0),)
     server = None
@@ -468,7 +478,7 @@
         """Stop listening."""
 
     async def cleanup(self) -> None:
-        """Close what is left."""
+        """Do nothing, as there are no connections."""
 
 
 async def _start_idle_listener(
@@ -478,14 +488,14 @@
 
 
 class _TranscriptHandler(logging.Handler):
-    """Writes log lines into the transcript."""
+    """Writes log records to the transcript."""
 
     def __init__(self, session: Session) -> None:
         super().__init__()
         self._session = session
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line."""
+        """Write a log record as one line."""
         fields = {k: v for k, v in vars(record).items() if k not in _OWN_FIELDS}
         level = record.levelname.lower()
         text = json.dumps(fields, default=str, sort_keys=True)
@@ -493,7 +503,7 @@
 
 
 class _SequentialSecrets:
-    """Keys that are the same in each session."""
+    """Replaces ``secrets`` with a deterministic sequence of keys."""
 
     def __init__(self) -> None:
         self._count = itertools.count(1)
@@ -508,7 +518,7 @@
 
     @staticmethod
     def compare_digest(a: str, b: str) -> bool:
-        """Compare plainly."""
+        """Return whether two digests are equal."""
         return a == b
 
 
@@ -516,7 +526,7 @@
 
 
 def run_session(script: Script) -> str:
-    """Play a session and return its transcript."""
+    """Run a session and return its transcript."""
     loop = VirtualLoop()
     session = Session(loop)
     handler = _TranscriptHandler(session)
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,9 +1,9 @@
-"""Golden files of whole sessions.
+"""Golden transcripts of complete sessions.
 
-Each is the transcript of what callers sent and got, what was appended to the
-log, what instances told each other, what workers were ordered and what was
-logged.  ``make golden`` writes them anew; read the difference before you
-commit it, since a change of protocol shows here first.
+A transcript records the requests and responses of callers, the records appended to the
+log, the messages between instances, the orders to workers and the log lines.  ``make
+golden`` regenerates them.  Review the difference before you commit it: it shows every
+change of a protocol.
 """
 
 import asyncio
@@ -15,10 +15,13 @@
 
 
 async def start_cell(s: Session, *entries: tuple[str, str]) -> str:
-    """Start instances, apply the lists and return a team's key, unrecorded."""
+    """Start instances, apply the configuration and return a key of a team.
+
+    The transcript is muted until then.
+    """
     for name, zone in entries:
-        # The first of each zone leads it, so that the session does not depend
-        # on which of two that start at once comes first.
+        # Waits until the zone has a lead, so that the first instance of each zone leads
+        # it and the session does not depend on the order of simultaneous starts.
         kernel = await s.add(name, zone)
         await s.until(
             lambda k=kernel, z=zone: k.ready and bool(k.states.cell.leads[z].instance)
@@ -35,10 +38,10 @@
 
 
 def test_renewal_repeated_through_two_instances(snapshot):
-    """A caller's connection breaks and it sends its renewal charge again.
+    """A caller loses its connection and repeats a charge at another instance.
 
-    The balancer gives the repeat to another instance; the customer is charged
-    once and the caller gets the one outcome.
+    Both requests have the same idempotency key, so the charge runs once and both
+    responses report its outcome.
     """
 
     async def script(s: Session) -> None:
@@ -55,7 +58,7 @@
 
 
 def test_withdrawn_key(snapshot):
-    """A technician leaves; his firm's key is withdrawn and a new one given."""
+    """A key is withdrawn at one instance; another instance then rejects it with 401."""
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
@@ -71,7 +74,7 @@
 
 
 def test_racing_operators(snapshot):
-    """Two operators change the lists from the same version at once."""
+    """Two operators change the same version concurrently; one of them gets 409."""
 
     async def script(s: Session) -> None:
         await start_cell(s, ("a", "porto"), ("b", "porto"))
@@ -88,10 +91,10 @@
 
 
 def test_lead_lost_in_mid_assignment(snapshot):
-    """The lead dies when its assignments are on the log and no start was sent.
+    """The lead fails after it logged assignments and before it sent their starts.
 
-    The next lead finds them there, sends the starts, and the reconciliation is
-    done once.
+    The next lead reads the assignments from the log and sends the starts, so that each
+    task runs once.
     """
 
     async def script(s: Session) -> None:
@@ -111,7 +114,7 @@
 
 
 def test_zone_cut_and_healed(snapshot):
-    """A zone is parted from all else, a key is withdrawn, and it comes back."""
+    """A key is withdrawn while a zone is isolated; the zone rejects it afterwards."""
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
@@ -135,7 +138,7 @@
 
 
 def test_rolling_restart(snapshot):
-    """Both instances are restarted in turn while requests go on."""
+    """Both instances restart in turn; requests in flight complete."""
 
     async def script(s: Session) -> None:
         s.add_runner("runner-1", "porto")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: days by seed, what callers get, and the bound on it."""
+"""Tests of the lab: workloads by seed, outcomes, the upper bound, the command."""
 
 import importlib
 import json
@@ -30,7 +30,7 @@
 from firhook._instance import load_services
 from firhook.decide.schedule import RoundResult
 
-#: Some seconds of all that the lab can do to a cell, on three workers a zone.
+#: A few seconds with all bursts and kinds of faults, on three workers per zone.
 SMALL = attrs.evolve(
     TROUBLE,
     seconds=5.0,
@@ -48,7 +48,7 @@
     ),
 )
 SEEDS = (1, 2)
-#: A class that all workers may run, whose objective is its work and one second more.
+#: A class that all workers may run, with an objective of its work plus one second.
 PLAIN = attrs.evolve(
     CLASSES[0],
     advice_base_s=0.0,
@@ -77,7 +77,7 @@
 
 
 def test_same_seeds_give_the_same_table(small_rows):
-    """Faults and jobs are drawn from the seed, and nothing else is random."""
+    """Guards against randomness that does not come from the seed."""
     again = compare(SMALL, ("present", "first_come", "oracle"), SEEDS)
     assert markdown(again) == markdown(small_rows)
 
@@ -118,7 +118,7 @@
 
 
 def test_ablation_patches_its_constants_only_during_evaluation(monkeypatch):
-    """A constant that was renamed would leave its part in place, unnoticed."""
+    """An ablation whose constant was renamed would silently change nothing."""
     ablations = [p for p in POLICIES.values() if issubclass(p, Ablation)]
     names = {name for p in ablations for name in p.constants}
     baseline = {name: read_constant(name) for name in names}
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_only_callers_of_an_isolated_zone_are_refused(seed):
-    """They reach instances that reach nothing; the others are served meanwhile."""
+    """They reach only instances of the isolated zone; other zones are still served."""
     isolated = attrs.evolve(SMALL, bursts=(), faults=(Window("zone", 1.0, 4.0),))
     zone = generate_workload(isolated, seed).faults[0].names[0]
     rows = compare(isolated, ("present",), (seed,))
@@ -171,7 +171,7 @@
 
 
 def test_burst_of_one_account_leaves_the_others_unchanged():
-    """One account sends four times its usual for two seconds; the others do not."""
+    """One account sends four times its usual rate; the others stay at theirs."""
     baseline = generate_workload(attrs.evolve(CALM, seconds=20.0), 1)
     burst = (Window("a", 0.0, 20.0, 4.0),)
     with_burst = generate_workload(attrs.evolve(CALM, seconds=20.0, bursts=burst), 1)
@@ -197,7 +197,7 @@
 
 
 def test_gang_is_as_slow_as_its_slowest_member():
-    """Ended by its first member, a gang would take less than the bound allows for."""
+    """If its first member ended it, a gang would beat the bound of the oracle."""
     scenario = attrs.evolve(CALM, workers=2, instances=1, classes=(PLAIN,))
     tasks = (Task(1.0), Task(1.0))
     step = Step(tasks, scenario.cpu_m, 100, 1.0, gang=True, checkpoints=False)
@@ -215,11 +215,14 @@
     )
 
 
-# The bound.
+# The upper bound.
 
 
 def single_core_workload(*jobs):
-    """Return a day on one worker of one processor: when each comes, and its work."""
+    """Return a workload for one worker with one core.
+
+    :param jobs: arrival time and work of each job.
+    """
     scenario = Scenario(workers=1, cpu_m=1000, speeds=(1.0,), classes=(PLAIN,))
     made_jobs = tuple(
         Job(f"{i:016x}", at, PLAIN, "a", "z0", (make_step(work_s),))
@@ -233,7 +236,7 @@
 
 
 def simulate_earliest_deadline_first(workload):
-    """Return how many jobs one processor has in time that never idles."""
+    """Return how many jobs one core completes in time, earliest deadline first."""
     remaining = {job.id: job.work_s for job in workload.jobs}
     now, tick = 0.0, 0.025
     while now < workload.end:
@@ -248,7 +251,7 @@
 
 
 def test_bound_does_not_exceed_the_capacity_of_the_cell():
-    """Ten seconds of work come at once, each job with two seconds; two are served."""
+    """Ten jobs of one second arrive at once, each due in two; only two fit."""
     workload = single_core_workload(*[(0.0, 1.0)] * 10)
     assert 2.0 <= max_in_time(workload, workload.jobs) < 2.2
 
@@ -288,7 +291,7 @@
     assert 0 < min(values) <= max(values) <= 1.5 * mean
 
 
-# The command.
+# The command line.
 
 
 def test_command_prints_a_table_and_writes_each_seed(tmp_path, capsys, monkeypatch):
