--- a/bench/requests.py
+++ b/bench/requests.py
@@ -216,7 +216,7 @@
 
 @measure("requests_decision")
 def decision() -> Iterable[dict[str, Any]]:
-    """Time one admission and one dispatch, at the present size and a larger one."""
+    """Time one admission and one dispatch, at today's size and that of two years on."""
     for count, teams, instances, target in ((24, 6, 9, 1.0), (1000, 120, 16, 3.0)):
         yield {
             "what": f"admit and dispatch, {count} runners, {teams} teams",
