--- a/bench/_lab/_cell.py
+++ b/bench/_lab/_cell.py
@@ -152,7 +152,7 @@
         """See :meth:`ModelCell.configure`."""
         super().configure(
             version,
-            routes=[_route(kind) for kind in self.workload.scenario.classes],
+            routes=[_route_config(kind) for kind in self.workload.scenario.classes],
             tenants=[
                 {"name": a, "api_keys": [api_key(a)], "weight": 1, "upper_limit": {}}
                 for a in ACCOUNTS
@@ -307,7 +307,7 @@
             }
 
 
-def _route(kind: JobClass) -> dict[str, Any]:
+def _route_config(kind: JobClass) -> dict[str, Any]:
     return {
         "name": kind.name,
         "host": HOST,
--- a/bench/_lab/_oracle.py
+++ b/bench/_lab/_oracle.py
@@ -38,12 +38,12 @@
     def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
         """Return the bound of each group; see :meth:`Policy.evaluate`."""
         return {
-            (kind, name): _bound(workload, jobs)
+            (kind, name): _compute_bound(workload, jobs)
             for kind, name, jobs in iter_groups(workload)
         }
 
 
-def _bound(workload: Workload, jobs: list[Job]) -> Summary:
+def _compute_bound(workload: Workload, jobs: list[Job]) -> Summary:
     shares: dict[OutcomeKind, float | None] = dict.fromkeys(OutcomeKind)
     shares[OutcomeKind.IN_TIME] = max_in_time(workload, jobs) / len(jobs)
     return Summary(len(jobs), shares)
--- a/bench/_lab/_report.py
+++ b/bench/_lab/_report.py
@@ -86,7 +86,7 @@
         name: results[i * len(seeds) : (i + 1) * len(seeds)] if i else first
         for i, name in enumerate(names)
     }
-    return [row for name in names for row in _rows(name, by_policy[name], first)]
+    return [row for name in names for row in _build_rows(name, by_policy[name], first)]
 
 
 def _evaluate(run: tuple[Scenario, str, int]) -> dict[tuple[str, str], Summary]:
@@ -94,7 +94,7 @@
     return POLICIES[policy]().evaluate(generate_workload(scenario, seed))
 
 
-def _rows(policy: str, runs: _Summaries, first: _Summaries) -> Iterator[Row]:
+def _build_rows(policy: str, runs: _Summaries, first: _Summaries) -> Iterator[Row]:
     for key in dict.fromkeys(key for run in runs for key in run):
         pairs = [
             (run[key], other[key])
@@ -131,12 +131,12 @@
     lines = [head, ["---"] * len(head)]
     for row in ordered:
         group = row.name if row.kind == "all" else f"{row.kind} {row.name}"
-        cells = [_cell(row.fields[field]) for field in _FIELDS]
+        cells = [_format_statistic(row.fields[field]) for field in _FIELDS]
         lines.append([group, row.policy, str(row.jobs), *cells])
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def _cell(value: Statistic | None) -> str:
+def _format_statistic(value: Statistic | None) -> str:
     if value is None:
         return ""
     return f"{value.mean:.3f} ± {value.spread:.3f}"
--- a/bench/members.py
+++ b/bench/members.py
@@ -146,7 +146,7 @@
         ]
 
 
-async def _run(count: int, zones: int, teams: int) -> dict[str, Any]:
+async def _measure_cluster(count: int, zones: int, teams: int) -> dict[str, Any]:
     cluster = MemberCluster(count, zones)
     await cluster.start()
     await asyncio.sleep(8.0)
@@ -182,4 +182,4 @@
     """Measure the traffic of an instance by number of instances, zones and teams."""
     for count, zones in ((3, 1), (9, 1), (9, 4), (21, 7)):
         for teams in (0, TEAMS):
-            yield asyncio.run(_run(count, zones, teams))
+            yield asyncio.run(_measure_cluster(count, zones, teams))
