--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -63,7 +63,7 @@
     """Starts nothing."""
 
     def overrides(self):
-        return {"place": lambda book, workers, tickets, now: RoundResult()}
+        return {"place": lambda jobs, workers, tickets, now: RoundResult()}
 
 
 @pytest.fixture(scope="module")
