--- a/bench/_lab/_report.py
+++ b/bench/_lab/_report.py
@@ -1,4 +1,4 @@
-"""Policies on the same seeds, as a table, as JSON and as a plot."""
+"""Compares policies on the same seeds, as a table, JSON and a plot."""
 
 import json
 import statistics
@@ -9,22 +9,29 @@
 
 import attrs
 
-from bench._lab._load import Scenario, make_day
+from bench._lab._outcomes import OutcomeKind, Summary
 from bench._lab._policies import POLICIES
-from bench._lab._tally import Fate, Figures
+from bench._lab._workload import Scenario, generate_workload
 
-_IN_TIME = Fate.IN_TIME.value
-_FIELDS = (_IN_TIME, "gain", *(f.value for f in list(Fate)[1:]), "p50_s", "p99_s")
+_IN_TIME = OutcomeKind.IN_TIME.value
+_FIELDS = (
+    _IN_TIME,
+    "gain",
+    *(f.value for f in list(OutcomeKind)[1:]),
+    "p50_s",
+    "p99_s",
+)
 
 
-_Days = Sequence[dict[tuple[str, str], Figures]]
+_Summaries = Sequence[dict[tuple[str, str], Summary]]
 
 
 @attrs.frozen
-class Value:
-    """A figure over seeds.
+class Statistic:
+    """The mean and spread of a value over seeds.
 
-    :param spread: the standard deviation over the seeds; 0 for one seed.
+    :param spread: standard deviation over the seeds; 0 for one seed.
+    :param values: the known values, in order of the seeds.
     """
 
     mean: float
@@ -32,8 +39,8 @@
     values: tuple[float, ...]
 
     @classmethod
-    def of(cls, values: Sequence[float | None]) -> "Value | None":
-        """Return the figure; ``None`` if there is none."""
+    def of(cls, values: Sequence[float | None]) -> "Statistic | None":
+        """Return the statistic of the known values; ``None`` if there are none."""
         known = tuple(v for v in values if v is not None)
         if not known:
             return None
@@ -43,18 +50,18 @@
 
 @attrs.frozen
 class Row:
-    """What the callers of a group get under a policy, over all seeds.
+    """The results of a policy for a group of jobs, over all seeds.
 
-    :param jobs: on all days together.
-    :param fields: the figures by column; ``gain`` is by how much more of the jobs
-        are in time than under the first policy on the same day.
+    :param jobs: number of jobs over all seeds.
+    :param fields: the statistics by column; ``gain`` is the share of jobs in time
+        minus that of the first policy on the same seed.
     """
 
     policy: str
     kind: str
     name: str
     jobs: int
-    fields: dict[str, Value | None]
+    fields: dict[str, Statistic | None]
 
 
 def compare(
@@ -63,59 +70,60 @@
     seeds: Sequence[int],
     processes: int = 1,
 ) -> list[Row]:
-    """Play each policy on each seed.
+    """Simulate each policy on each seed.
 
-    :param processes: how many days are played at a time.
+    :param processes: number of simulations that run in parallel.
     """
     names = list(policies)
-    days = [(scenario, name, seed) for name in names for seed in seeds]
+    runs = [(scenario, name, seed) for name in names for seed in seeds]
     if processes > 1:
         with ProcessPoolExecutor(processes) as pool:
-            played = list(pool.map(_play, days))
+            results = list(pool.map(_evaluate, runs))
     else:
-        played = [_play(day) for day in days]
-    first = played[: len(seeds)]
+        results = [_evaluate(run) for run in runs]
+    first = results[: len(seeds)]
     by_policy = {
-        name: played[i * len(seeds) : (i + 1) * len(seeds)] if i else first
+        name: results[i * len(seeds) : (i + 1) * len(seeds)] if i else first
         for i, name in enumerate(names)
     }
-    return [row for name in names for row in _rows(name, by_policy[name], first)]
+    return [row for name in names for row in _build_rows(name, by_policy[name], first)]
 
 
-def _play(day: tuple[Scenario, str, int]) -> dict[tuple[str, str], Figures]:
-    scenario, policy, seed = day
-    return POLICIES[policy]().figures(make_day(scenario, seed))
+def _evaluate(run: tuple[Scenario, str, int]) -> dict[tuple[str, str], Summary]:
+    scenario, policy, seed = run
+    return POLICIES[policy]().evaluate(generate_workload(scenario, seed))
 
 
-def _rows(policy: str, days: _Days, first: _Days) -> Iterator[Row]:
-    for key in dict.fromkeys(key for day in days for key in day):
+def _build_rows(policy: str, runs: _Summaries, first: _Summaries) -> Iterator[Row]:
+    for key in dict.fromkeys(key for run in runs for key in run):
         pairs = [
-            (day[key], other[key])
-            for day, other in zip(days, first, strict=True)
-            if key in day
+            (run[key], other[key])
+            for run, other in zip(runs, first, strict=True)
+            if key in run
         ]
-        found = [figures for figures, _ in pairs]
+        selected = [summary for summary, _ in pairs]
         shares = {
-            fate.value: Value.of([f.shares[fate] for f in found]) for fate in Fate
+            kind.value: Statistic.of([f.shares[kind] for f in selected])
+            for kind in OutcomeKind
         }
         waits = {
-            "p50_s": Value.of([f.p50_s for f in found]),
-            "p99_s": Value.of([f.p99_s for f in found]),
+            "p50_s": Statistic.of([f.p50_s for f in selected]),
+            "p99_s": Statistic.of([f.p99_s for f in selected]),
         }
         gain = None
-        if days is not first:
-            gain = Value.of([_gain(figures, other) for figures, other in pairs])
-        jobs = sum(f.jobs for f in found)
+        if runs is not first:
+            gain = Statistic.of([_gain(summary, other) for summary, other in pairs])
+        jobs = sum(f.jobs for f in selected)
         yield Row(policy, *key, jobs, {**shares, **waits, "gain": gain})
 
 
-def _gain(figures: Figures, other: Figures) -> float | None:
-    one, base = figures.shares[Fate.IN_TIME], other.shares[Fate.IN_TIME]
-    return None if one is None or base is None else one - base
+def _gain(summary: Summary, other: Summary) -> float | None:
+    own, base = summary.shares[OutcomeKind.IN_TIME], other.shares[OutcomeKind.IN_TIME]
+    return None if own is None or base is None else own - base
 
 
 def markdown(rows: Iterable[Row]) -> str:
-    """Return the rows as a table: mean and spread of each figure."""
+    """Return the rows as a Markdown table with mean and spread of each field."""
     ordered = list(rows)
     groups = list(dict.fromkeys((r.kind, r.name) for r in ordered))
     ordered.sort(key=lambda r: groups.index((r.kind, r.name)))
@@ -123,27 +131,27 @@
     lines = [head, ["---"] * len(head)]
     for row in ordered:
         group = row.name if row.kind == "all" else f"{row.kind} {row.name}"
-        cells = [_cell(row.fields[field]) for field in _FIELDS]
+        cells = [_format_statistic(row.fields[field]) for field in _FIELDS]
         lines.append([group, row.policy, str(row.jobs), *cells])
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def _cell(value: Value | None) -> str:
+def _format_statistic(value: Statistic | None) -> str:
     if value is None:
         return ""
     return f"{value.mean:.3f} ± {value.spread:.3f}"
 
 
 def to_json(rows: Iterable[Row], **about: Any) -> str:
-    """Return the rows with the values of each seed.
+    """Return the rows as JSON, with the values of each seed.
 
-    :param about: what the run was.
+    :param about: metadata of the run, written next to the rows.
     """
     return json.dumps({**about, "rows": [attrs.asdict(row) for row in rows]}, indent=1)
 
 
 def plot(rows: Sequence[Row], file: Path) -> None:
-    """Draw the share in time by group and policy, with the spread over seeds."""
+    """Plot the share of jobs in time by group and policy, with error bars."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -156,13 +164,13 @@
     figure, axes = pyplot.subplots(figsize=size, layout="constrained")
     height = 0.8 / len(policies)
     for i, policy in enumerate(policies):
-        found = {
+        selected = {
             (r.kind, r.name): r.fields[_IN_TIME] for r in rows if r.policy == policy
         }
-        places = [n + i * height for n, g in enumerate(groups) if found.get(g)]
-        values = [found[g] for g in groups if found.get(g)]
+        positions = [n + i * height for n, g in enumerate(groups) if selected.get(g)]
+        values = [selected[g] for g in groups if selected.get(g)]
         axes.barh(
-            places,
+            positions,
             [v.mean for v in values],
             height,
             xerr=[v.spread for v in values],
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,7 +1,7 @@
-"""Measures of the cell: placing, packing, waiting, share, gangs, preemption.
+"""Measures placement: time, packing, waits, shares, gangs and preemption.
 
-One zone with a lead that is well, no sockets: the states and decisions are
-the real ones, the workers small fakes.
+They simulate one zone with a healthy lead and without sockets.  States and decisions
+are the real ones; the workers are fakes.
 """
 
 import random
@@ -28,7 +28,7 @@
     return ordered[min(int(len(ordered) * q), len(ordered) - 1)]
 
 
-def _mixed_job(rng: random.Random, i: int, team: str, **fields: object) -> JobSpec:
+def _make_mixed_job(rng: random.Random, i: int, team: str, **fields: object) -> JobSpec:
     cpus = rng.choice([0.5, 1.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0])
     memory_mb = int(cpus * rng.choice([512, 1024, 2048, 3072, 4096]))
     return JobSpec(f"j{i}", team, 1, cpus, memory_mb, run_s=600.0, **fields)
@@ -36,37 +36,37 @@
 
 @measure("placing_time")
 def placing_time() -> Iterator[dict]:
-    """Time of a whole round with one new task, and tasks placed a second."""
+    """Measure the time of a round with one new task, and the placement rate."""
     for size in SIZES:
         rng = random.Random(size)
         teams = {f"t{i}": {} for i in range(120)}
         sim = ZoneSimulation(fleet(size), teams)
-        # Ten tasks for each worker stand for 9,100 on 910.
+        # Ten running tasks per worker, as with 9,100 tasks on 910 workers.
         for i in range(size):
             sim.submit(f"base{i}", f"t{i % 120}", tasks=10, cpus=1.0, run_s=1e6)
         sim.round()
-        times = []
+        round_times_s = []
         for i in range(min(200, 4 * size)):
-            job = _mixed_job(rng, i, f"t{i % 120}")
+            job = _make_mixed_job(rng, i, f"t{i % 120}")
             sim.submit(job.job_id, job.team, cpus=job.cpus, memory_mb=job.memory_mb)
-            begun = time.perf_counter()
+            started = time.perf_counter()
             items, _ = sim.scheduler.plan(sim.term, sim.headroom_by_team(), 0.0, 0.0)
-            times.append(time.perf_counter() - begun)
+            round_times_s.append(time.perf_counter() - started)
             assert len(items) == 1
             sim.round()
         yield {
             "what": "one round that places one task",
             "workers": size,
             "running": size * 10,
-            "p50_ms": round(_quantile(times, 0.5) * 1e3, 3),
-            "p99_ms": round(_quantile(times, 0.99) * 1e3, 3),
+            "p50_ms": round(_quantile(round_times_s, 0.5) * 1e3, 3),
+            "p99_ms": round(_quantile(round_times_s, 0.99) * 1e3, 3),
             "target_p99_ms": 5.0,
         }
-        yield from _rate(size)
+        yield from _measure_placement_rate(size)
 
 
-def _rate(size: int) -> Iterator[dict]:
-    """Time of each placement within one large round over mixed tasks."""
+def _measure_placement_rate(size: int) -> Iterator[dict]:
+    """Measure the placement rate within one large round of mixed tasks."""
     rng = random.Random(size + 1)
     capacities = [
         WorkerCapacity(e.worker, e.rack, e.cpus, e.memory_mb, 0)
@@ -77,37 +77,37 @@
     count = min(size * 4, 3000)
     teams = [f"t{i}" for i in range(120)]
     requests = [
-        TaskRequest(_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)
+        TaskRequest(_make_mixed_job(rng, i, teams[i % 120]), (0,)) for i in range(count)
     ]
     left = dict.fromkeys(teams, 10**6)
     total = ResourceNeed(32.0 * size, 65536 * size, 0)
-    begun = time.perf_counter()
+    started = time.perf_counter()
     plan = plan_placements(requests, CapacityIndex(capacities), {}, {}, left, total)
-    spent = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started
     yield {
         "what": "tasks placed a second on one core, in turns over 120 teams",
         "workers": size,
         "placed": len(plan.placements),
         "asked": count,
-        "per_s": round(len(plan.placements) / spent),
+        "per_s": round(len(plan.placements) / elapsed_s),
         "target_per_s": 2000,
     }
 
 
 @measure("placing_packing")
 def placing_packing() -> Iterator[dict]:
-    """Used share of the binding resource when work is refused for space."""
+    """Measure how full the binding resource is when tasks no longer fit."""
     for size in SIZES:
-        ours, first = [], []
+        best_fit, first_fit = [], []
         for seed in range(5):
-            ours.append(_packed(size, seed, _best_fit))
-            first.append(_packed(size, seed, _first_fit))
+            best_fit.append(_fill_zone(size, seed, _best_fit))
+            first_fit.append(_fill_zone(size, seed, _first_fit))
         yield {
             "what": "used share of the binding resource at the first refusals",
             "workers": size,
-            "share_of_bound": round(statistics.mean(ours), 4),
-            "worst_of_5": round(min(ours), 4),
-            "first_fit": round(statistics.mean(first), 4),
+            "share_of_bound": round(statistics.mean(best_fit), 4),
+            "worst_of_5": round(min(best_fit), 4),
+            "first_fit": round(statistics.mean(first_fit), 4),
             "target": 0.95,
         }
 
@@ -124,10 +124,12 @@
     return None
 
 
-def _packed(size: int, seed: int, choose: object) -> float:
-    """Fill a zone until twenty tasks in a row found no room.
+def _fill_zone(size: int, seed: int, choose: object) -> float:
+    """Fill a zone until twenty tasks in a row do not fit.
 
-    The bound takes the zone as one large worker: the binding resource whole.
+    :param choose: returns the worker for a need, or ``None``.
+    :return: the used fraction of the binding resource, which would be 1 if the zone
+        were one large worker.
     """
     rng = random.Random(seed)
     workers = fleet(size)
@@ -137,7 +139,7 @@
     cpus = memory = refused = 0.0
     i = 0
     while refused < 20:
-        job = _mixed_job(rng, i, "t")
+        job = _make_mixed_job(rng, i, "t")
         need = ResourceNeed.of(job)
         i += 1
         worker = choose(capacities, need)  # type: ignore[operator]
@@ -154,12 +156,15 @@
     )
 
 
-def _day(rng: random.Random, fifo: bool) -> ZoneSimulation:
-    """Run a full zone: services, bulk batch, small teams, urgent, gangs."""
+def _simulate_mixed_load(rng: random.Random, fifo: bool) -> ZoneSimulation:
+    """Simulate a full zone with service, bulk, small, urgent and gang jobs.
+
+    :param fifo: whether to place in order of arrival instead; see :func:`_use_fifo`.
+    """
     teams = {f"s{i}": {} for i in range(5)} | {"large": {}}
     sim = ZoneSimulation(fleet(24), teams)
     if fifo:
-        _make_fifo(sim)
+        _use_fifo(sim)
     sim.submit("portal", "large", tasks=40, cpus=2.0, priority="service")
     for second in range(600):
         if second % 60 == 0:
@@ -184,8 +189,8 @@
     return sim
 
 
-def _make_fifo(sim: ZoneSimulation) -> None:
-    """Replace turns, preemption and reservations by order of arrival, first fit."""
+def _use_fifo(sim: ZoneSimulation) -> None:
+    """Replace fair turns, preemption and reservations by FIFO with first fit."""
 
     def plan(term, left, now, wall):  # type: ignore[no-untyped-def]
         sim.scheduler._refresh(term)
@@ -214,22 +219,22 @@
 
 @measure("placing_waiting")
 def placing_waiting() -> Iterator[dict]:
-    """Waiting time by class against first come, first served."""
-    ours = _waits(_day(random.Random(1), fifo=False))
-    fifo = _waits(_day(random.Random(1), fifo=True))
+    """Compare wait times by class with first come, first served."""
+    with_firhook = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=False))
+    fifo = _waits_by_kind(_simulate_mixed_load(random.Random(1), fifo=True))
     for kind in ("urgent", "small", "gang", "bulk"):
         yield {
             "what": f"wait until started, {kind}, s",
-            "p50_s": round(_quantile(ours[kind], 0.5), 1),
-            "p99_s": round(_quantile(ours[kind], 0.99), 1),
+            "p50_s": round(_quantile(with_firhook[kind], 0.5), 1),
+            "p99_s": round(_quantile(with_firhook[kind], 0.99), 1),
             "fifo_p50_s": round(_quantile(fifo[kind], 0.5), 1),
             "fifo_p99_s": round(_quantile(fifo[kind], 0.99), 1),
-            "tasks": len(ours[kind]),
+            "tasks": len(with_firhook[kind]),
         }
 
 
-def _waits(sim: ZoneSimulation) -> dict[str, list[float]]:
-    """Return each task's wait; one that never started waited until the end."""
+def _waits_by_kind(sim: ZoneSimulation) -> dict[str, list[float]]:
+    """Return the wait of each task; one that never started waited until the end."""
     waits: dict[str, list[float]] = {}
     for key, entry in sim.cell.jobs.items():
         kind = key.partition("/")[2].rstrip("0123456789")
@@ -241,7 +246,10 @@
 
 @measure("placing_share")
 def placing_share() -> Iterator[dict]:
-    """Closeness to share on a full zone: max over teams of |got - due| / due."""
+    """Measure the share error on a full zone.
+
+    It is the maximum over teams of |used - fair share| / fair share.
+    """
     rng = random.Random(7)
     shares = {f"t{i}": rng.choice([1, 1, 2, 5, 10]) for i in range(12)}
     sim = ZoneSimulation(fleet(100), {t: {"share": str(s)} for t, s in shares.items()})
@@ -255,17 +263,18 @@
                 memory_mb=1024,
                 run_s=rng.choice([5.0, 11.0]),
             )
-    got: dict[str, float] = dict.fromkeys(shares, 0.0)
+    cpu_s_by_team: dict[str, float] = dict.fromkeys(shares, 0.0)
     while sim.now < 60:
         sim.round()
         if sim.now >= 20:
             for team, used in sim.cpus_by_team().items():
-                got[team] += used
+                cpu_s_by_team[team] += used
         sim.now += 1.0
-    whole = sum(got.values())
+    total_cpu_s = sum(cpu_s_by_team.values())
     weights = sum(shares.values())
     errors = [
-        abs(got[t] / whole - s / weights) / (s / weights) for t, s in shares.items()
+        abs(cpu_s_by_team[t] / total_cpu_s - s / weights) / (s / weights)
+        for t, s in shares.items()
     ]
     yield {
         "what": "share error over 12 teams, 100 workers, saturated",
@@ -276,10 +285,10 @@
 
 @measure("placing_urgent")
 def placing_urgent() -> Iterator[dict]:
-    """Urgent work at 62 starts a second on a full zone of 910 workers.
+    """Measure the wait of urgent tasks on a full zone of 910 workers.
 
-    A round and its orders are taken as 0.1 s; the log's and the network's
-    time come on top.
+    62 tasks per second are submitted.  A round with its orders is assumed to take
+    0.1 s.  The delays of the log and the network are not included.
     """
     sim = ZoneSimulation(fleet(910), {"bulk": {}, "charges": {}})
     for i in range(10):
@@ -288,7 +297,7 @@
     waits = HdrHistogram(1, 60_000, 3)
     rounds = []
     for tick in range(100):
-        # Six in each tenth of a second make 62 a second; a third is urgent.
+        # Six per 0.1 s are about 62 per second; a third of them is urgent.
         for n in range(6):
             urgent = n < 2
             sim.submit(
@@ -298,9 +307,9 @@
                 run_s=3.0,
                 priority="urgent" if urgent else "batch",
             )
-        begun = time.perf_counter()
+        started = time.perf_counter()
         sim.scheduler.plan(sim.term, {}, sim.now, sim.now)
-        rounds.append(time.perf_counter() - begun)
+        rounds.append(time.perf_counter() - started)
         sim.round()
         sim.now += 0.1
     for _ in range(100):
@@ -326,8 +335,8 @@
 
 @measure("placing_cost")
 def placing_cost() -> Iterator[dict]:
-    """Log records and bytes per task started, work lost to preemption."""
-    sim = _day(random.Random(2), fifo=False)
+    """Measure log records and bytes per task start, and preemptions."""
+    sim = _simulate_mixed_load(random.Random(2), fifo=False)
     preempted = [e for e in sim.ended if e.outcome == "preempted"]
     yield {
         "what": "log records and bytes per task started, mixed day",
@@ -337,32 +346,32 @@
         "preempted": len(preempted),
         "preempted_per_start": round(len(preempted) / sim.starts, 4),
     }
-    yield from _sync_cost()
+    yield from _measure_sync_cost()
 
 
-def _sync_cost() -> Iterator[dict]:
-    """Processor time and bytes of one lead's regular orders to 130 workers."""
+def _measure_sync_cost() -> Iterator[dict]:
+    """Measure CPU time and bytes of the periodic orders of a lead to 130 workers."""
     for brief in (False, True):
         sim = ZoneSimulation(fleet(130), {"t": {}})
         sim.submit("base", "t", tasks=1300, cpus=1.0, run_s=1e6)
         sim.round()
         sim.round()
         order_bytes = report_bytes = 0
-        begun = time.perf_counter()
+        started = time.perf_counter()
         for worker in sim.workers:
             view = sim.term.workers[worker]
             view.report = attrs.evolve(view.report, brief=brief)
             order = sim.term.next_order(worker, HEALTHY, sim.now)
-            sent = {k: v for k, v in msgspec.to_builtins(order).items() if v}
-            order_bytes += len(msgspec.json.encode(sent))
+            order_fields = {k: v for k, v in msgspec.to_builtins(order).items() if v}
+            order_bytes += len(msgspec.json.encode(order_fields))
             report = view.report
             if order.renew_all:
                 report = attrs.evolve(report, tasks=(), same=True)
-            text = msgspec.json.encode(report)
-            report_bytes += len(text)
-            read = msgspec.json.decode(text, type=Report)
-            sim.term.note_report(worker, read, sim.now)
-        spent = time.perf_counter() - begun
+            encoded = msgspec.json.encode(report)
+            report_bytes += len(encoded)
+            decoded = msgspec.json.decode(encoded, type=Report)
+            sim.term.note_report(worker, decoded, sim.now)
+        elapsed_s = time.perf_counter() - started
         yield {
             "what": "orders to and reports from 130 workers with 1,300 tasks",
             "how": "renewed by digest" if brief else "renewed by name",
@@ -370,6 +379,6 @@
             "order_bytes_per_s": round(order_bytes / TIMING.sync_s),
             "report_bytes_per_s": round(report_bytes / TIMING.sync_s),
             "target_bytes_per_s": 14_000,
-            "core_share_without_http": round(spent / TIMING.sync_s, 4),
+            "core_share_without_http": round(elapsed_s / TIMING.sync_s, 4),
             "target_core_share": 0.047,
         }
