--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -162,7 +162,7 @@
 
 
 async def run_jobs(cluster: Cluster, entries: list[Proc], key: str, tmp: Path) -> None:
-    """Submit a batch job, a gang job and a service, and wait until they are placed."""
+    """Submit a batch job, a gang job and a service; wait until done or running."""
     print_step("a team submits a batch job, a gang job and a service")
     for body in JOBS:
         path = tmp / f"{body['job_id']}.json"
