--- a/bench/_lab/_policies.py
+++ b/bench/_lab/_policies.py
@@ -1,4 +1,4 @@
-"""The policies that the lab compares; each registers itself by its name."""
+"""The policies that the lab compares, registered by name."""
 
 import abc
 from collections.abc import Callable
@@ -6,9 +6,9 @@
 
 import attrs
 
-from bench._lab._cell import play_day
-from bench._lab._load import Day
-from bench._lab._tally import Figures, tally
+from bench._lab._cell import simulate
+from bench._lab._outcomes import Summary, summarize_groups
+from bench._lab._workload import Workload
 from firhook._instance import load_services
 from firhook.cell import JobTable, Step
 from firhook.decide.adviser_slots import SlotPlan
@@ -17,16 +17,16 @@
 from firhook.platform.instance import Bounds
 
 POLICIES: dict[str, type["Policy"]] = {}
-#: What is compared if nothing else is asked for.
-SHIPPED = ("present", "first_come", "oracle")
+#: The policies that are compared by default.
+DEFAULT_POLICIES = ("present", "first_come", "oracle")
 
 
 class Policy(abc.ABC):
-    """A way to serve a day.
+    """A scheduling policy.
 
-    A subclass that gives its name as a class argument is registered under it.
+    A subclass with the class argument ``name`` is registered under that name.
 
-    :cvar name: what it is called in tables.
+    :cvar name: name on the command line and in tables.
     """
 
     name: ClassVar[str] = ""
@@ -38,63 +38,69 @@
             POLICIES[name] = cls
 
     @abc.abstractmethod
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
-        """Return what the callers of each group get on a day."""
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
+        """Return the summary of each group of a workload, by kind and name."""
 
 
 class CellPolicy(Policy):
-    """A policy that decides in a cell of the model.
+    """A policy that is simulated in a model cell.
 
-    :cvar bounds: the times that the cell is held to.
+    :cvar bounds: time limits of the cell.
     """
 
     bounds: ClassVar[Bounds] = Bounds()
 
     @abc.abstractmethod
-    def decisions(self) -> dict[str, Callable[..., Any]]:
-        """Return what the lead decides by in place of its own, by attribute."""
+    def overrides(self) -> dict[str, Callable[..., Any]]:
+        """Return replacements of the lead's decision functions, by attribute name."""
 
-    def figures(self, day: Day) -> dict[tuple[str, str], Figures]:
-        """Play a day."""
-        changed = {name: staticmethod(func) for name, func in self.decisions().items()}
-        lead = type("_Lead", (load_services()["lead"],), changed)
-        return tally(day, play_day(day, lead, self.bounds))
+    def evaluate(self, workload: Workload) -> dict[tuple[str, str], Summary]:
+        """Simulate a workload; see :meth:`Policy.evaluate`."""
+        overridden = {
+            name: staticmethod(func) for name, func in self.overrides().items()
+        }
+        lead = type("_Lead", (load_services()["lead"],), overridden)
+        return summarize_groups(workload, simulate(workload, lead, self.bounds))
 
 
-class Present(CellPolicy, name="present"):
-    """What firhook decides."""
+class Current(CellPolicy, name="present"):
+    """The decisions of firhook, unchanged."""
 
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
         return {}
 
 
 class RoundPolicy(CellPolicy):
-    """A policy with rounds, and seats at the adviser, of classes of its own."""
+    """A policy with its own classes for rounds and for reserved adviser slots.
+
+    :cvar round: the class of a placement round.
+    :cvar slot_plan: the class that reserves adviser slots.
+    """
 
     round: ClassVar[type[Round]] = Round
     slot_plan: ClassVar[type[SlotPlan]] = SlotPlan
 
     def place(
         self,
-        book: JobTable,
+        jobs: JobTable,
         workers: dict[str, WorkerView],
         tickets: TicketTable,
         now: float,
     ) -> RoundResult:
-        """Decide which waiting tasks start now, and where."""
-        return self.round(book, workers, tickets, now).run()
+        """Decide which waiting tasks start, and on which workers."""
+        return self.round(jobs, workers, tickets, now).run()
 
-    def decisions(self) -> dict[str, Callable[..., Any]]:
+    def overrides(self) -> dict[str, Callable[..., Any]]:
         """See :meth:`CellPolicy.decisions`."""
         return {"place": self.place, "slot_plan": self.slot_plan}
 
 
 class _FirstComeRound(Round):
-    """The oldest first, each task on the first worker with room."""
+    """Places steps in order of arrival, each task on the first worker that fits."""
 
     def run(self) -> RoundResult:
-        """See :meth:`Round.run`; the adviser is asked in order of arrival too."""
+        """See :meth:`Round.run`; advice is requested in order of arrival too."""
         result = super().run()
         result.advice_requests = [
             attrs.evolve(request, order_key=request.step.job.accepted_at)
@@ -122,8 +128,10 @@
     ) -> list[WorkerView] | None:
         chosen: list[WorkerView] = []
         for worker in sorted(workers, key=lambda w: w.name):
-            left = step.spec.count - len(chosen)
-            chosen += [worker] * worker.free.count_fitting(step.spec.reserved, left)
+            remaining = step.spec.count - len(chosen)
+            chosen += [worker] * worker.free.count_fitting(
+                step.spec.reserved, remaining
+            )
         if len(chosen) < step.spec.count:
             return None
         for worker in chosen:
@@ -131,11 +139,11 @@
         return chosen
 
     def _reserve(self, step: Step, workers: list[WorkerView]) -> None:
-        """Keep no room."""
+        """Reserve no capacity."""
 
 
-class OpenSeats(SlotPlan):
-    """Keeps no seat for any question."""
+class NoReservedSlots(SlotPlan):
+    """Reserves no adviser slot for any request."""
 
     def reserved_slots(self, cost_s: float, slots: int, now: float) -> int:
         """See :meth:`SlotPlan.reserved_slots`."""
@@ -143,10 +151,10 @@
 
 
 class FirstCome(RoundPolicy, name="first_come"):
-    """First come, first fit: no order by urgency, and no room or seat kept.
+    """First come, first fit, without urgency and without reservations.
 
-    What does not fit is passed over; the adviser is asked as the platform demands.
+    Steps that do not fit are skipped.  The adviser is asked as the platform requires.
     """
 
     round = _FirstComeRound
-    slot_plan = OpenSeats
+    slot_plan = NoReservedSlots
--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -1,4 +1,7 @@
-"""This instance's room: what it asks its zone's lead for, and holds."""
+"""The capacity that this instance requests from its zone's lead and holds.
+
+The messages call capacity *room*.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -13,17 +16,17 @@
 from firhook.logs import log
 from firhook.model import GrantAnswer, GrantAsk, Holdings, HoldingsAsk, TeamRoom
 
-#: A team that was refused room asks again after so long at the earliest.
+#: Minimum time before capacity is requested again after a refusal.
 _RETRY_S = 0.1
-#: Wants that come within this time go into one message.
-_GATHER_S = 0.01
-#: Demand that is not renewed falls by half in this time.
-_HALF_LIFE_S = 2.0
+#: Demand that arrives within this time is sent in one message.
+_BATCH_DELAY_S = 0.01
+#: Demand that is not renewed halves in this time.
+_DEMAND_HALF_LIFE_S = 2.0
 
 
 @attrs.frozen(slots=True)
 class _Stamp:
-    """The stamp of a lead's last answer, and when it was read here."""
+    """The stamp of a lead's last answer, and when this instance read it."""
 
     epoch: int
     stamp: float
@@ -31,17 +34,17 @@
 
 
 def instance_name(lane: str) -> str:
-    """Return the instance's name of a lane."""
+    """Return the name of the instance that a lane belongs to."""
     return lane.partition("#")[0]
 
 
 class CapacityBorrower:
-    """Borrows room from the zone's lead for what waits here.
+    """Borrows capacity from the zone's lead for the work of this instance.
 
-    All teams of an instance go into one message: at the two-year size 120
-    teams would otherwise cost each instance 120 messages a second.
+    All teams of an instance share one message: otherwise 120 teams would cost each
+    instance 120 messages a second.
 
-    :param lend: answers an ask where this instance is the lead itself.
+    :param lend: handles the request if this instance is the lead itself.
     """
 
     def __init__(
@@ -53,42 +56,42 @@
         self._kernel = kernel
         self._leadership = leadership
         self._lend = lend
-        self._demand = CapacityDemand(_HALF_LIFE_S)
-        self._pressed: set[str] = set()
-        self._quiet_until: dict[str, float] = {}
+        self._demand = CapacityDemand(_DEMAND_HALF_LIFE_S)
+        self._pending_teams: set[str] = set()
+        self._retry_at: dict[str, float] = {}
         self._wake = asyncio.Event()
         self._seq = 0
         self._stamp = _Stamp(0, -1.0, float("-inf"))
-        self._lead: tuple[int, str] = (0, "")
-        self._left = False
+        self._announced_lead: tuple[int, str] = (0, "")
+        self._stopped = False
 
     def add_demand(self, event: CapacityWanted) -> None:
-        """Note that work waits for room."""
+        """Record that work of a team waits for capacity."""
         now = self._kernel.clock()
         self._demand.raise_to(event.team, event.wanted, now)
-        if now >= self._quiet_until.get(event.team, 0.0):
-            self._pressed.add(event.team)
+        if now >= self._retry_at.get(event.team, 0.0):
+            self._pending_teams.add(event.team)
             self._wake.set()
 
     def teams(self) -> list[str]:
-        """Return the teams that want or hold room."""
+        """Return the teams that want or hold capacity."""
         account, waiting = self._kernel.account, self._kernel.load.waiting
         demand = self._demand.teams(self._kernel.clock())
         return sorted({*demand, *account.capacity, *account.running, *waiting})
 
     def _wanted(self, team: str, now: float) -> int:
-        # Whatever waits wants room for one at least: its want may have been
-        # noted long ago, while the lead was away, and nothing would note it
+        # Waiting work needs capacity for at least one request.  Its demand may have
+        # decayed while the lead was unreachable, and nothing would record it
         # again before its deadline.
-        least = self._kernel.account.running.get(team, 0)
-        least += bool(self._kernel.load.waiting.get(team))
-        return self._demand.wanted(team, least, now)
+        minimum = self._kernel.account.running.get(team, 0)
+        minimum += bool(self._kernel.load.waiting.get(team))
+        return self._demand.wanted(team, minimum, now)
 
     def holdings(self, teams: Iterable[str]) -> tuple[TeamRoom, ...]:
-        """Return what is wanted and held for teams.
+        """Return the wanted and held capacity of teams, and release the excess.
 
-        Room that is no longer wanted is given up here, before the lead hears
-        of it, so that nobody else can use it while this instance still does.
+        Capacity that is no longer wanted is released here before the lead is
+        informed, so that no other instance can use it at the same time.
         """
         account = self._kernel.account
         now = self._kernel.clock()
@@ -101,17 +104,22 @@
         return tuple(result)
 
     async def on_holdings_ask(self, ask: HoldingsAsk) -> Holdings:
-        """Tell a new lead what is held, and follow no older one any more."""
+        """Report the holdings to a new lead, and reject older leads from now on.
+
+        :raises NotLeadError: if the request is for another incarnation.
+        """
         if ask.instance != self._kernel.lane:
-            # Another run of this instance held that; it may be paused only.
-            raise NotLeadError(f"this is {self._kernel.lane}, not {ask.instance}")
+            # Another incarnation holds that capacity; it may only be paused.
+            raise NotLeadError(
+                f"this incarnation is {self._kernel.lane}, not {ask.instance}"
+            )
         self._leadership.fence(ask.epoch)
-        if ask.epoch > self._lead[0]:
-            self._lead = (ask.epoch, ask.lead)
+        if ask.epoch > self._announced_lead[0]:
+            self._announced_lead = (ask.epoch, ask.lead)
         return self.all_holdings()
 
     def all_holdings(self) -> Holdings:
-        """Return what is held here, and what was lent as the lead to guests."""
+        """Return all holdings, and the loans to guests from leading the zone."""
         teams = self.holdings(self.teams())
         return Holdings(self._kernel.lane, teams, self._guests())
 
@@ -122,30 +130,34 @@
     def _known_lead(self) -> tuple[int, str]:
         lead = self._leadership.state
         if lead.released or not lead.instance:
-            return self._lead if self._lead[0] > lead.epoch else (0, "")
-        return max(self._lead, (lead.epoch, lead.instance))
+            return (
+                self._announced_lead
+                if self._announced_lead[0] > lead.epoch
+                else (0, "")
+            )
+        return max(self._announced_lead, (lead.epoch, lead.instance))
 
     async def run(self) -> None:
-        """Ask again and again, for everything or for what is pressed."""
+        """Request capacity periodically for all teams, and at once for new demand."""
         ttl_s = self._kernel.cfg.grant_ttl_s
         next_full = 0.0
-        while not self._left:
+        while not self._stopped:
             now = self._kernel.clock()
             if now >= next_full:
-                self._pressed.clear()
-                done = await self._try_ask(self.teams())
-                # One ask that gets no answer in its second still leaves time
-                # for another before the grants lapse.
-                next_full = now + (ttl_s / 2 if done else _RETRY_S)
-            elif self._pressed:
-                teams = sorted(self._pressed)
-                self._pressed.clear()
-                if not await self._try_ask(teams):
+                self._pending_teams.clear()
+                lent = await self._try_request(self.teams())
+                # A request that times out after a second leaves time for another
+                # before the grants expire.
+                next_full = now + (ttl_s / 2 if lent else _RETRY_S)
+            elif self._pending_teams:
+                teams = sorted(self._pending_teams)
+                self._pending_teams.clear()
+                if not await self._try_request(teams):
                     next_full = now + _RETRY_S
             self._wake.clear()
-            if not self._pressed:
+            if not self._pending_teams:
                 await self._pause(next_full - self._kernel.clock())
-            await asyncio.sleep(_GATHER_S)
+            await asyncio.sleep(_BATCH_DELAY_S)
 
     async def _pause(self, seconds: float) -> None:
         try:
@@ -153,44 +165,46 @@
         except TimeoutError:
             return
 
-    async def _try_ask(self, teams: Iterable[str]) -> bool:
+    async def _try_request(self, teams: Iterable[str]) -> bool:
         try:
-            return await self._ask(teams)
+            return await self._request(teams)
         except FirhookError as exc:
-            # The lead is away or changing.  What is held stays held until it
-            # lapses, and the next round finds the lead that is there then.
+            # The lead is unreachable or changing.  The held capacity stays valid
+            # until it expires, and the next round uses the lead of that time.
             log("room.ask_failed", level="debug", code=exc.code, detail=exc.detail)
             return False
 
-    async def _ask(self, teams: Iterable[str], leaving: bool = False) -> bool:
+    async def _request(self, teams: Iterable[str], leaving: bool = False) -> bool:
         epoch, lead = self._known_lead()
         if not lead:
             return False
         self._seq += 1
-        echo = self._promise(epoch)
+        echo = self._make_promise(epoch)
         sent_at = self._kernel.clock()
-        rooms = self.holdings(teams)
+        demands = self.holdings(teams)
         ask = GrantAsk(
-            self._kernel.lane, self._seq, epoch, echo, rooms, leaving, self._guests()
+            self._kernel.lane, self._seq, epoch, echo, demands, leaving, self._guests()
         )
         if lead == self._kernel.lane:
             answer = await self._lend(ask)
         else:
             answer = await self._kernel.bus.ask(AskPeer(instance_name(lead), ask))
-        self._apply(ask, answer, sent_at)
+        self._apply_answer(ask, answer, sent_at)
         return answer.lent
 
-    def _promise(self, epoch: int) -> float:
-        """Return the stamp to send back, by which this ask is a promise."""
+    def _make_promise(self, epoch: int) -> float:
+        """Return the stamp to send back, which makes the request a promise.
+
+        -1 stands for no promise.
+        """
         if self._stamp.epoch != epoch or not self._leadership.may_promise:
             return -1.0
         self._leadership.promised_at = self._stamp.read_at
         return self._stamp.stamp
 
-    def _apply(self, ask: GrantAsk, answer: GrantAnswer, sent_at: float) -> None:
+    def _apply_answer(self, ask: GrantAsk, answer: GrantAnswer, sent_at: float) -> None:
         if answer.epoch != ask.epoch or answer.epoch < self._known_lead()[0]:
-            # A newer lead has been told what is held here; it does not know
-            # of this grant.
+            # A newer lead has received the holdings without this grant.
             return
         now = self._kernel.clock()
         self._stamp = _Stamp(answer.epoch, answer.stamp, now)
@@ -198,29 +212,31 @@
             return
         account = self._kernel.account
         granted = {grant.team: grant.granted for grant in answer.teams}
-        for room in ask.teams:
-            amount = min(granted.get(room.team, room.wanted), room.wanted)
-            # The lead counts from when it answered, this instance from before
-            # it asked, so the grant ends here before it ends in the book.
-            grown = amount > account.current_capacity(room.team)
-            account.set_capacity(room.team, amount, sent_at + answer.ttl_s)
-            if amount < room.wanted:
-                self._quiet_until[room.team] = now + _RETRY_S
+        for demand in ask.teams:
+            amount = min(granted.get(demand.team, demand.wanted), demand.wanted)
+            # The lead counts the lifetime from its answer, this instance from before
+            # its request, so the grant expires here before it does at the lead.
+            grown = amount > account.current_capacity(demand.team)
+            account.set_capacity(demand.team, amount, sent_at + answer.ttl_s)
+            if amount < demand.wanted:
+                self._retry_at[demand.team] = now + _RETRY_S
             else:
-                self._quiet_until.pop(room.team, None)
+                self._retry_at.pop(demand.team, None)
             if grown:
-                self._kernel.bus.publish(CapacityChanged(room.team))
+                self._kernel.bus.publish(CapacityChanged(demand.team))
 
     def stop(self) -> None:
-        """Ask no more."""
-        self._left = True
+        """Stop requesting capacity."""
+        self._stopped = True
         self._wake.set()
 
     async def leave(self) -> bool:
-        """Give everything back at a graceful stop; return whether it was free.
+        """Return all capacity at a graceful stop.
 
-        Work that is still running keeps its room in the lead's book until it
+        Work that is still running keeps its capacity in the lead's table until it
         has certainly ended.
+
+        :returns: whether all capacity was free.
         """
         self.stop()
         account = self._kernel.account
@@ -229,8 +245,8 @@
         if account.running or self._kernel.grants.lent_to_guests(self._kernel.clock()):
             return False
         try:
-            await self._ask((), leaving=True)
+            await self._request((), leaving=True)
         except FirhookError:
-            # The lead counts this instance as silent and waits it out.
+            # The lead treats this instance as unreachable until its grants expire.
             return True
         return True
--- a/src/firhook/ops/_events.py
+++ b/src/firhook/ops/_events.py
@@ -1,4 +1,4 @@
-"""A stream of the steps by which the cell repairs itself."""
+"""An event stream of the cell's scheduling and recovery steps."""
 
 import asyncio
 import contextlib
@@ -27,21 +27,23 @@
 )
 from firhook.ops._routes import Routes
 
-#: Steps kept for those who connect later: a few minutes at 62 starts a second
-#: over seven zones, in under 2 MB.
-KEPT_STEPS = 2000
-#: Listeners beyond this are refused, so that forgotten ones cannot add up.
+#: Steps kept for later connections: a few minutes at 62 starts a second over
+#: seven zones, in less than 2 MB.
+MAX_KEPT_STEPS = 2000
+#: Further listeners are refused, so that abandoned ones cannot accumulate.
 MAX_LISTENERS = 16
 MAX_WAIT_S = 300.0
 
 
 @attrs.frozen(slots=True)
-class Step:
-    """One repair step as operators see it.
+class CellStep:
+    """One scheduling or recovery step as shown to operators.
 
-    :param seq: rises by one with each step at this instance.
+    :param seq: the sequence number, which counts the steps at this instance.
+    :param stream: the log stream of the record.
+    :param offset: the offset of the record in its stream.
     :param kind: such as ``assigned``, ``ended`` or ``adopted``.
-    :param subject: the task, zone, worker or team it is about.
+    :param subject: the task, zone, worker or team concerned.
     :param detail: what was done and why.
     """
 
@@ -53,8 +55,8 @@
     detail: str
 
 
-def describe(body: Any) -> Iterable[tuple[str, str, str]]:
-    """Return kind, subject and detail of each step that a record stands for."""
+def describe_steps(body: Any) -> Iterable[tuple[str, str, str]]:
+    """Yield the kind, subject and detail of each step in a record."""
     if isinstance(body, Assigned):
         for item in body.items:
             task = f"{item.job_id}[{item.index}]"
@@ -62,8 +64,8 @@
     elif isinstance(body, Ended):
         for item in body.items:
             task = f"{item.job_id}[{item.index}]"
-            why = f": {item.reason}" if item.reason else ""
-            yield "ended", task, f"attempt {item.attempt} {item.outcome}{why}"
+            reason = f": {item.reason}" if item.reason else ""
+            yield "ended", task, f"attempt {item.attempt} {item.outcome}{reason}"
     elif isinstance(body, JobsAdopted):
         yield "adopted", f"zone {body.giver}", f"its jobs go to zone {body.receiver}"
     elif isinstance(body, WorkerMarked):
@@ -85,14 +87,14 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._steps: deque[Step] = deque(maxlen=KEPT_STEPS)
+        self._steps: deque[CellStep] = deque(maxlen=MAX_KEPT_STEPS)
         self._seq = 0
-        self._grown = asyncio.Event()
+        self._steps_added = asyncio.Event()
         self._listeners = 0
         self.bus.subscribe(RecordApplied, self._on_record)
 
     def api(self) -> list[web.RouteDef]:
-        """Return the route; it wants an operator's key."""
+        """Return the event route, which requires an operator's key."""
         return [web.get("/v1/events", self._get_events)]
 
     def ops(self) -> list[web.RouteDef]:
@@ -102,18 +104,18 @@
     def _on_record(self, event: RecordApplied) -> None:
         if event.verdict is not Verdict.APPLIED:
             return
-        for kind, subject, detail in describe(event.envelope.body):
+        for kind, subject, detail in describe_steps(event.envelope.body):
             self._seq += 1
             self._steps.append(
-                Step(self._seq, event.stream, event.offset, kind, subject, detail)
+                CellStep(self._seq, event.stream, event.offset, kind, subject, detail)
             )
-        self._grown.set()
+        self._steps_added.set()
 
     async def _get_events(self, req: web.Request) -> web.StreamResponse:
-        """Stream the steps after ``after``, waiting ``wait`` seconds for more."""
+        """Stream the steps after number ``after``, for ``wait`` seconds."""
         await require_operator(self.bus, req)
-        after = _number(req, "after", 0, 2**53)
-        wait_s = _number(req, "wait", 0, MAX_WAIT_S)
+        after = _parse_number(req, "after", 0, 2**53)
+        wait_s = _parse_number(req, "wait", 0, MAX_WAIT_S)
         if self._listeners >= MAX_LISTENERS:
             raise RequestMalformedError(f"{MAX_LISTENERS} listeners are connected")
         resp = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
@@ -121,7 +123,7 @@
         await resp.prepare(req)
         self._listeners += 1
         try:
-            # A listener that went away is no fault of this instance.
+            # A listener that disconnects is not an error.
             with contextlib.suppress(ConnectionResetError):
                 await self._stream(resp, int(after), wait_s)
         finally:
@@ -131,20 +133,20 @@
     async def _stream(
         self, resp: web.StreamResponse, after: int, wait_s: float
     ) -> None:
-        give_up = self.kernel.clock() + wait_s
+        deadline = self.kernel.clock() + wait_s
         while True:
             for step in [s for s in self._steps if s.seq > after]:
                 await resp.write(msgspec.json.encode(step) + b"\n")
                 after = step.seq
-            left = give_up - self.kernel.clock()
-            if left <= 0 or self.kernel.stopping:
+            remaining_s = deadline - self.kernel.clock()
+            if remaining_s <= 0 or self.kernel.stopping:
                 return
-            self._grown.clear()
+            self._steps_added.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._grown.wait(), min(left, 1.0))
+                await asyncio.wait_for(self._steps_added.wait(), min(remaining_s, 1.0))
 
 
-def _number(req: web.Request, name: str, low: float, high: float) -> float:
+def _parse_number(req: web.Request, name: str, low: float, high: float) -> float:
     text = req.query.get(name, "0")
     try:
         value = float(text)
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -1,4 +1,4 @@
-"""Once: keyed non-idempotent requests run at most once over the fleet."""
+"""The once role: runs keyed non-idempotent requests at most once in the fleet."""
 
 import asyncio
 import base64
@@ -37,250 +37,258 @@
 from firhook.state import OnceEntry
 from firhook.tasks import log_failure
 
-#: Longer bodies are not stored: each would be in the log and in the memory of
-#: every instance.  A repeat then gets the status and is told so.
-MAX_STORED_BODY = 64 * 1024
-#: Outcomes that wait for the log to come back, and the size of their bodies.
-MAX_UNSTORED = 2000
-MAX_UNSTORED_BYTES = 4 << 20
+#: Longer bodies are not stored, since each would take space in the log and in
+#: the memory of every instance.  A repeat then gets only the status, and a note
+#: that says so.
+MAX_STORED_BODY_BYTES = 64 * 1024
+#: Limits on outcomes that are not yet in the log: their number, and the size of
+#: their bodies.  They pile up during an outage of the log.
+MAX_PENDING_OUTCOMES = 2000
+MAX_PENDING_OUTCOME_BYTES = 4 << 20
 
 _CLAIM_DEADLINE_S = 3.0
 _STORE_DEADLINE_S = 5.0
 _STORE_RETRY_S = 1.0
-_INQUIRY_S = 1.0
-#: An outcome is in the log some milliseconds after its caller was answered.
-_OUTCOME_WAIT_S = 1.0
-_COME_BACK_S = 1.0
-_LOG_COME_BACK_S = 2.0
+_INQUIRY_TIMEOUT_S = 1.0
+#: How long a repeat waits for an outcome that its holder is storing.  It is
+#: usually in the log some milliseconds after the caller was answered.
+_OUTCOME_TIMEOUT_S = 1.0
+_RETRY_AFTER_S = 1.0
+_LOG_RETRY_AFTER_S = 2.0
 
 
 @register_role("once")
 class Once(Role):
-    """Claims, stores and repeats outcomes."""
+    """Claims idempotency keys, and stores and repeats outcomes."""
 
     def register_handlers(self) -> None:
-        """Offer claims."""
-        self._book = ClaimTable()
-        self._unstored: dict[str, EndpointResponse] = {}
-        self._unstored_bytes = 0
+        """Register the handlers for claims."""
+        self._claims = ClaimTable()
+        self._pending_outcomes: dict[str, EndpointResponse] = {}
+        self._pending_bytes = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._outcomes: dict[str, set[asyncio.Future[None]]] = {}
+        self._outcome_waiters: dict[str, set[asyncio.Future[None]]] = {}
         bus = self.bus
-        bus.register_handler(OnceBegin, self._begin)
-        bus.register_handler(OnceFinish, self._finish)
-        bus.register_handler(OnceRelease, self._give_back)
+        bus.register_handler(OnceBegin, self._on_begin)
+        bus.register_handler(OnceFinish, self._on_finish)
+        bus.register_handler(OnceRelease, self._on_release)
         bus.subscribe(OnceSending, self._on_sending)
-        bus.subscribe(OnceLost, self._on_lost)
+        bus.subscribe(OnceLost, self._on_outcome_lost)
         bus.subscribe(RecordApplied, self._on_record)
 
     async def on_start(self) -> None:
-        """Answer peers that ask what became of a claim."""
+        """Register the handler for peers that inquire about a claim."""
         self.bus.publish(RegisterPeerHandler(ClaimInquiry, self._on_inquiry))
 
     async def drain(self) -> None:
-        """Store the outcomes that are still on their way to the log."""
+        """Wait for the outcomes that are still being stored."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=_STORE_DEADLINE_S)
 
     async def on_stop(self) -> None:
-        """Stop storing; what is not stored is unknown to repeats."""
+        """Stop storing; repeats of requests not stored get an unknown outcome."""
         for task in self._tasks:
             task.cancel()
 
     # -- claiming --------------------------------------------------------
 
-    async def _begin(self, query: OnceBegin) -> EndpointResponse | None:
-        known = self.states.once.entries.get(query.key)
-        if known is None and self._book.find(query.key) is None:
+    async def _on_begin(self, query: OnceBegin) -> EndpointResponse | None:
+        entry = self.states.once.entries.get(query.key)
+        if entry is None and self._claims.find(query.key) is None:
             if await self._claim(query):
                 return None
-            known = self.states.once.entries.get(query.key)
-        if known is None:
-            # Being claimed here, or given back just now.
+            entry = self.states.once.entries.get(query.key)
+        if entry is None:
+            # The key is being claimed here or was just released.
             raise OnceInProgressError(
-                "a claim on the key is being settled", retry_after_s=_COME_BACK_S
+                "a claim on the key is being settled", retry_after_s=_RETRY_AFTER_S
             )
-        return await self._repeat(query.key, known, query.body)
+        return await self._answer_repeat(query.key, entry, query.body)
 
     async def _claim(self, query: OnceBegin) -> bool:
-        """Claim the key; return whether the claim was seen to be first."""
-        nonce = self._book.begin(query.key)
+        """Claim the key and return whether the claim is confirmed to be the first."""
+        nonce = self._claims.begin(query.key)
         claim = OnceClaimed(query.key, query.team, query.body, self.kernel.lane, nonce)
-        won = False
+        is_first = False
         try:
             append = Append("once", claim, deadline_s=_CLAIM_DEADLINE_S)
             applied = await self.bus.ask(append)
-            won = applied.verdict is Verdict.APPLIED
+            is_first = applied.verdict is Verdict.APPLIED
         except LogOutcomeUnknownError as exc:
-            # The claim may land yet, but its request is never sent: it is out
-            # of the book from now on, and given back as soon as it is read.
+            # The claim may still land, but its request is never sent: the claim
+            # is removed from the table now and released once it is read.
             raise LogUnavailableError(
                 "the log has not confirmed the claim in time; "
-                "this attempt is not sent, now or later",
-                retry_after_s=_LOG_COME_BACK_S,
+                "this attempt will not be sent",
+                retry_after_s=_LOG_RETRY_AFTER_S,
             ) from exc
         finally:
-            if won:
-                self._book.set_phase(claim.key, Phase.HELD)
+            if is_first:
+                self._claims.set_phase(claim.key, Phase.HELD)
             else:
-                self._book.remove(claim.key)
-                self._on_own_entry(claim)
-        return won
+                self._claims.remove(claim.key)
+                self._release_own_entry(claim)
+        return is_first
 
     def _on_record(self, event: RecordApplied) -> None:
         body = event.envelope.body
         if event.stream != "once" or event.verdict is not Verdict.APPLIED:
             return
         if isinstance(body, OnceDone):
-            for fut in self._outcomes.get(body.key, ()):
+            for fut in self._outcome_waiters.get(body.key, ()):
                 if not fut.done():
                     fut.set_result(None)
         if isinstance(body, OnceClaimed) and body.holder == self.kernel.lane:
-            self._on_own_claim(body)
+            self._release_unsent_claim(body)
 
-    def _on_own_claim(self, claim: OnceClaimed) -> None:
-        """Give back a claim that was given up here and landed all the same."""
-        if self._book.send_status(claim.key, claim.nonce) is SendStatus.NEVER:
-            self._keep(self._release(claim.key, claim.holder, claim.nonce))
+    def _release_unsent_claim(self, claim: OnceClaimed) -> None:
+        """Release a claim that landed after this instance had given it up."""
+        if self._claims.send_status(claim.key, claim.nonce) is SendStatus.NEVER:
+            self._start_task(self._release(claim.key, claim.holder, claim.nonce))
 
-    def _on_own_entry(self, claim: OnceClaimed) -> None:
-        """Give back a claim that landed just as its caller went away."""
+    def _release_own_entry(self, claim: OnceClaimed) -> None:
+        """Release a claim that landed just as its caller disconnected."""
         entry = self.states.once.entries.get(claim.key)
         if entry is not None and (entry.holder, entry.nonce) == (
             claim.holder,
             claim.nonce,
         ):
-            self._on_own_claim(claim)
+            self._release_unsent_claim(claim)
 
     # -- repeats ---------------------------------------------------------
 
-    async def _repeat(self, key: str, known: OnceEntry, body: str) -> EndpointResponse:
-        if known.body != body:
+    async def _answer_repeat(
+        self, key: str, entry: OnceEntry, body: str
+    ) -> EndpointResponse:
+        if entry.body != body:
             raise OnceMismatchError("the request differs from the one with this key")
-        if known.done:
-            return stored_answer(known)
-        if key in self._unstored and known.holder == self.kernel.lane:
-            return _repeated(self._unstored[key])
-        sent = await self._ask_holder(key, known)
+        if entry.done:
+            return build_stored_response(entry)
+        if key in self._pending_outcomes and entry.holder == self.kernel.lane:
+            return _with_repeat_header(self._pending_outcomes[key])
+        sent = await self._query_holder(key, entry)
         if sent is SendStatus.DONE:
-            await self._wait_done(key)
-        # The outcome may have been read while the holder was asked.
-        known = self.states.once.entries.get(key, known)
-        if known.done:
-            return stored_answer(known)
+            await self._wait_for_outcome(key)
+        # The outcome may have been read during the inquiry.
+        entry = self.states.once.entries.get(key, entry)
+        if entry.done:
+            return build_stored_response(entry)
         if sent in (SendStatus.RUNNING, SendStatus.DONE):
             raise OnceInProgressError(
-                "the first request is being run", retry_after_s=_COME_BACK_S
+                "the first request is still running", retry_after_s=_RETRY_AFTER_S
             )
         if sent is SendStatus.NEVER:
-            self._keep(self._release(key, known.holder, known.nonce))
+            self._start_task(self._release(key, entry.holder, entry.nonce))
             raise OnceInProgressError(
-                "the first request was never sent; its claim is being given back",
-                retry_after_s=_COME_BACK_S,
+                "the first request was never sent; its claim is being released",
+                retry_after_s=_RETRY_AFTER_S,
                 ran="no",
             )
         raise OnceUnknownError("the outcome of the first request was lost")
 
-    async def _wait_done(self, key: str) -> None:
-        """Wait a moment for an outcome that is on its way to the log."""
+    async def _wait_for_outcome(self, key: str) -> None:
+        """Wait up to ``_OUTCOME_TIMEOUT_S`` for an outcome to be read from the log."""
         entry = self.states.once.entries.get(key)
         if entry is None or entry.done:
             return
         fut = asyncio.get_running_loop().create_future()
-        self._outcomes.setdefault(key, set()).add(fut)
+        self._outcome_waiters.setdefault(key, set()).add(fut)
         try:
-            await asyncio.wait({fut}, timeout=_OUTCOME_WAIT_S)
+            await asyncio.wait({fut}, timeout=_OUTCOME_TIMEOUT_S)
         finally:
-            self._outcomes[key].discard(fut)
-            if not self._outcomes[key]:
-                del self._outcomes[key]
+            self._outcome_waiters[key].discard(fut)
+            if not self._outcome_waiters[key]:
+                del self._outcome_waiters[key]
 
-    async def _ask_holder(self, key: str, known: OnceEntry) -> SendStatus:
-        """Return what the holder of a claim says became of its request.
+    async def _query_holder(self, key: str, entry: OnceEntry) -> SendStatus:
+        """Ask the holder of a claim whether it sent the request.
 
-        A holder that does not answer may have gone after it sent the request,
-        or may just be cut off; that it is heard by gossip tells which.
+        A holder that does not answer may have died after it sent the request,
+        or may only be unreachable.  If its gossip still arrives, the request
+        counts as running; otherwise its outcome is unknown.
         """
-        if known.holder == self.kernel.lane:
-            return self._book.send_status(key, known.nonce)
-        peer = known.holder.partition("#")[0]
-        ask = ClaimInquiry(key, known.holder, known.nonce)
+        if entry.holder == self.kernel.lane:
+            return self._claims.send_status(key, entry.nonce)
+        peer = entry.holder.partition("#")[0]
+        inquiry = ClaimInquiry(key, entry.holder, entry.nonce)
         try:
-            answer = await self.bus.ask(AskPeer(peer, ask, _INQUIRY_S))
+            answer = await self.bus.ask(AskPeer(peer, inquiry, _INQUIRY_TIMEOUT_S))
             return SendStatus(answer.sent)
         except (FirhookError, ValueError, AttributeError):
             members = await self.bus.ask(Members())
-            alive = known.holder in {m.incarnation for m in members}
-            return SendStatus.RUNNING if alive else SendStatus.UNKNOWN
+            holder_is_alive = entry.holder in {m.incarnation for m in members}
+            return SendStatus.RUNNING if holder_is_alive else SendStatus.UNKNOWN
 
-    async def _on_inquiry(self, ask: ClaimInquiry) -> ClaimInquiryAnswer:
-        if ask.holder != self.kernel.lane:
-            # An earlier run of this instance, which took its book with it.
-            return ClaimInquiryAnswer(ask.key, SendStatus.UNKNOWN.value)
+    async def _on_inquiry(self, inquiry: ClaimInquiry) -> ClaimInquiryAnswer:
+        if inquiry.holder != self.kernel.lane:
+            # An earlier incarnation of this instance; its claims were in memory.
+            return ClaimInquiryAnswer(inquiry.key, SendStatus.UNKNOWN.value)
         return ClaimInquiryAnswer(
-            ask.key, self._book.send_status(ask.key, ask.nonce).value
+            inquiry.key, self._claims.send_status(inquiry.key, inquiry.nonce).value
         )
 
-    # -- ends ------------------------------------------------------------
+    # -- outcomes --------------------------------------------------------
 
     def _on_sending(self, event: OnceSending) -> None:
-        self._book.set_phase(event.key, Phase.SENDING)
+        self._claims.set_phase(event.key, Phase.SENDING)
 
-    def _on_lost(self, event: OnceLost) -> None:
-        claim = self._book.find(event.key)
+    def _on_outcome_lost(self, event: OnceLost) -> None:
+        claim = self._claims.find(event.key)
         if claim is None:
             return
         if claim.phase is Phase.HELD:
             self._abandon(event.key, claim.nonce)
         else:
-            self._book.set_phase(event.key, Phase.OUTCOME_UNKNOWN)
+            self._claims.set_phase(event.key, Phase.OUTCOME_UNKNOWN)
 
-    async def _finish(self, query: OnceFinish) -> None:
-        """Store an outcome without making its caller wait for the log."""
-        claim = self._book.find(query.key)
+    async def _on_finish(self, query: OnceFinish) -> None:
+        """Store an outcome without making the caller wait for the log."""
+        claim = self._claims.find(query.key)
         if claim is None:
             return
         size = len(query.answer.body)
-        full = self._unstored_bytes + size > MAX_UNSTORED_BYTES
-        if full or len(self._unstored) >= MAX_UNSTORED:
-            # The log has been out for long.  Repeats are told "unknown",
-            # which is true of what they can be told, and nothing runs twice.
+        exceeds_bytes = self._pending_bytes + size > MAX_PENDING_OUTCOME_BYTES
+        if exceeds_bytes or len(self._pending_outcomes) >= MAX_PENDING_OUTCOMES:
+            # The log has been unavailable for too long.  Repeats get "outcome
+            # unknown", which is correct, and nothing runs twice.
             log("once.outcome_dropped", level="error", key=query.key)
-            self._book.set_phase(query.key, Phase.OUTCOME_UNKNOWN)
+            self._claims.set_phase(query.key, Phase.OUTCOME_UNKNOWN)
             return
-        self._book.set_phase(query.key, Phase.DONE)
-        self._unstored[query.key] = query.answer
-        self._unstored_bytes += size
-        self._keep(self._store(query.key, claim.nonce, query.answer))
+        self._claims.set_phase(query.key, Phase.DONE)
+        self._pending_outcomes[query.key] = query.answer
+        self._pending_bytes += size
+        self._start_task(self._store(query.key, claim.nonce, query.answer))
 
     async def _store(self, key: str, nonce: int, answer: EndpointResponse) -> None:
-        whole = len(answer.body) <= MAX_STORED_BODY
-        data = base64.b64encode(answer.body).decode() if whole else ""
-        kind = dict(answer.headers).get("Content-Type", "")
+        is_body_stored = len(answer.body) <= MAX_STORED_BODY_BYTES
+        data = base64.b64encode(answer.body).decode() if is_body_stored else ""
+        content_type = dict(answer.headers).get("Content-Type", "")
         lane = self.kernel.lane
-        record = OnceDone(key, answer.status, kind, data, whole, lane, nonce)
-        await self._append_until_read(record)
-        self._book.settle(key)
-        self._unstored.pop(key, None)
-        self._unstored_bytes -= len(answer.body)
-
-    async def _give_back(self, query: OnceRelease) -> None:
-        claim = self._book.find(query.key)
+        record = OnceDone(
+            key, answer.status, content_type, data, is_body_stored, lane, nonce
+        )
+        await self._append_with_retries(record)
+        self._claims.settle(key)
+        self._pending_outcomes.pop(key, None)
+        self._pending_bytes -= len(answer.body)
+
+    async def _on_release(self, query: OnceRelease) -> None:
+        claim = self._claims.find(query.key)
         if claim is not None:
             self._abandon(query.key, claim.nonce)
 
     def _abandon(self, key: str, nonce: int) -> None:
-        self._book.remove(key)
-        self._keep(self._release(key, self.kernel.lane, nonce))
+        self._claims.remove(key)
+        self._start_task(self._release(key, self.kernel.lane, nonce))
 
     async def _release(self, key: str, holder: str, nonce: int) -> None:
-        await self._append_until_read(OnceReleased(key, holder, nonce))
+        await self._append_with_retries(OnceReleased(key, holder, nonce))
 
-    async def _append_until_read(self, record: Any) -> None:
-        """Append a record until it has been read back, whatever the log does.
+    async def _append_with_retries(self, record: Any) -> None:
+        """Append a record, and retry on errors until it has been read back.
 
-        Both kinds of record name their claim, and count once at most, so one
-        that lands again after an unknown outcome does nothing.
+        Both kinds of record name their claim and take effect at most once, so
+        a second copy after an unknown outcome has no effect.
         """
         while not self.should_stop:
             try:
@@ -291,36 +299,36 @@
                 log("once.not_stored", level="warning", key=record.key, why=repr(exc))
                 await asyncio.sleep(_STORE_RETRY_S)
 
-    def _keep(self, coro: Any) -> None:
+    def _start_task(self, coro: Any) -> None:
         task = asyncio.create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(log_failure("once.task_failed"))
 
 
-def _repeated(answer: EndpointResponse) -> EndpointResponse:
+def _with_repeat_header(answer: EndpointResponse) -> EndpointResponse:
     return EndpointResponse(
         answer.status, (*answer.headers, ("X-Repeated", "yes")), answer.body
     )
 
 
-def stored_answer(known: OnceEntry) -> EndpointResponse:
-    """Return a stored outcome as the answer to a repeat.
+def build_stored_response(entry: OnceEntry) -> EndpointResponse:
+    """Return the response to a repeat of a request whose outcome is stored.
 
-    A body that was too long to be kept is not made up: the caller gets the
-    status, which says whether it was run, and is told that this is all.
+    If the body was too long to store, the response gives the original status
+    in a JSON body and says that the original body is not kept.
     """
-    if known.whole:
-        headers = (("Content-Type", known.content_type), ("X-Repeated", "yes"))
-        return EndpointResponse(known.status, headers, base64.b64decode(known.data))
+    if entry.whole:
+        headers = (("Content-Type", entry.content_type), ("X-Repeated", "yes"))
+        return EndpointResponse(entry.status, headers, base64.b64decode(entry.data))
     body = {
         "code": "once.body_not_kept",
         "title": "The request was run; the body of its answer is not kept",
         "ran": "yes",
-        "status": known.status,
+        "status": entry.status,
     }
     headers = (
         ("Content-Type", "application/json"),
         ("X-Repeated", "status-only"),
     )
-    return EndpointResponse(known.status, headers, msgspec.json.encode(body))
+    return EndpointResponse(entry.status, headers, msgspec.json.encode(body))
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -1,4 +1,4 @@
-"""A log in memory with failures on command, and a kernel's bus around a lane."""
+"""An in-memory log whose failures tests can switch on."""
 
 import asyncio
 import contextlib
@@ -17,23 +17,25 @@
 
 @attrs.define(eq=False)
 class FakeLog(LogService):
-    """One log of any streams.
+    """An in-memory log with any number of streams.
 
-    :ivar append_fate: ``ok``, ``refuse``, ``lose`` (taken, but the answer is
-        lost) or ``drop`` (the answer is lost and it was not taken).
-    :ivar out: whether reading is refused.
-    :ivar sent: the payloads of each append, in order.
+    :ivar first: first offset that is still kept, by stream.
+    :ivar append_outcome: ``ok``, ``refuse``, ``lose`` (accepted, but the response is
+        lost) or ``drop`` (not accepted, and the response is lost).
+    :ivar reads_fail: whether reads are refused.
+    :ivar sent: the payloads of each append request, in order.
+    :ivar grown: set when records are added.
     """
 
     streams: dict[str, list[bytes]] = attrs.field(factory=dict)
     first: dict[str, int] = attrs.field(factory=dict)
-    append_fate: str = "ok"
-    out: bool = False
+    append_outcome: str = "ok"
+    reads_fail: bool = False
     sent: list[tuple[str, tuple[bytes, ...]]] = attrs.field(factory=list)
     grown: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def land(self, stream: str, *payloads: bytes) -> int:
-        """Take records."""
+    def add_records(self, stream: str, *payloads: bytes) -> int:
+        """Add records to a stream and return the offset of the first."""
         records = self.streams.setdefault(stream, [])
         first = len(records)
         records += payloads
@@ -42,24 +44,24 @@
         return first
 
     def write(self, stream: str, lane: str, seq: int, body: object) -> None:
-        """Take a record of another instance."""
-        self.land(stream, encode_envelope(Envelope(lane, seq, body)))
+        """Add a record of another instance."""
+        self.add_records(stream, encode_envelope(Envelope(lane, seq, body)))
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> int:
         await asyncio.sleep(0)
         self.sent.append((stream, tuple(payloads)))
-        if self.append_fate == "refuse":
+        if self.append_outcome == "refuse":
             raise LogUnavailableError("out")
-        if self.append_fate == "drop":
+        if self.append_outcome == "drop":
             raise LogOutcomeUnknownError("lost")
-        first = self.land(stream, *payloads)
-        if self.append_fate == "lose":
+        first = self.add_records(stream, *payloads)
+        if self.append_outcome == "lose":
             raise LogOutcomeUnknownError("lost")
         return first
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         await asyncio.sleep(0)
-        if self.out:
+        if self.reads_fail:
             raise LogUnavailableError("out")
         records = self.streams.setdefault(stream, [])
         first = self.first.get(stream, 0)
@@ -75,7 +77,7 @@
 
 
 async def until(check, timeout_s: float = 10.0) -> None:
-    """Wait until a check holds; the time only bounds a run that has failed."""
+    """Wait until a check returns true; the timeout only bounds failing runs."""
     async with asyncio.timeout(timeout_s):
         while not check():
             await asyncio.sleep(0.005)
--- a/tests/roles/fleet.py
+++ b/tests/roles/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of members under a fake log, network and clock.
+"""A simulated fleet of instances with a fake log, network and clock.
 
-The lead, room and lending code is the real one, and so are the state of the
-cell, the book and the account.  Time is virtual: the event loop jumps to the
-next timer, so minutes pass in milliseconds and each run is the same.
+The code for the lead, for lending and borrowing capacity, the cell's state, the
+grant table and the account are real.  Time is virtual: the event loop jumps to
+the next timer, so that minutes pass in milliseconds and runs are reproducible.
 """
 
 import asyncio
@@ -41,12 +41,12 @@
 TEAM = "t"
 LINGER_S = 5.0
 OUTAGE_S = 16.0
-NET_S = 0.002
+NETWORK_DELAY_S = 0.002
 
 
 @attrs.frozen
 class Cfg:
-    """The settings that the members' code reads."""
+    """The settings that the tested code reads."""
 
     zone: str
     zones: tuple[str, ...] = ZONES
@@ -60,7 +60,12 @@
 
 
 class FakeLog:
-    """The two streams, which the members share."""
+    """The log shared by the instances: the cell stream and a team's limits.
+
+    :ivar sent: records that were appended.
+    :ivar records: records that can be read, after ``delay_s``.
+    :ivar limits: the team's limit in each version of the lists.
+    """
 
     def __init__(self, loop):
         self.loop = loop
@@ -72,14 +77,14 @@
 
 
 class Config:
-    """A node's reading of the lists: just one team's limit."""
+    """The lists as one node has read them, with one team's limit."""
 
     def __init__(self, log):
         self.log = log
         self.version = 0
 
     def plan_of(self, team):
-        """Return the team's plan at the version that was read."""
+        """Return the team's plan in the version that was read."""
         return Plan("p", 1.0, self.log.limits[self.version])
 
 
@@ -92,7 +97,14 @@
 
 
 class Node:
-    """One instance: the members' code with requests that run under it."""
+    """One instance: the code of the members role, and simulated requests.
+
+    :ivar cut: whether the node reaches neither the log nor its peers.
+    :ivar log_cut: whether the node does not reach the log.
+    :ivar reachable_peers: the peers it reaches; None means no restriction.
+    :ivar gate: closed while the process is paused.
+    :ivar demand: how many requests of the team it should run.
+    """
 
     def __init__(self, fleet, name, zone, run):
         self.fleet, self.name = fleet, name
@@ -109,7 +121,7 @@
         self.alive = True
         self.cut = False
         self.log_cut = False
-        self.islands: set[str] | None = None
+        self.reachable_peers: set[str] | None = None
         self.gate = asyncio.Event()
         self.gate.set()
         self.end_seen_at = float("-inf")
@@ -131,7 +143,7 @@
         self.tasks = [
             loop.create_task(t)
             for t in (
-                self._follow(),
+                self._follow_log(),
                 self._every(0.25, self._lead_step),
                 self.borrower.run(),
                 self._every(1.0, self.lender.transfer_spare),
@@ -139,20 +151,20 @@
             )
         ]
 
-    # -- the world around it ---------------------------------------------
+    # -- log and network -------------------------------------------------
 
     @property
     def reaches_log(self):
-        """Whether the log answers this node now."""
+        """Whether this node reaches the log."""
         zone_cut = self.cfg.zone in self.fleet.cut_zones
         return not (self.fleet.log.down or self.cut or self.log_cut or zone_cut)
 
     def reaches(self, other):
-        """Whether a message gets from this node to another now."""
+        """Return whether messages from this node reach another."""
         if self.cut or other.cut or not other.alive:
             return False
         for one, two in ((self, other), (other, self)):
-            if one.islands is not None and two.name not in one.islands:
+            if one.reachable_peers is not None and two.name not in one.reachable_peers:
                 return False
         cut = self.fleet.cut_zones
         same = self.cfg.zone == other.cfg.zone
@@ -161,17 +173,17 @@
     async def _ask_peer(self, query):
         await self.gate.wait()
         other = self.fleet.nodes.get(query.peer)
-        await asyncio.sleep(NET_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         if other is None or not self.reaches(other):
             await asyncio.sleep(query.timeout_s)
-            raise PeerUnreachableError(f"{query.peer}: cut")
+            raise PeerUnreachableError(f"{query.peer}: unreachable")
         kinds = {
             GrantAsk: other.lender.on_grant_ask,
             HoldingsAsk: other.borrower.on_holdings_ask,
             ZoneShort: other.lender.on_zone_short,
         }
         serve = self.fleet.loop.create_task(
-            other.served(kinds[type(query.body)], query)
+            other.serve_message(kinds[type(query.body)], query)
         )
         try:
             answer = await asyncio.wait_for(serve, query.timeout_s)
@@ -179,15 +191,15 @@
             raise PeerUnreachableError(f"{query.peer}: no answer") from exc
         except FirhookError as exc:
             raise PeerUnreachableError(f"{query.peer}: {exc.code}") from exc
-        await asyncio.sleep(NET_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         if not self.reaches(other) or self.fleet.lose_answers:
             await asyncio.sleep(query.timeout_s)
             raise PeerUnreachableError(f"{query.peer}: answer lost")
         await self.gate.wait()
         return answer
 
-    async def served(self, handler, query):
-        """Serve a peer's message, also late if this node is paused."""
+    async def serve_message(self, handler, query):
+        """Handle a peer's message, after the pause if this node is paused."""
         await self.gate.wait()
         if not self.alive:
             raise PeerUnreachableError("gone")
@@ -210,14 +222,14 @@
             applied = await asyncio.wait_for(fut, query.deadline_s)
         except TimeoutError as exc:
             await self.gate.wait()
-            raise LogOutcomeUnknownError("no word") from exc
+            raise LogOutcomeUnknownError("not confirmed in time") from exc
         await self.gate.wait()
         return applied
 
     async def _log_age(self, query):
         return self.clock() - self.end_seen_at
 
-    # -- its loops -------------------------------------------------------
+    # -- loops -----------------------------------------------------------
 
     async def _every(self, seconds, step):
         while self.alive:
@@ -232,25 +244,25 @@
             self.lender.roster(), self.lender.published_holders()
         )
         if self.leadership.is_held(self.clock()):
-            self.lender.settle_moves_before(started)
+            self.lender.settle_transfers_before(started)
         await self.lender.sync_with_lead()
 
-    async def _follow(self):
+    async def _follow_log(self):
         while True:
             await asyncio.sleep(0.05)
             await self.gate.wait()
             if self.reaches_log:
-                self.read_on()
+                self.read_to_end()
 
-    def take_state_of_a_peer(self):
-        """Read what a peer has read, as at a boot while the log is out."""
+    def copy_peer_state(self):
+        """Copy a peer's state, as at a start while the log is down."""
         for peer in self.fleet.nodes.values():
             if peer is not self and peer.alive and self.reaches(peer):
                 self.read_to(peer.states.config.version, peer.states.cell.next_offset)
                 return
 
-    def read_on(self):
-        """Apply what the streams hold beyond what was read."""
+    def read_to_end(self):
+        """Apply all records that were not read yet."""
         log = self.fleet.log
         self.read_to(len(log.limits) - 1, len(log.records))
         self.end_seen_at = self.clock()
@@ -281,7 +293,7 @@
             await asyncio.sleep(0.2)
 
     def serve(self):
-        """Start requests as far as there is demand and room."""
+        """Start requests as far as demand and capacity allow."""
         if not self.alive or not self.gate.is_set() or self.stopping:
             return
         while self.account.running.get(TEAM, 0) < self.demand:
@@ -293,26 +305,31 @@
         self.load.waiting = {}
 
     async def ended(self):
-        """Give room back once the answer is read."""
+        """Release the capacity of a request that has ended."""
         if self.alive:
             await self.gate.wait()
             self.account.release(TEAM)
 
     def kill(self):
-        """End the process; its requests run on at the runners."""
+        """End the process; its requests continue at the runners."""
         self.alive = False
-        # A task that is cancelled just as what it waits for is done goes on
-        # (asyncio.wait_for), so it must also find the gate closed for good.
+        # asyncio.wait_for may ignore a cancellation if its future completes at
+        # the same time.  The closed gate stops such a task for good.
         self.gate.clear()
         for task in self.tasks:
             task.cancel()
 
 
 class Fleet:
-    """Three zones of two instances each."""
+    """A simulated cell of three zones.
+
+    :param per_zone: instances in each zone.
+    :ivar took_s: how long each request runs.
+    :ivar violations: moments at which more requests ran than allowed.
+    """
 
     def __init__(self, per_zone=2):
-        # Claims are spread at random; the same run each time needs a seed.
+        # Claims are spread at random; the seed makes runs reproducible.
         random.seed(0)
         self.loop = VirtualLoop()
         asyncio.set_event_loop(self.loop)
@@ -322,8 +339,8 @@
         self.running = 0
         self.took_s = 0.5
         self.runs = 0
-        self.worst: list[str] = []
-        self.lowered: list[tuple[float, int]] = []
+        self.violations: list[str] = []
+        self.versions_read: list[tuple[float, int]] = []
         self.nodes: dict[str, Node] = {}
         for zone in ZONES:
             for i in range(per_zone):
@@ -337,36 +354,37 @@
             self.failures.append(repr(context))
 
     def boot(self, name, zone):
-        """Start an instance, afresh if it ran before."""
+        """Start an instance as a new process."""
         self.runs += 1
         node = self.nodes[name] = Node(self, name, zone, self.runs)
         if self.log.down:
-            node.take_state_of_a_peer()
+            node.copy_peer_state()
 
-    def bound(self):
-        """Return the most that may run at this moment.
+    def max_running(self):
+        """Return how many requests may run at this moment.
 
-        The limit itself, or the largest that a zone has not read away from
-        long enough for everything under it to have ended.
+        This is the largest limit under which requests may still run: a lower
+        limit applies only once every zone has read it and everything started
+        under the higher one has certainly ended.
         """
         now = self.loop.time()
         read = min(
             (n.states.config.version for n in self.nodes.values() if n.alive),
             default=0,
         )
-        self.lowered.append((now, read))
+        self.versions_read.append((now, read))
         grace_s = self.nodes["a0"].cfg.grant_ttl_s + LINGER_S + 1.0
-        while len(self.lowered) > 1 and self.lowered[1][0] < now - grace_s:
-            self.lowered.pop(0)
-        oldest = min(version for _, version in self.lowered)
+        while len(self.versions_read) > 1 and self.versions_read[1][0] < now - grace_s:
+            self.versions_read.pop(0)
+        oldest = min(version for _, version in self.versions_read)
         return max(self.log.limits[oldest:])
 
     def start(self, node):
-        """Count a request that a node dispatched."""
+        """Count a dispatched request and check the limit."""
         self.running += 1
-        if self.running > self.bound():
-            self.worst.append(
-                f"{self.running} run of {self.bound()} at {self.loop.time():.3f} "
+        if self.running > self.max_running():
+            self.violations.append(
+                f"{self.running} run of {self.max_running()} at {self.loop.time():.3f} "
                 f"through {node.lane}"
             )
         self.loop.call_later(self.took_s, self._end, node)
@@ -376,14 +394,14 @@
         self.loop.create_task(node.ended())
 
     def run(self, seconds):
-        """Let time pass."""
-        self.bound()
+        """Advance the time and check that nothing failed."""
+        self.max_running()
         self.loop.run_until_complete(asyncio.sleep(seconds))
         assert not self.failures, self.failures
-        assert not self.worst, self.worst
+        assert not self.violations, self.violations
 
     def heal(self):
-        """Mend everything and replace what died."""
+        """Clear all faults and replace dead instances."""
         self.cut_zones.clear()
         self.lose_answers = False
         self.log.down, self.log.delay_s = False, 0.005
@@ -395,7 +413,7 @@
                 self.boot(node.name, node.cfg.zone)
 
     def close(self):
-        """End all tasks."""
+        """Stop all nodes and cancel all tasks."""
         for node in self.nodes.values():
             node.kill()
         for task in asyncio.all_tasks(self.loop):
--- a/tests/roles/test_once.py
+++ b/tests/roles/test_once.py
@@ -1,4 +1,4 @@
-"""Keyed charges run at most once, through the failures of log and instances."""
+"""Tests that keyed requests run at most once if the log or instances fail."""
 
 import asyncio
 from unittest import mock
@@ -24,7 +24,7 @@
 from firhook.roles import _once
 from firhook.state import OnceState
 from tests.fakelog import FakeLog, until
-from tests.roles.mini import Mini, running
+from tests.roles.instance import Instance, running
 from tests.state.test_config import feed
 
 CHARGE = OnceBegin("renewal-1", "lisboa", "body")
@@ -32,7 +32,7 @@
 
 
 def bodies(log: FakeLog) -> list[object]:
-    """Return what the stream of claims got."""
+    """Return the records of the claims' stream."""
     return [decode_envelope(p).body for p in log.streams.get("once", [])]
 
 
@@ -41,7 +41,7 @@
 
     async def run():
         log, cell = FakeLog(), {}
-        a, b = Mini("a", log, cell), Mini("b", log, cell)
+        a, b = Instance("a", log, cell), Instance("b", log, cell)
         async with running(a, b):
             await scenario(log, a, b)
 
@@ -51,7 +51,7 @@
 
 
 def test_repeat_through_another_instance_gets_the_stored_outcome():
-    """A customer's connection breaks after her charge was taken."""
+    """A caller's connection breaks after its charge was run."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -67,21 +67,21 @@
     run_two(scenario)
 
 
-def test_claim_given_up_in_doubt_is_given_back_when_it_lands():
-    """The claim's append times out, and its caller is told "not run".
+def test_abandoned_claim_is_released_when_it_lands():
+    """The claim's append times out, and its caller gets "not run".
 
-    The claim lands all the same.  Left there, it would block the charge for
-    good, held by an instance that never ran it.
+    The claim lands later.  If it stayed, an instance that never ran the charge
+    would block it forever.
     """
 
     async def scenario(log, a, b):
-        log.append_fate = "drop"
+        log.append_outcome = "drop"
         with pytest.raises(LogUnavailableError) as caught:
             await a.bus.ask(CHARGE)
         assert caught.value.ran == "no"
         late = next(p for stream, p in log.sent if stream == "once")
-        log.land("once", *late)
-        log.append_fate = "ok"
+        log.add_records("once", *late)
+        log.append_outcome = "ok"
         await until(lambda: OnceReleased(CHARGE.key, "a#1", 1) in bodies(log))
         await until(lambda: not b.states.once.entries)
         assert await b.bus.ask(CHARGE) is None
@@ -89,12 +89,12 @@
     run_two(scenario)
 
 
-def test_claim_that_was_never_sent_is_released_on_its_holders_word(monkeypatch):
-    """The holder gave the claim up, but its give-back does not reach the log."""
+def test_claim_that_was_never_sent_is_released_on_its_holders_answer(monkeypatch):
+    """The holder abandoned the claim, but its release does not reach the log."""
 
     async def scenario(log, a, b):
         claim = OnceClaimed(CHARGE.key, "lisboa", "body", "a#1", 99)
-        monkeypatch.setattr(a.once, "_on_own_claim", lambda claim: None)
+        monkeypatch.setattr(a.once, "_release_unsent_claim", lambda claim: None)
         log.write("once", "a#0", 1, claim)
         await until(lambda: b.states.once.entries)
         with pytest.raises(OnceInProgressError) as caught:
@@ -106,8 +106,8 @@
     run_two(scenario)
 
 
-def test_claim_of_a_holder_that_vanished_is_never_run_again():
-    """The instance dies after it claimed; nobody knows whether it sent."""
+def test_claim_of_a_vanished_holder_is_never_run_again():
+    """The holder dies after its claim, and it is unknown whether it sent."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -121,10 +121,11 @@
     run_two(scenario)
 
 
-def test_holder_that_restarted_does_not_speak_for_its_earlier_run():
-    """The new process of the same name knows nothing of what the old one sent.
+def test_restarted_holder_does_not_answer_for_its_earlier_incarnation():
+    """A new process of the same name does not know what the old one sent.
 
-    Its "never sent" would let a charge run that the old process had sent.
+    If it answered "never sent", a charge that the old process sent would run
+    again.
     """
 
     async def scenario(log, a, b):
@@ -138,35 +139,35 @@
     run_two(scenario)
 
 
-def test_holder_out_of_gossip_is_known_through_its_answer():
-    """Gossip is lost, but the holder still answers when asked directly."""
+def test_holder_without_gossip_is_asked_directly():
+    """Gossip is lost, but the holder still answers a direct inquiry."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
         await until(lambda: b.states.once.entries)
-        assert b.heard == {}
+        assert b.last_gossip == {}
         with pytest.raises(OnceInProgressError):
             await b.bus.ask(CHARGE)
 
     run_two(scenario)
 
 
-def test_lost_answer_of_the_runner_leaves_the_outcome_unknown():
+def test_lost_response_of_the_runner_leaves_the_outcome_unknown():
     """The runner's connection breaks after the charge was sent to it."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
         a.bus.publish(OnceSending(CHARGE.key))
         a.bus.publish(OnceLost(CHARGE.key))
-        for mini in (a, b):
+        for instance in (a, b):
             with pytest.raises(OnceUnknownError):
-                await mini.bus.ask(CHARGE)
+                await instance.bus.ask(CHARGE)
 
     run_two(scenario)
 
 
-def test_true_not_run_frees_the_key():
-    """No runner could be reached, and the caller is told "not run"."""
+def test_request_that_did_not_run_releases_its_key():
+    """No runner is reachable, and the caller gets "not run"."""
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
@@ -178,22 +179,22 @@
     run_two(scenario)
 
 
-def test_outcome_outlives_an_outage_of_the_log():
-    """The log goes down between the claim and the outcome.
+def test_outcome_survives_an_outage_of_the_log():
+    """The log fails between the claim and the outcome.
 
-    The caller has its answer at once.  A repeat at the same instance gets it
-    from there, and once the log is back everybody knows it.
+    The caller gets its response at once.  A repeat gets it from the same
+    instance, and from every instance once the log has recovered.
     """
 
     async def scenario(log, a, b):
         assert await a.bus.ask(CHARGE) is None
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         await asyncio.wait_for(a.bus.ask(OnceFinish(CHARGE.key, PAID)), 1)
         assert (await a.bus.ask(CHARGE)).body == b"paid"
         with pytest.raises(OnceInProgressError):
             await b.bus.ask(CHARGE)
         await asyncio.sleep(2 * _once._STORE_DEADLINE_S)
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
         await until(lambda: b.states.once.entries[CHARGE.key].done)
         assert (await b.bus.ask(CHARGE)).body == b"paid"
 
@@ -201,26 +202,26 @@
 
 
 def test_outcomes_held_back_by_an_outage_are_bounded(monkeypatch):
-    """An outage lasts, and answers pile up in a process of 64 MB."""
-    monkeypatch.setattr(_once, "MAX_UNSTORED_BYTES", 6)
+    """During a long outage, responses pile up in a process of 64 MB."""
+    monkeypatch.setattr(_once, "MAX_PENDING_OUTCOME_BYTES", 6)
 
     async def scenario(log, a, b):
         other = OnceBegin("renewal-2", "lisboa", "body")
         for begin in (CHARGE, other):
             assert await a.bus.ask(begin) is None
             a.bus.publish(OnceSending(begin.key))
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         await a.bus.ask(OnceFinish(CHARGE.key, PAID))
         await a.bus.ask(OnceFinish(other.key, PAID))
         with pytest.raises(OnceUnknownError):
             await a.bus.ask(other)
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
 
     run_two(scenario)
 
 
-def test_long_answer_is_repeated_as_its_status_and_says_so():
-    """An answer of 100 kB would be in the memory of every instance."""
+def test_long_response_is_repeated_as_its_status_only():
+    """A body of 100 kB would be kept in the memory of every instance."""
 
     async def scenario(log, a, b):
         long = EndpointResponse(201, (("Content-Type", "text/plain"),), b"x" * 100_000)
@@ -236,9 +237,9 @@
 
 
 def test_late_release_does_not_free_a_later_claim():
-    """A give-back is appended twice, its second copy after the key's next claim.
+    """A release is appended twice, the second time after the key's next claim.
 
-    If it freed that claim, a third caller would run the charge again.
+    If it released that claim, a third caller would run the charge again.
     """
     state = OnceState()
     first = OnceClaimed("k", "lisboa", "body", "a#1", 1)
@@ -249,8 +250,8 @@
     assert state.entries["k"].nonce == 2
 
 
-def test_memory_is_bounded_and_bodies_go_before_keys(monkeypatch):
-    """Charges of many days would fill the memory of every instance."""
+def test_memory_is_bounded_and_bodies_are_dropped_before_keys(monkeypatch):
+    """Without a limit, old charges would fill the memory of every instance."""
     monkeypatch.setattr(OnceState, "MAX_ENTRIES", 3)
     monkeypatch.setattr(OnceState, "MAX_DATA", 10)
     state = OnceState()
@@ -267,17 +268,17 @@
 
 
 def test_claim_while_the_log_is_out_is_refused_as_not_run():
-    """The platform's log is down, and a charge comes with its key.
+    """A keyed charge arrives while the platform's log is down.
 
-    It is refused, and must not be in the log when that is back.
+    It is refused, and its claim must not be in the log after the outage.
     """
 
     async def scenario(log, a, b):
-        log.append_fate = "refuse"
+        log.append_outcome = "refuse"
         with pytest.raises(LogUnavailableError) as caught:
             await a.bus.ask(CHARGE)
         assert caught.value.ran == "no"
-        log.append_fate = "ok"
+        log.append_outcome = "ok"
         await a.bus.ask(Append("once", OnceReleased("x", "a#1")))
         assert bodies(log) == [OnceReleased("x", "a#1")]
 
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""A whole daemon over small fakes, in a thread of its own."""
+"""A complete daemon on a fake platform, run in its own thread."""
 
 import asyncio
 import contextlib
@@ -13,14 +13,14 @@
 from standins.fakes import OPERATOR_KEY, fake_platform, minimal_settings
 
 
-async def _serve(box: list[Kernel], stop: threading.Event) -> None:
+async def _serve(started: list[Kernel], stop: threading.Event) -> None:
     runner = Endpoint("runner-1", "runner", "porto", "127.0.0.1:9", service="logbook")
     cfg = minimal_settings(log_poll_s=0.2, lead_lease_s=0.5, margin_s=0.1)
     kernel = Kernel(cfg, fake_platform([runner]), "test")
     await kernel.start()
     while not kernel.ready:
         await asyncio.sleep(0.01)
-    box.append(kernel)
+    started.append(kernel)
     while not stop.is_set():
         await asyncio.sleep(0.01)
     await kernel.stop()
@@ -28,16 +28,16 @@
 
 @contextlib.contextmanager
 def running_kernel() -> Iterator[Kernel]:
-    """Run one daemon and yield its kernel once it is ready."""
-    box: list[Kernel] = []
+    """Run a daemon and yield its kernel when it is ready."""
+    started: list[Kernel] = []
     stop = threading.Event()
-    thread = threading.Thread(target=lambda: asyncio.run(_serve(box, stop)))
+    thread = threading.Thread(target=lambda: asyncio.run(_serve(started, stop)))
     thread.start()
     try:
-        give_up = time.monotonic() + 30
-        while not box and thread.is_alive() and time.monotonic() < give_up:
+        deadline = time.monotonic() + 30
+        while not started and thread.is_alive() and time.monotonic() < deadline:
             time.sleep(0.01)
-        yield box[0]
+        yield started[0]
     finally:
         stop.set()
         thread.join()
@@ -50,7 +50,7 @@
     key: str = OPERATOR_KEY,
     port: str = "gateway",
 ) -> tuple[int, bytes]:
-    """Get a path, or post a body to it; return the status and the answer."""
+    """GET a path, or POST a body to it, and return the status and the response."""
     req = urllib.request.Request(
         f"http://{kernel.ports[port]}{path}",
         data=body,
