--- a/scripts/outside_names.py
+++ b/scripts/outside_names.py
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 #: Classes that are written under the names of their fields, beside those that are
-#: decorated with ``@record`` or ``@message`` and those that msgspec is told to read.
+#: decorated with ``@record`` or ``@message`` and those that msgspec decodes.
 ENCODED_CLASSES = {"BurnReport", "Order", "Report", "Endpoint", "Settings", "Row"}
 #: Records of the cell are encoded by the order of their fields, without names.
 ENCODED_BY_ORDER = "src/firhook/cell"
@@ -54,7 +54,7 @@
 
 
 def decoded_types(tree: ast.Module) -> Iterator[str]:
-    """Yield the names of the types that msgspec is told to read."""
+    """Yield the names of the types that msgspec decodes."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and "msgspec" in ast.unparse(node.func):
             for arg in (*node.args[1:], *(word.value for word in node.keywords)):
@@ -136,7 +136,7 @@
 def error_texts(tree: ast.Module) -> Iterator[str]:
     """Yield the names, codes, titles and remedies of the kinds of errors."""
     for node in ast.walk(tree):
-        if isinstance(node, ast.Call) and ast.unparse(node.func) == "_kind":
+        if isinstance(node, ast.Call) and ast.unparse(node.func) == "_define_error":
             texts = [arg.value for arg in node.args if isinstance(arg, ast.Constant)]
             yield from (text for text in texts if isinstance(text, str))
 
