--- a/src/firhook/services/_adviser_client.py
+++ b/src/firhook/services/_adviser_client.py
@@ -15,8 +15,9 @@
 from firhook.services._events import AskInstance
 
 #: If an answer is overdue by more than this, the request is repeated through
-#: another instance.  A quote has half a second, of which an unreachable instance
-#: costs this much.  Answers through a peer arrive within 5 ms of the expected time.
+#: another instance.  A short request has half a second, of which an unreachable
+#: instance costs this much.  Answers through a peer arrive within 5 ms of the
+#: expected time.
 _OVERDUE_AFTER_S = 0.25
 #: An answer that is overdue by more than this is considered lost.
 _LOST_AFTER_S = 3.0
--- a/src/firhook/services/_copying.py
+++ b/src/firhook/services/_copying.py
@@ -31,10 +31,11 @@
 class ReplicaCopier:
     """Copies the records that a weak instance needs from a strong peer.
 
-    After a power loss, 97 instances read the jobs of a minute from the store to
-    answer callers' queries for the state of a job, most over links of 10 Mbit/s.
-    Together they saturate the store for four seconds.  The strong instances, one of
-    which has to lead, wait among them, and no task starts.
+    To answer callers' queries for the status of a job, an instance needs the jobs
+    that the store holds.  After a power loss, 97 instances would read the jobs of
+    a minute from the store, most over links of 10 Mbit/s, and together saturate it
+    for four seconds.  The strong instances, one of which has to lead, would wait
+    among them, and no task would start.
     """
 
     def __init__(self, service: InstanceService) -> None:
--- a/src/firhook/services/_events.py
+++ b/src/firhook/services/_events.py
@@ -95,6 +95,8 @@
 class HoldFullReplica(Query[None]):
     """Load the full records of all digests, and apply only full records from now on.
 
+    A digest contains only what callers can see of a record.
+
     :raises LogUnavailableError: if the store cannot be read.
     """
 
--- a/src/firhook/services/_fan_out.py
+++ b/src/firhook/services/_fan_out.py
@@ -86,8 +86,8 @@
         """Send queued batches until cancelled.
 
         Several instances may append large jobs at the same moment.  One message with
-        all of them can exceed the size limit; the failed send then ends the process
-        of the lead, and after it that of its successor.
+        all of them could exceed the size limit.  The failed send would end the
+        process of the lead, and after it that of its successor.
         """
         while True:
             await self._added.wait()
--- a/src/firhook/services/_fenced_writer.py
+++ b/src/firhook/services/_fenced_writer.py
@@ -29,9 +29,9 @@
     """One of the partitions that the lead appends to.
 
     :ivar sequence: number of the next append.
-    :ivar unanswered: the records of an append without an answer.  It has to be
-        repeated unchanged before anything else is appended to the partition: the
-        store takes the next append under its number for a repeat of it.
+    :ivar unanswered: the records of an append without an answer.  That append has
+        to be repeated unchanged before anything else is appended to the partition:
+        the store would mistake another append under the same number for a repeat.
     :ivar backoff_until: time on the boot clock until which other partitions are
         preferred.
     """
@@ -63,7 +63,7 @@
         self._partitions = [_Partition(number) for number in LEAD_PARTITIONS]
         self._reach = StoreReachability(LEAD_PARTITIONS)
         # One call at a time: of two appends under one sequence number the store
-        # would take the second for a repeat, and its records would be lost.
+        # would mistake the second for a repeat, and its records would be lost.
         self._lock = asyncio.Lock()
 
     async def set_epoch(self) -> None:
--- a/src/firhook/services/_follower.py
+++ b/src/firhook/services/_follower.py
@@ -103,9 +103,10 @@
 _REPLY_MARGIN_S = 0.05
 #: With less time left a record is not sent to the lead any more.
 _MIN_RELAY_S = 0.1
-#: Whoever waited for a read may have given up when it fails.
+#: Logs a failed read: whoever waited for it may have given up by then.
 _LOG_FAILED_READ = log_failure("replica.reading_failed", level="debug")
-#: A record may be resolved before the lead's answer about it arrives.
+#: Logs a failed relay that nobody awaits: the record may be resolved before the lead's
+#: answer about it arrives.
 _LOG_UNREAD_RELAY = log_failure("relay.unheard", level="debug")
 
 
@@ -120,7 +121,8 @@
     :ivar read_to_end_at: when the last read was sent that left nothing unread.
     :ivar wake: set if the partition may have to be read before its interval is over.
     :ivar read_requested: whether the partition is to be read at once.
-    :ivar has_digests: whether some records were applied as digests only.
+    :ivar has_digests: whether some records were applied only as digests, which contain
+        what callers can see of a record.
     :ivar rebuilding: held while all newest records are read.
     """
 
@@ -358,10 +360,10 @@
     def _apply_batch(self, batch: PushedBatch) -> bool:
         """Apply records that were appended here or pushed by a peer.
 
-        Without pushes all instances would long-poll the store.  These would be most
-        of the calls to it, which are priced, and callers would see a change 20 ms
-        later on average.  Offsets tell which records were applied, so that reads
-        fill in those that were not pushed.
+        Without pushes all instances would long-poll the store.  These polls would
+        be most of the calls to the store, each of which is charged for, and callers
+        would see a change 20 ms later on average.  Offsets tell which records were
+        applied, so that reads fill in those that were not pushed.
 
         :return: whether any of the records was new to this instance.
         """
@@ -423,7 +425,7 @@
 
     @staticmethod
     async def _wait_for_next_read(reader: _Reader) -> None:
-        """Wait until the next read is due, requested, or a gap persists.
+        """Wait until the next read is due or requested, or until a gap persists.
 
         Pushes of many instances overtake each other all the time, so that most gaps
         close a moment later.  With a read for each of them, the store would receive
--- a/src/firhook/services/_lead.py
+++ b/src/firhook/services/_lead.py
@@ -1,4 +1,4 @@
-"""Campaigns for the lead of the cell, leads it and hands it over."""
+"""Campaigns for the lead of the cell, holds it and hands it over."""
 
 import asyncio
 import contextlib
@@ -106,7 +106,7 @@
     slot_plan = SlotPlan
 
     def register_handlers(self) -> None:
-        """Initialise the state and subscribe to what the lead depends on."""
+        """Initialize the state and register the handlers of queries and events."""
         self._election = Election(self.settings.name)
         self._act_until = float("-inf")
         self._drained = False
@@ -175,7 +175,7 @@
             self._act_until = max(self._act_until, sent_at + PROOF_S)
 
     def seconds_since_proof(self) -> float:
-        """Return the seconds since the last append that the store accepted was sent."""
+        """Return the seconds since the last accepted append was sent."""
         return boot_time() - (self._act_until - PROOF_S)
 
     # Tracking the lead.
@@ -318,8 +318,8 @@
 
         An offer of an older epoch is refused: it was delayed by a network
         partition while another instance took the lead, and accepting it would move
-        the lead for no reason.  So is any offer while the store does not serve this
-        instance.
+        the lead for no reason.  While the store does not serve this instance, every
+        offer is refused.
         """
         if msg.epoch < self._election.epoch or self.term is not None:
             return LeadOfferReply(False)
--- a/src/firhook/services/_members.py
+++ b/src/firhook/services/_members.py
@@ -39,8 +39,8 @@
     try:
         await _read_peer_records(store, replica, second)
     except FirhookError as exc:
-        # It holds only instances that registered while the first partition was
-        # slow or unavailable.
+        # The second partition holds only instances that registered while the first
+        # one was slow or unavailable.
         log("members.not_read", level="warning", partition=second, error=exc.detail)
     return await _read_peer_records(store, replica, first)
 
--- a/src/firhook/services/_operator.py
+++ b/src/firhook/services/_operator.py
@@ -57,8 +57,8 @@
         """Get the configuration from the lead while the store does not answer.
 
         The store may refuse this instance and serve the others.  After some seconds
-        keys may have been withdrawn without notice, so that every caller would have
-        to be refused until the store answers again.
+        keys may have been withdrawn without this instance knowing, so that it would
+        have to refuse every caller until the store answers again.
         """
         while not self.should_stop:
             await asyncio.sleep(_AGE_CHECK_INTERVAL_S)
@@ -106,10 +106,10 @@
             view.read_at = max(view.read_at, sent_at)
 
     def _apply(self, raw: bytes) -> None:
-        """Apply a configuration unless it is not newer than the current one.
+        """Apply a configuration if it is newer than the current one.
 
-        Whatever its source, the version never decreases within an incarnation: a
-        caller that has seen the effect of a version would see it undone.
+        Whatever its source, the version never decreases within an incarnation:
+        otherwise a caller that has seen the effect of a version would see it undone.
         """
         view = self.instance.config
         try:
--- a/src/firhook/services/_order_sender.py
+++ b/src/firhook/services/_order_sender.py
@@ -34,7 +34,7 @@
 
 
 class OrderOwner(Protocol):
-    """What an order sender needs of the lead's term.
+    """What an order sender needs from the lead's term.
 
     :ivar fence: the fencing token of every order.
     :ivar lost: whether the term is over, or is ending.
--- a/src/firhook/services/_retention.py
+++ b/src/firhook/services/_retention.py
@@ -33,7 +33,7 @@
     :param status_s: time after its end for which callers may query a job.
     :param delete: deletes keys on one partition; returns whether the store did so.
     :param on_deleted: called with the id of a job once its submission is deleted.
-        Its state has no meaning without the submission, so it is deleted last.
+        A state has no meaning without the submission, so the state is deleted last.
     """
     retention_s = status_s * _RETENTION_FACTOR
     while True:
@@ -56,7 +56,8 @@
 ) -> None:
     """Delete keys on each partition that holds them, the newest version last.
 
-    If a partition is unavailable, no older version of a key must outlive the newest.
+    If a partition is unavailable, an older version of a key must not outlive the
+    newest one: it would become the valid one.
     """
     left = {key: replica.partitions_of(key) for key in keys}
     while left := {key: numbers for key, numbers in left.items() if numbers}:
--- a/src/firhook/services/_term.py
+++ b/src/firhook/services/_term.py
@@ -85,7 +85,7 @@
 
 
 class TermOwner(Protocol):
-    """What a term needs of the lead service.
+    """What a term needs from the lead service.
 
     :ivar place: decides which waiting tasks start, and on which workers.
     :ivar slot_plan: the class that reserves adviser slots for fast requests.
@@ -102,7 +102,7 @@
         """Record that the store accepted an append under the term's epoch."""
 
     def seconds_since_proof(self) -> float:
-        """Return the seconds since the last append that the store accepted was sent."""
+        """Return the seconds since the last accepted append was sent."""
 
     def announce(self) -> None:
         """Broadcast that this instance leads."""
@@ -461,8 +461,9 @@
                 continue
             try:
                 record = encode_keyed_record(self._heartbeat_record())
-                # Announced before it is appended, the record does not count as a
-                # newer heartbeat whenever it happens to be read.
+                # The announcement, which states the record's version, is sent
+                # before the append.  An instance that has received it does not
+                # count the record as a newer heartbeat, however late it reads it.
                 self._lead.announce()
                 await self._writer.confirm_epoch([record])
             except LogFencedError:
@@ -510,9 +511,9 @@
     def _expire_unlisted_workers(self) -> None:
         """End the runs on workers that are no longer registered.
 
-        A worker may be lost for good while the lead changes.  Its entry is gone
-        before the new lead reads the list, so that no link polls the worker and
-        its tasks would wait forever.  Their leases expire like any other.
+        A worker may be lost for good while the lead changes.  If its entry is gone
+        before the new lead reads the list, no link polls the worker, and without
+        this check its tasks would wait forever.  Its lease expires like any other.
         """
         now = boot_time()
         if now < self._old_leases_expire_at():
--- a/src/firhook/services/_worker_link.py
+++ b/src/firhook/services/_worker_link.py
@@ -38,7 +38,7 @@
 
 
 class LinkOwner(Protocol):
-    """What a worker link needs of the lead's term."""
+    """What a worker link needs from the lead's term."""
 
     fence: int
     job_table: JobTable
@@ -112,7 +112,7 @@
         return self.entry.name
 
     def usable(self, now: float) -> bool:
-        """Return whether the worker may get new work, late answers aside."""
+        """Return whether the worker may get new work, overdue calls not considered."""
         if (
             not self.incarnation
             or self.entry.draining
