--- a/src/firhook/cell/_config.py
+++ b/src/firhook/cell/_config.py
@@ -43,7 +43,8 @@
     :param pool: the pool whose workers run its tasks.
     :param priority: 0 is the highest and may preempt others.
     :param max_attempts: failed attempts after which a task fails its job.
-    :param slack_factor: factor of the job's estimated duration in its objective.
+    :param slack_factor: factor by which a job's estimated duration is multiplied in
+        its objective, which is the time by which the job should be done.
     :param target_s: seconds that the objective adds to that product.
     :param anonymous: whether callers need no key.
     :param advice: the adviser's timing; ``None`` if all workers may run the tasks.
--- a/src/firhook/cell/_job_table.py
+++ b/src/firhook/cell/_job_table.py
@@ -34,8 +34,8 @@
 #: changes, which saves an append for each start.  The count of waiting jobs that
 #: callers get may be 2 s old.
 BEGUN_STORE_DELAY_S = 0.25
-#: Workers in the adviser call that the critical path, and so a job's objective,
-#: includes for each step.
+#: Each step's part of the critical path, and so of a job's objective, includes an
+#: adviser call about this many workers.
 _ADVICE_WORKERS = 30
 
 
@@ -48,7 +48,7 @@
     :param started_at: when the run was assigned; once the start order was answered,
         when that answer arrived.
     :ivar stored: whether the assignment is on the log; orders are sent only then.
-    :ivar confirmed: whether the worker has listed the run.
+    :ivar confirmed: whether the worker has confirmed a start order or listed the run.
     :ivar unanswered_starts: number of start orders without an answer; the worker may
         still carry out each of them seconds later.
     :ivar sent_at: when the last start order was sent.
@@ -321,9 +321,9 @@
     :ivar team_usage: resources that the runs of each team need.
     :ivar planned: runs assigned since the last :meth:`take_planned`.
     :ivar to_stop: runs to stop, added since the last :meth:`take_to_stop`.
-    :ivar ended_runs: reported ends, which the owner logs and clears.
-    :ivar voided: runs that were voided, each with the reason; the owner logs and
-        clears them.
+    :ivar ended_runs: reported ends, which the lead's term logs and clears.
+    :ivar voided: runs that were voided, each with the reason; the lead's term logs
+        and clears them.
     """
 
     def __init__(self, config: CellConfig) -> None:
@@ -338,7 +338,8 @@
         self.ended_runs: list[tuple[Run, RunEnd]] = []
         self.voided: list[tuple[Run, str]] = []
         self._dirty: dict[str, Job] = {}
-        # When each job whose change to running is not stored began, oldest first.
+        # Times, by job id, of the changes to running that are not stored yet, the
+        # oldest first.
         self._unstored_begins: dict[str, float] = {}
         self._periodic_jobs: dict[str, Job] = {}
 
--- a/src/firhook/cell/_records.py
+++ b/src/firhook/cell/_records.py
@@ -34,8 +34,8 @@
 #: these two in byte order.
 INSTANCE_KEYS_AFTER, INSTANCE_KEYS_BEFORE = LEAD_KEY, STATE_PREFIX
 
-#: Versions reserved for the states that a lead writes in its epoch; the count restarts
-#: with each epoch.
+#: Number of versions reserved for the records that a lead writes in its epoch; the
+#: count restarts with each epoch.
 VERSIONS_PER_EPOCH = 10**9
 
 
@@ -166,9 +166,9 @@
 class PeerRecord:
     """The registration of an instance, by which the others find it.
 
-    :param incarnation: unique for each run of the process.
+    :param incarnation: unique for each start of the process.
     :param address: where it listens for its peers.
-    :param strength: its processor capacity, in cores.
+    :param strength: its processor capacity, in standard cores.
     :param catching_up: whether it has not yet read the cell's records to their end;
         these records may saturate its network link.
     """
