--- a/src/firhook/platform/_base.py
+++ b/src/firhook/platform/_base.py
@@ -1,4 +1,8 @@
-"""Interfaces to the platform's services; tests implement them with small fakes."""
+"""Interfaces to the platform's services; tests implement them with small fakes.
+
+The daemon of :mod:`firhook._kernel` and its roles use them.  The instances of a cell
+use those of :class:`firhook.platform.connections.Connections` instead.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping, Sequence
@@ -98,7 +102,7 @@
 
 
 class EndpointClient(ABC):
-    """Client of the runners."""
+    """Client of the runners, the servers to which callers' requests are forwarded."""
 
     @abstractmethod
     async def send(
--- a/src/firhook/platform/_client.py
+++ b/src/firhook/platform/_client.py
@@ -8,9 +8,9 @@
 import attrs
 from yarl import URL
 
-#: Drops a connection whose sent bytes stay unacknowledged.  A peer behind a network
-#: partition sends nothing, not even a reset, and by default the kernel waits for
-#: many minutes.
+#: A connection is dropped if sent bytes stay unacknowledged for this time.  A peer
+#: behind a network partition sends nothing, not even a reset, and by default the
+#: operating system waits for many minutes.
 TCP_USER_TIMEOUT_MS = 1500
 #: Probes an idle connection after one second and then every second; three lost
 #: probes close it.
@@ -19,9 +19,10 @@
     (socket.TCP_KEEPINTVL, 1),
     (socket.TCP_KEEPCNT, 3),
 )
-#: New connections to workers are charged for, and each costs a round trip.
+#: An idle connection is kept open for this time: new connections to workers are
+#: charged for, and each costs a round trip.
 _IDLE_CONNECTION_S = 30.0
-#: Applies to each worker and to the store.
+#: Limit of the connections to each worker and to the store.
 _MAX_CONNECTIONS_PER_HOST = 32
 _SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
--- a/src/firhook/platform/_http.py
+++ b/src/firhook/platform/_http.py
@@ -53,6 +53,7 @@
     )
 )
 
+#: Suggested delay before a failed append or read is retried.
 _LOG_RETRY_S = 2.0
 #: Raised when a response is truncated, late or malformed.
 _RESPONSE_ERRORS = (
--- a/src/firhook/platform/_workers.py
+++ b/src/firhook/platform/_workers.py
@@ -191,7 +191,7 @@
             raise WorkerUnreachableError(f"{worker.name}: {exc}") from exc
 
     async def start(self, worker: WorkerEntry, order: StartOrder) -> OrderAnswer:
-        """Order a run to be started."""
+        """See :meth:`Workers.start`."""
         body: dict[str, Any] = {
             "task": order.task,
             "run": order.run,
--- a/src/firhook/platform/connections.py
+++ b/src/firhook/platform/connections.py
@@ -1,4 +1,4 @@
-"""An instance's clients of the platform's services."""
+"""The clients of the platform's services that an instance of a cell uses."""
 
 from firhook.platform._connections import Connections, HttpConnections
 
