--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -119,7 +119,7 @@
         return self.all_holdings()
 
     def all_holdings(self) -> Holdings:
-        """Return all holdings, and the loans to guests from leading the zone."""
+        """Return all holdings, and the loans to guests made as the zone's lead."""
         teams = self.holdings(self.teams())
         return Holdings(self._kernel.lane, teams, self._guests())
 
@@ -193,7 +193,7 @@
         return answer.lent
 
     def _make_promise(self, epoch: int) -> float:
-        """Return the stamp to send back, which makes the request a promise.
+        """Return the stamp to send back; it promises not to claim the lead.
 
         -1 stands for no promise.
         """
--- a/src/firhook/_capacity_lender.py
+++ b/src/firhook/_capacity_lender.py
@@ -89,7 +89,8 @@
     def roster(self) -> frozenset[str]:
         """Return the instances that may borrow from the next renewal on.
 
-        Joining instances are included once all loans fit their smaller caps.
+        Joining instances are included once all loans fit the caps, which are
+        smaller with more holders.
         """
         remaining, with_joiners = (
             self._remaining_holders(),
@@ -124,7 +125,10 @@
         return not_asking and self._grants.has_expired(holder, now)
 
     async def sync_with_lead(self) -> None:
-        """Open the table of grants after winning the lead; close it after a loss."""
+        """Open the table of grants after winning the lead; close it after a loss.
+
+        While it is open, ask the holders again that have not answered.
+        """
         lead = self._leadership
         if not lead.is_lead:
             if self._grants.is_open:
--- a/src/firhook/_endpoints.py
+++ b/src/firhook/_endpoints.py
@@ -7,7 +7,7 @@
 class Endpoint:
     """An instance, worker or runner in the platform's list, which lags.
 
-    :param kind: ``entry``, ``runner`` or ``worker``.
+    :param kind: ``entry`` (an instance of firhook), ``runner`` or ``worker``.
     :param service: the service to which a runner belongs.
     :param leaving: whether the platform is about to remove it.
     :param slots: maximum number of requests that a runner handles at a time.
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -92,7 +92,9 @@
 
 
 class Kernel(Service):
-    """The daemon's root service.
+    """The root service of the daemon when it is started with ``--config``.
+
+    On the users' platform, :class:`firhook.instance.Instance` runs instead.
 
     :param cfg: the checked settings.
     :param platform: clients of the platform's services.
--- a/src/firhook/_leadership.py
+++ b/src/firhook/_leadership.py
@@ -49,8 +49,11 @@
         cfg = kernel.cfg
         self._kernel = kernel
         self._cfg = cfg
+        # The lease by the log; others claim the lead only after it has expired.
         self._log_lease = HeldLease()
+        # Until it expires, the lead keeps renewing tasks without the log.
         self._hold_lease = HeldLease()
+        # Until it expires, the lead lends without the log if all promise not to claim.
         self._outage_lease = HeldLease()
         self._seen_lease = ObservedLease()
         self._seen_offset: int | None = None
@@ -190,8 +193,9 @@
         expired = self._seen_lease.has_expired(
             now, self.times.lease_s, self.times.margin_s
         )
-        # In a complete outage of the log its end was last seen more than a lease
-        # ago once the lead has expired, so that nobody claims in vain.
+        # By the time the lead expires in a complete outage of the log, the end of
+        # the log was last seen more than a lease ago.  The maximum is at most a
+        # lease, so that nobody claims in vain.
         max_age_s = min(self._cfg.log_poll_s + _POLL_SLACK_S, self.times.lease_s)
         # A lead that this instance can reach but that cannot reach the log must be
         # replaced, or nobody places the zone's tasks.
--- a/src/firhook/_messages.py
+++ b/src/firhook/_messages.py
@@ -1,4 +1,7 @@
-"""Messages between instances, sent over ZeroMQ."""
+"""Messages between instances that run as a :class:`firhook.kernel.Kernel`.
+
+:mod:`firhook._peer_messages` defines those of the users' platform.
+"""
 
 import attrs
 
@@ -85,7 +88,8 @@
     """Request to the zone's lead for capacity under the limits of several teams.
 
     With an echoed stamp it is also a promise not to claim the zone's lead until
-    ``ttl_s`` after the lead made that stamp.
+    the ``ttl_s`` of the :class:`GrantAnswer` has passed since the lead made that
+    stamp.
 
     :param instance: lane of the sender.
     :param seq: increases with each request of the lane.
@@ -93,7 +97,9 @@
     :param echo: stamp of the last answer, or -1 for no promise.
     :param teams: wanted and held capacity of each team.
     :param leaving: whether the sender holds nothing and stops borrowing.
-    :param guests: capacity that the sender lent without the log when it was lead.
+    :param guests: capacity that the sender, when it was lead, lent to guests:
+        instances that started during an outage of the log and so are not on the
+        roster.
     """
 
     instance: str
@@ -177,7 +183,7 @@
     """The maximum that an instance may have running, by team.
 
     :param instance: lane of the instance.
-    :param guests: maximum of the instances to which it lent without the log.
+    :param guests: the maximum that its guests may have running, by team.
     """
 
     instance: str
--- a/src/firhook/_peer_messages.py
+++ b/src/firhook/_peer_messages.py
@@ -1,4 +1,8 @@
-"""Messages between the instances of a cell."""
+"""Messages between the instances of a cell on the users' platform.
+
+:class:`PeerError` is also the error reply to the messages of
+:mod:`firhook._messages`.
+"""
 
 import attrs
 
@@ -127,7 +131,7 @@
 @message
 @attrs.frozen(slots=True)
 class PassedOn:
-    """Acknowledges that the receiver has forwarded a message to its ``relay_to``."""
+    """Reply to a message after forwarding it to the peers in its ``relay_to``."""
 
 
 @message
--- a/src/firhook/_records.py
+++ b/src/firhook/_records.py
@@ -173,8 +173,9 @@
 class JobsAdopted:
     """Moves the jobs of a lost zone to another zone.
 
-    :param seen: offset of the latest claim or renewal of the lost zone that the
-        adopter has read; a later one invalidates the adoption.
+    :param epoch: epoch of the receiver's lead.
+    :param seen: offset of the latest claim, renewal or release of the lost zone's
+        lead that the adopter has read; a later one invalidates the adoption.
     """
 
     giver: str
--- a/src/firhook/_stats.py
+++ b/src/firhook/_stats.py
@@ -58,7 +58,10 @@
 
 
 class MinuteCounts:
-    """Ring buffers with the answered, slow and refused requests of each minute.
+    """Ring buffers that count the requests of each minute by their result.
+
+    The results are answered in time (``ANSWERED``), answered later than the
+    objective (``SLOW``) and refused (``REFUSED``).
 
     The buffers are arrays of machine integers: dictionaries of Python integers for
     120 teams with three classes would take most of an instance's memory.  There
@@ -86,7 +89,7 @@
         self._latest = max(self._latest, minute)
 
     def sum_window(self, minute: int, window_s: int) -> list[int]:
-        """Return the answered, slow and refused requests of a window that ends now."""
+        """Return the counts of a window that ends now: answered, slow and refused."""
         self._advance(minute)
         end = minute % _SLOTS + 1
         start = end - window_s // _SLOT_S
@@ -117,7 +120,7 @@
     """Statistics of one team and class for a report.
 
     :ivar waits: waiting times in microseconds over the last 30 to 60 minutes.
-    :ivar windows: answered, slow and refused requests by window.
+    :ivar windows: requests answered in time, answered late and refused, by window.
     """
 
     waits: HdrHistogram = attrs.field(factory=fleet_histogram)
--- a/src/firhook/events.py
+++ b/src/firhook/events.py
@@ -145,8 +145,8 @@
     """The lead of this instance's zone.
 
     :param held: whether this instance certainly holds the lead now.
-    :param hold_left_s: remaining time in which this instance may renew tasks, in
-        seconds.
+    :param hold_left_s: remaining time in which this instance may renew tasks, with
+        or without the log, in seconds.
     :param lease_left_s: remaining time of the lease by the log, in seconds.
     """
 
--- a/src/firhook/logs.py
+++ b/src/firhook/logs.py
@@ -9,8 +9,8 @@
 
 from firhook._log_stream import NonBlockingStream
 
-#: The only logger set to the configured level.  mode logs the start and stop of
-#: each service under the names of their modules, which repeats the events.
+#: The only logger set to the configured level.  The library ``mode`` logs the start
+#: and stop of each service under the name of its module, which repeats the events.
 _LOGGER = logging.getLogger("firhook.events")
 _stream: NonBlockingStream | None = None
 
--- a/src/firhook/queries.py
+++ b/src/firhook/queries.py
@@ -95,7 +95,8 @@
     :raises OnceInProgressError: if the first execution has not ended.
     :raises OnceUnknownError: if the outcome of the first execution was lost.
     :raises OnceMismatchError: if the key was used for a different request.
-    :raises LogUnavailableError: if the claim certainly was not recorded.
+    :raises LogUnavailableError: if the claim was not confirmed in time.  It may
+        still be recorded, but this attempt certainly is never sent.
     """
 
     key: str
