--- a/src/firhook/ops/_config.py
+++ b/src/firhook/ops/_config.py
@@ -60,7 +60,10 @@
         return json_response({"version": version})
 
     def _changed_rows(self, data: dict[str, Any]) -> tuple[Row, ...]:
-        """Return the rows that differ between the given lists and those in force."""
+        """Return the given rows, or those that differ between given and current lists.
+
+        :param data: has the changed rows as ``rows``, or whole lists as INI text.
+        """
         if "rows" in data:
             try:
                 return msgspec.convert(data["rows"], tuple[Row, ...])
--- a/src/firhook/ops/_health.py
+++ b/src/firhook/ops/_health.py
@@ -117,8 +117,8 @@
             # at another address under its old name is a different runner.
             key = f"{endpoint.name}@{endpoint.address}"
             row["leaving"] = endpoint.leaving or key in leaving
-            # Gossip omits requests within each peer's part, so this counts only
-            # the requests of this instance.
+            # Gossip omits the requests within each peer's part of the runner's
+            # slots, so this counts only the requests of this instance.
             row["in_flight"] = self.kernel.load.local_in_flight.get(key, 0)
             row["mark"] = marks.get(endpoint.name, ("", ""))[0]
             rows.append(row)
--- a/src/firhook/ops/_reports.py
+++ b/src/firhook/ops/_reports.py
@@ -64,7 +64,8 @@
             fleet.merge(msgspec.json.decode(answer.data))
             answered.append(member.name)
             # In a large cell, merging all answers without a pause would block
-            # the event loop for most of a second, and a stall voids every lease.
+            # the event loop for most of a second, and after a stall the lead's
+            # lease counts as expired.
             await asyncio.sleep(0)
         config = self.states.config
         plans = {team: config.plans[t.plan] for team, t in config.teams.items()}
--- a/src/firhook/roles/_cell.py
+++ b/src/firhook/roles/_cell.py
@@ -183,7 +183,7 @@
 
 
 def choose_zone(spec: JobSpec, workers: tuple[Endpoint, ...], own_zone: str) -> str:
-    """Return the zone that places a job: its own, unless it can never fit there.
+    """Return the zone that places a job: ``own_zone`` unless it can never fit there.
 
     :param workers: all listed workers.  The list lags.  While it is empty, a
         job is accepted and waits, since nothing is known of the workers.
--- a/src/firhook/roles/_gateway.py
+++ b/src/firhook/roles/_gateway.py
@@ -164,7 +164,8 @@
         service = self._service(call.service)
         allowed_s = 0.0
         if not call.repeatable:
-            # Counted from when the body is complete: a repeat would have no more.
+            # The time until the deadline once the body is received.  The caller
+            # would have no more than this if it sent the request again.
             allowed_s = call.deadline - self.kernel.clock()
         tried: list[str] = []
         may_have_run = False
--- a/src/firhook/roles/_journal.py
+++ b/src/firhook/roles/_journal.py
@@ -42,8 +42,8 @@
 _CHECK_INTERVAL_S = 1.0
 _PEER_CHECK_INTERVAL_S = 0.5
 #: Number of peers asked for a snapshot at once.  If all of them answered, an
-#: instance that needs one snapshot would receive many megabytes.  Newer state
-#: of another peer is loaded later, when its gossip shows a higher offset.
+#: instance that needs one snapshot would receive many megabytes.  Newer state of
+#: ``config`` is loaded later from a peer whose gossip shows a higher offset.
 MAX_PEER_REQUESTS = 3
 
 
--- a/src/firhook/roles/_once.py
+++ b/src/firhook/roles/_once.py
@@ -221,7 +221,8 @@
 
     async def _on_inquiry(self, inquiry: ClaimInquiry) -> ClaimInquiryAnswer:
         if inquiry.holder != self.kernel.lane:
-            # An earlier incarnation of this instance; its claims were in memory.
+            # The holder is an earlier incarnation of this instance, whose claims
+            # were only in its memory.
             return ClaimInquiryAnswer(inquiry.key, SendStatus.UNKNOWN.value)
         return ClaimInquiryAnswer(
             inquiry.key, self._claims.send_status(inquiry.key, inquiry.nonce).value
@@ -287,8 +288,8 @@
     async def _append_with_retries(self, record: Any) -> None:
         """Append a record, and retry on errors until it has been read back.
 
-        Both kinds of record name their claim and take effect at most once, so
-        a second copy after an unknown outcome has no effect.
+        An ``OnceDone`` or ``OnceReleased`` record names its claim and takes effect
+        at most once, so a second copy after an unknown outcome has no effect.
         """
         while not self.should_stop:
             try:
--- a/src/firhook/roles/_zone_lead.py
+++ b/src/firhook/roles/_zone_lead.py
@@ -128,8 +128,9 @@
     def _on_lead_record(self, event: RecordApplied) -> None:
         """Record when the zone lead's latest record was read from the log.
 
-        The lead counts its hold from before it sent the record, so the hold
-        has certainly ended once that time has passed since the record was read.
+        The hold is the time in which a lead keeps renewing tasks.  The lead
+        counts it from before it sent the record, so the hold has certainly ended
+        once that time has passed since the record was read.
         """
         body = event.envelope.body
         if not isinstance(body, (LeadClaimed, LeadRenewed, LeadReleased)):
