--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform, its workers and the customers' runners.
+"""Stand-ins for the platform, its workers and the teams' runners.
 
 They implement the protocols that firhook expects of the real ones.  Only the
 demonstration, the benchmarks and the process-level tests use them.
--- a/standins/model/__init__.py
+++ b/standins/model/__init__.py
@@ -1,9 +1,10 @@
-"""An in-memory model of the users' platform in virtual time.
+"""An in-memory model of the users' platform.
 
 It models the store, the workers, the adviser and the callers as the platform's
 documentation describes them, and injects faults.  The instances run firhook's real
-services; only the clients of :mod:`firhook.platform` and the transport between
-instances are replaced.
+services.  In :class:`ModelCell` they run in one process and in virtual time; only
+the clients of :mod:`firhook.platform` and the transport between instances are
+replaced.  :class:`HttpModel` serves the same model in real time to real processes.
 """
 
 from standins.model._adviser import ModelAdviser
--- a/standins/model/_time.py
+++ b/standins/model/_time.py
@@ -6,7 +6,8 @@
 class VirtualLoop(asyncio.SelectorEventLoop):
     """Event loop whose clock jumps to the next timer.
 
-    Minutes pass in milliseconds, and every run is the same.
+    Minutes of virtual time pass in milliseconds, and every run with the same seed is
+    the same.
     """
 
     def __init__(self) -> None:
@@ -25,10 +26,10 @@
 
 
 async def pause(seconds: float) -> None:
-    """Wait in virtual time."""
+    """Wait on the clock of the running loop, virtual or real."""
     await asyncio.sleep(seconds)
 
 
 def now() -> float:
-    """Return the virtual time."""
+    """Return the time of the running loop, virtual or real, in seconds."""
     return asyncio.get_running_loop().time()
--- a/standins/model/_workers.py
+++ b/standins/model/_workers.py
@@ -34,8 +34,10 @@
     """Properties of a task that only the model knows.
 
     :param work_s: duration on a worker of normal speed.
+    :param need: resources that the task uses.
     :param fails: whether the task fails wherever it runs.
     :param gang: number of members of the task's gang; 0 without a gang.
+    :param checkpoints: whether the task saves its progress for the next run.
     """
 
     work_s: float
@@ -118,6 +120,8 @@
     :ivar slow: factor on the duration of work.
     :ivar fails_all: whether all runs fail soon after they start.
     :ivar stalled: whether new runs make no progress.
+    :ivar draining_s: remaining time of a graceful stop, as shown in the registration;
+        ``None`` if the worker is not stopping.
     :ivar expired_tickets: number of starts refused for an expired ticket.
     :ivar incarnation: number of the worker's current process, which grows with each
         restart.
@@ -370,7 +374,7 @@
 
 
 def now_or_zero() -> float:
-    """Return the virtual time, or 0 before the loop runs."""
+    """Return the running loop's time, or 0 before a loop runs."""
     try:
         return now()
     except RuntimeError:
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,6 +1,6 @@
-"""A stand-in for a customer's runner that serves quotes, charges and entries.
+"""A stand-in for a team's runner that serves requests of any path.
 
-``GET /quote?ms=20`` responds after 20 ms.  Every ``POST`` counts as a run of its
+``GET /any/path?ms=20`` responds after 20 ms.  Every ``POST`` counts as a run of its
 body.  ``GET /admin/runs`` returns how often each body ran and when each request
 was served, by the machine's monotonic clock.  ``POST /admin/faults`` accepts
 ``slow_s`` (extra latency), ``fail`` (abort every connection),
