--- a/src/firhook/_capacity_borrower.py
+++ b/src/firhook/_capacity_borrower.py
@@ -231,7 +231,7 @@
         self._wake.set()
 
     async def leave(self) -> bool:
-        """Return all capacity at a graceful stop.
+        """Give back all capacity at a graceful stop.
 
         Work that is still running keeps its capacity in the lead's table until it
         has certainly ended.
--- a/src/firhook/_fleet.py
+++ b/src/firhook/_fleet.py
@@ -57,7 +57,7 @@
         self._received[peer] = _ReceivedGossip(now, gossip)
 
     def excess_by_runner(self, now: float) -> dict[str, int]:
-        """Return the peers' requests at each runner beyond their shares."""
+        """Return the peers' requests at each runner beyond their parts of its slots."""
         counts: dict[str, int] = {}
         for gossip in self._live_gossip(now).values():
             for load in gossip.runners:
@@ -67,7 +67,7 @@
     def fleet_use(self, account: Account, load: Load, now: float) -> FleetUse:
         """Return the usage of the fleet as known to this instance."""
         # A listed instance without recent gossip may still be serving requests
-        # behind a network partition, so it keeps the minimum share.
+        # behind a network partition, so it keeps the minimum part.
         demand: dict[str, Mapping[str, float]] = {
             name: {} for name in self._entry_instances
         }
--- a/src/firhook/_instance.py
+++ b/src/firhook/_instance.py
@@ -60,7 +60,8 @@
 
     :param revocation_s: seconds after which a withdrawn key must be refused.
     :ivar read_at: boot-clock time at which the latest read was sent.  The
-        configuration contains every change acknowledged to operators before.
+        configuration contains every change acknowledged to operators before that
+        time.
     """
 
     revocation_s: float
--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -49,7 +49,7 @@
 
     :ivar waiting: waiting requests by team.
     :ivar served_s: recent slot time of each team in seconds, exponentially decayed.
-    :ivar excess_in_flight: requests in flight beyond this instance's share of a
+    :ivar excess_in_flight: requests in flight beyond this instance's part of a
         runner's slots, by runner and address.
     :ivar local_in_flight: all requests in flight, by runner and address; shown to
         operators and not sent to peers.
--- a/src/firhook/_loop_socket.py
+++ b/src/firhook/_loop_socket.py
@@ -40,8 +40,9 @@
     def send(self, frames: list[bytes]) -> bool:
         """Send a message without blocking; return whether it was queued.
 
-        A message is not queued if the socket's send queue is full or the peer is
-        not connected.
+        A message is not queued if the socket's send queue is full.  A DEALER socket
+        also queues messages while its peer is unreachable.  A ROUTER socket drops a
+        message to an unknown peer, which still counts as queued.
         """
         try:
             self.sock.send_multipart(frames, zmq.NOBLOCK)
--- a/src/firhook/_mesh.py
+++ b/src/firhook/_mesh.py
@@ -231,7 +231,7 @@
         return set(self._dealers)
 
     def send(self, address: str, msg: Any) -> None:
-        """Send a one-way message; it is dropped if the peer is unreachable."""
+        """Send a one-way message; it may be lost if the peer is unreachable."""
         self._send(address, ONE_WAY_TAG, msg, pack_frame(msg))
 
     def broadcast(self, msg: Any, addresses: Iterable[str] | None = None) -> int:
--- a/src/firhook/_messages.py
+++ b/src/firhook/_messages.py
@@ -28,7 +28,7 @@
     """Load of one instance at a runner.
 
     :param runner: the runner and its address.
-    :param in_flight: requests in flight beyond the instance's share of its slots.
+    :param in_flight: requests in flight beyond the instance's part of its slots.
     :param leaving: whether the runner has announced that it shuts down.
     """
 
--- a/src/firhook/_orders.py
+++ b/src/firhook/_orders.py
@@ -18,7 +18,10 @@
 
 @attrs.frozen(slots=True)
 class StartOrder:
-    """Start an attempt of a task."""
+    """Start an attempt of a task.
+
+    :param progress: share of the work that earlier attempts checkpointed, 0 to 1.
+    """
 
     job_id: str
     index: int
--- a/src/firhook/_peer_messages.py
+++ b/src/firhook/_peer_messages.py
@@ -58,7 +58,10 @@
 
 @attrs.frozen(slots=True)
 class PushedRecord:
-    """A record that was appended to the cell's topic."""
+    """A record that was appended to the cell's topic.
+
+    :param value: ``None`` if the record deletes its key.
+    """
 
     key: str
     value: bytes | None
--- a/src/firhook/_stream_client.py
+++ b/src/firhook/_stream_client.py
@@ -33,7 +33,8 @@
 from firhook.state import Snapshot, SnapshotFinder, StreamState
 
 _BACKOFF_S = 0.3
-#: Assumed maximum transit time of a response; a later one counts as stale.
+#: Assumed maximum transit time of a response.  A later one counts as no fresher
+#: than one that took this long.
 _MAX_RESPONSE_DELAY_S = 1.0
 _RETRY_AFTER_S = 2.0
 
--- a/src/firhook/roles/_config.py
+++ b/src/firhook/roles/_config.py
@@ -42,7 +42,8 @@
 )
 
 #: A zone that is cut off cannot know when it will be reachable again.  Another
-#: zone can carry the load if all its callers retry at this interval.
+#: zone can carry the load if all callers of the cut-off zone retry there at this
+#: interval.
 _STALE_RETRY_S = 5.0
 _NOT_READY_RETRY_S = 1.0
 
--- a/src/firhook/roles/_members.py
+++ b/src/firhook/roles/_members.py
@@ -120,7 +120,7 @@
             self._mesh.close()
 
     async def drain(self) -> None:
-        """Return capacity and lead, so that peers can use them immediately."""
+        """Give back capacity and lead, so that peers can use them immediately."""
         free = await self.borrower.leave()
         lead = self.leadership.state
         if lead.instance != self.kernel.lane:
