--- a/src/firhook/_kernel.py
+++ b/src/firhook/_kernel.py
@@ -49,7 +49,7 @@
 
     :ivar waiting: waiting requests by team.
     :ivar served_s: recent slot time of each team in seconds, exponentially decayed.
-    :ivar excess_in_flight: requests in flight beyond this instance's share of a
+    :ivar excess_in_flight: requests in flight beyond this instance's part of a
         runner's slots, by runner and address.
     :ivar local_in_flight: all requests in flight, by runner and address; shown to
         operators and not sent to peers.
@@ -92,7 +92,9 @@
 
 
 class Kernel(Service):
-    """The daemon's root service.
+    """The root service of the daemon when it is started with ``--config``.
+
+    On the users' platform, :class:`firhook.instance.Instance` runs instead.
 
     :param cfg: the checked settings.
     :param platform: clients of the platform's services.
