--- a/src/firhook/state/_cell.py
+++ b/src/firhook/state/_cell.py
@@ -79,7 +79,8 @@
 
     :param zones: all availability zones of the cell.
     :ivar leads: the lead of each zone.
-    :ivar moved: each team's limit tokens that another zone than their home owns.
+    :ivar moved: by team, the tokens of its limit that a zone other than their home
+        owns; ``firhook.decide._tokens`` explains tokens.
     :ivar jobs: open jobs and recently ended ones, by key.
     :ivar pruned_jobs: digests of older ended jobs, by key.
     """
--- a/src/firhook/state/_config.py
+++ b/src/firhook/state/_config.py
@@ -36,7 +36,7 @@
     :ivar changed_at: version of the last change of each row, by list and name, so
         that a conflict can name the earlier change.
     :ivar withdrawn: withdrawn keys by id; ``False`` while only peers have reported
-        the withdrawal.  It takes effect at once but is not part of the log's state.
+        the withdrawal.  It then takes effect at once but is not in dumped states.
     """
 
     #: Maximum number of withdrawn keys that are kept.  Older ones are deleted with
--- a/src/firhook/state/_once.py
+++ b/src/firhook/state/_once.py
@@ -40,14 +40,14 @@
 class OnceState(StreamState):
     """Claims by the digest of team and Idempotency-Key.
 
-    Every keyed charge or declaration leaves an entry at every instance.  A node has
-    64 MB, and a process that is killed for its memory loses more than an old key,
-    so the state is bounded.  Both bounds depend on the records alone, so every
+    Every non-idempotent request with a key leaves an entry at every instance.  A
+    node has 64 MB, and a process that is killed for its memory loses more than an
+    old key, so the state is bounded.  Both bounds depend on the records alone, so every
     reader deletes the same entries.
     """
 
-    #: A key is kept for this many claims.  A request that is repeated later runs
-    #: again, so the operators' page shows how long keys are kept.
+    #: A key is kept until this many later claims.  A request that is repeated after
+    #: that runs again, so the operators' page shows how long keys are kept.
     MAX_ENTRIES = 10_000
     #: Maximum total size of the stored bodies, in base64 characters.  The oldest
     #: bodies are deleted first; their keys and statuses stay and still prevent a
--- a/src/firhook/state/_zone.py
+++ b/src/firhook/state/_zone.py
@@ -30,6 +30,7 @@
 #: zones are 700 a day per zone, so this covers most of a day, in about 1 MB.
 MAX_CLOSED = 500
 
+#: An attempt: the id of its job, the index of its task and its number.
 Ref = tuple[str, int, int]
 
 
