--- a/src/firhook/decide/_claims.py
+++ b/src/firhook/decide/_claims.py
@@ -48,7 +48,8 @@
 class ClaimTable:
     """Claims of this incarnation that are not yet settled in the log.
 
-    Every keyed charge has an entry; a few thousand are open at once.
+    Every non-idempotent request with an idempotency key has an entry; a few
+    thousand are open at once.
 
     The append of a claim may time out and land after its caller was refused; the
     key would then be held forever by an instance that never ran the request.  Or a
--- a/src/firhook/decide/_outbox.py
+++ b/src/firhook/decide/_outbox.py
@@ -36,12 +36,12 @@
 class Outbox:
     """Records of one lane and stream, with one append in flight at a time.
 
-    Every placement, claim and charge passes through here, so all waiting records
-    go into one append (group commit).
+    Every placement and every claim of a non-idempotent request passes through here,
+    so all waiting records go into one append (group commit).
 
     When an append times out, its records may already be in the log, may land
     minutes later, or never.  A caller that receives "not recorded" for such a
-    record would run its charge again.  Therefore:
+    record would repeat its request, which would then run twice.  Therefore:
 
     * A record gets its sequence number when it is first *sent*, not when it is
       queued.  Readers skip sequence numbers that do not increase, so a number
--- a/src/firhook/decide/_retry.py
+++ b/src/firhook/decide/_retry.py
@@ -39,9 +39,8 @@
 def may_resend(idempotent: bool, ran: str, tries: int) -> bool:
     """Return whether a failed request may be sent again.
 
-    A non-idempotent request, such as a renewal charge, is only sent again if
-    certainly no byte of it was sent.  Otherwise the runner may have run it, and the
-    customer would be charged twice.
+    A non-idempotent request is only sent again if certainly no byte of it was
+    sent.  Otherwise the runner may have run it, and it would run twice.
 
     :param idempotent: whether the request may safely run twice.
     :param ran: whether the failed attempt ran: ``no``, ``unknown`` or ``yes``.
--- a/src/firhook/decide/_staleness.py
+++ b/src/firhook/decide/_staleness.py
@@ -1,4 +1,4 @@
-"""What may be served on the known keys, by the age of their view."""
+"""What may be served on the known keys, by the age of the view of them."""
 
 import enum
 from collections.abc import Iterable
@@ -59,10 +59,10 @@
 
     A zone may be partitioned for minutes from the log and from every peer with a
     fresher view, while its callers hold valid keys.  Such a zone cannot know of a
-    withdrawn key.  Jobs and charges have lasting effects and are refused as soon as
-    the view is stale.  Idempotent requests are still served, since refusing them
-    would turn every partition into an outage for all callers; only beyond
-    ``max_s`` is a leaked key the greater harm.
+    withdrawn key.  Jobs and non-idempotent requests have lasting effects and are
+    refused as soon as the view is stale.  Idempotent requests are still served,
+    since refusing them would turn every partition into an outage for all callers;
+    only beyond ``max_s`` is a leaked key the greater harm.
     """
     if age_s < policy.stale_s:
         return ServiceLevel.ALL
