--- a/src/firhook/decide/_admit.py
+++ b/src/firhook/decide/_admit.py
@@ -35,8 +35,8 @@
 #: Requests shorter than this never count as long: users do not notice the delay.
 _MIN_LONG_S = 0.02
 #: Long requests leave this many standard deviations of the slots used by short
-#: requests free, for Poisson arrivals.  One would suffice for those; pages send
-#: several requests at once, which increases the variance.
+#: requests free, computed for Poisson arrivals.  One would suffice for these, but
+#: web pages send several requests at once, which increases the variance.
 _SHORT_STDDEVS = 3.0
 #: Largest fraction of the slots that is kept free for short requests.
 _MAX_SHORT_FRACTION = 0.4
@@ -293,8 +293,8 @@
         """Return whether a long request may take a slot.
 
         Without this check, the long requests of a few teams fill every slot, and
-        a quote that arrives next waits for one of them to end, however urgent its
-        class is.
+        a short request that arrives next waits for one of them to end, however
+        urgent its class is.
         """
         if now - self._short_seen_at > _SHORT_IDLE_S:
             return True
--- a/src/firhook/decide/_adviser_slots.py
+++ b/src/firhook/decide/_adviser_slots.py
@@ -13,8 +13,9 @@
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
 #: A request may queue at a slot for as long as its own answer takes, or for this
-#: long if that is more.  This hides the round trip.  A request that would queue
-#: longer is held back instead, so that a more urgent one can overtake it.
+#: long if that is more.  The adviser then has work during the round trip.  A request
+#: that would queue longer is held back instead, so that a more urgent one can
+#: overtake it.
 MIN_QUEUE_TIME_S = 0.06
 #: A request is much faster than another if its answer takes this many times less.
 CLASS_FACTOR = 3.0
--- a/src/firhook/decide/_queue.py
+++ b/src/firhook/decide/_queue.py
@@ -9,8 +9,8 @@
 CLASSES = ("interactive", "standard", "bulk")
 
 #: One of this many requests of a team is the oldest of its less urgent classes.
-#: Without it, a steady flow of quotes would starve the team's own bulk work; with
-#: more, the bulk work would delay the quotes.
+#: Without it, a steady flow of short requests would starve the team's own bulk work;
+#: with more, the bulk work would delay the short requests.
 _LESS_URGENT_INTERVAL = 8
 
 
--- a/src/firhook/decide/_store_reachability.py
+++ b/src/firhook/decide/_store_reachability.py
@@ -30,7 +30,7 @@
     while other instances are served.  If this were detected only by a timeout of a
     second or more, each caller of the instance would wait that long for a refusal,
     and the platform would send it more callers for three seconds.  That made half
-    of the quotes in such periods late.
+    of the short requests in such periods late.
 
     The store is unreachable when no partition serves the instance: each refused the
     last call or has left one unanswered for several times the mean latency.  A
--- a/src/firhook/decide/_times.py
+++ b/src/firhook/decide/_times.py
@@ -54,7 +54,7 @@
 
         An unknown kind counts as an average request.  If it counted as short, long
         requests could take the slots kept for short ones; if it counted as long, a
-        team's first quote would have to wait.
+        team's first short request would have to wait.
         """
         known = self._kinds.get(kind)
         return known.mean_s if known else self.mean_s
