--- a/src/firhook/decide/_fan_out.py
+++ b/src/firhook/decide/_fan_out.py
@@ -1,4 +1,8 @@
-"""Plans how the lead distributes new records to the other instances."""
+"""Plans how the lead distributes new records to the other instances.
+
+The standbys receive every record in full.  The other instances receive digests:
+the part of the records that they need to answer callers.
+"""
 
 from collections.abc import Mapping, Sequence
 
--- a/src/firhook/decide/_grants.py
+++ b/src/firhook/decide/_grants.py
@@ -18,10 +18,10 @@
 
     The table of grants is lost with the lead.  Whatever an unreachable instance
     may hold must then count as lent until it has certainly expired; without a cap
-    that would be the whole part.  The cap is twice an even share among one more
-    holder.  The platform's load balancer spreads requests evenly, so the cap rarely
-    matters, and if one of three instances dies, half of the part can be lent again
-    at once.
+    that would be the whole part.  The cap is twice an even share, with one holder
+    more than there are.  The platform's load balancer spreads requests evenly, so
+    the cap rarely matters, and if one of three instances dies, half of the part can
+    be lent again at once.
 
     :param holders: number of instances that may receive grants.
     """
--- a/src/firhook/decide/_lead.py
+++ b/src/firhook/decide/_lead.py
@@ -40,8 +40,8 @@
     :param released: whether the lead was released.
     :param lease_expired: whether its lease in the log has certainly expired.
     :param log_age_s: seconds since the end of the log was last read.
-    :param promised_at: when the stamp was read that was last returned as a
-        promise not to claim.
+    :param promised_at: when the candidate read the stamp that it last returned to
+        the lead as a promise not to claim.
     """
 
     released: bool
--- a/src/firhook/decide/_limit_transfers.py
+++ b/src/firhook/decide/_limit_transfers.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-#: A zone without demand keeps this fraction (1/n) of its base part, so that a
-#: team's first requests there need not wait for a transfer.
+#: A zone without demand keeps its base part divided by this, so that a team's
+#: first requests there need not wait for a transfer.
 RESERVE_DIVISOR = 8
 #: Minimum time that a zone keeps received capacity.  Otherwise demand that moves
 #: back and forth would write a log record for every change.
--- a/src/firhook/decide/_tokens.py
+++ b/src/firhook/decide/_tokens.py
@@ -4,8 +4,9 @@
 zone ``i mod n`` is the home of token ``i``; a transfer gives tokens of one zone to
 another.  A zone's part is the number of tokens below the limit that it owns.
 
-Two zones may have read the two streams up to different records: one knows a new
-limit or a transfer that the other has not read.  Parts by token are still safe.
+Limits are in stream ``config`` and transfers in stream ``cell``.  Two zones may
+have read these up to different records: one knows a new limit or a transfer that
+the other has not read.  Parts by token are still safe.
 At each offset a token has one owner, a giver knows of its transfer before the
 receiver does, and a higher limit only adds tokens.  The parts of all zones
 therefore never add up to more than the largest limit that any of them still uses.
