--- a/src/firhook/decide/_failure_tracker.py
+++ b/src/firhook/decide/_failure_tracker.py
@@ -19,9 +19,9 @@
 MAX_RETRY_S = 300.0
 #: Number of jobs that must have failed at a worker before it is quarantined, ...
 QUARANTINE_MIN_JOBS = 3
-#: ... and how many of these must run elsewhere.
+#: ... and how many of these jobs must run elsewhere.
 QUARANTINE_MIN_HEALTHY_JOBS = 2
-#: Older failures say little about a worker's current state.
+#: Failures older than this say little about a worker's current state.
 FAILURE_WINDOW_S = 900.0
 #: Delay before a quarantined worker gets one task as a probe, doubled with each
 #: failed probe.
--- a/src/firhook/decide/_orders.py
+++ b/src/firhook/decide/_orders.py
@@ -1,10 +1,10 @@
 """A zone lead's orders to its workers, and the detection of ended attempts.
 
 An attempt is recorded as ended only when no process can still run it, and is
-started only by the lead that recorded its assignment.  Otherwise a blend plan
-could run twice: an order of a paused or partitioned lead may arrive late, or an
-unreachable worker may keep running a task that was reassigned.  The symptom would
-be two workers that report the same task.  The following rules prevent it:
+started only by the lead that recorded its assignment.  Otherwise a task could run
+twice: an order of a paused or partitioned lead may arrive late, or an unreachable
+worker may keep running a task that was reassigned.  The symptom would be two
+workers that report the same task.  The following rules prevent it:
 
 * Every order carries the lead's epoch, the worker's incarnation and an expiry on
   the worker's own clock, after which the worker refuses it.
--- a/src/firhook/decide/_place.py
+++ b/src/firhook/decide/_place.py
@@ -9,7 +9,7 @@
 
 #: Maximum number of fitting workers that are compared for a task.  The search
 #: starts at the fullest worker, so the first few fit most tightly.  Comparing all
-#: 910 for each of 62 starts a second would use more of a core than control may.
+#: 910 for each of 62 starts a second would use more of a core than the lead may.
 MAX_CANDIDATES = 12
 
 _SLACK = 1e-9
--- a/src/firhook/decide/_preempt.py
+++ b/src/firhook/decide/_preempt.py
@@ -69,12 +69,12 @@
 ) -> dict[Ref, str]:
     """Return the tasks to preempt for urgent work, with the reason.
 
-    Urgent charges that arrive while batch planning fills every worker must start
+    Urgent jobs that arrive while batch work fills every worker must start
     within 5.6 s, with the least loss of finished work.
 
     :param capacities: free resources, including those that are being freed.
     :param over_share: teams that use more than their share.
-    :param lost_work_s: returns the worker-seconds that a task would lose, its work
+    :param lost_work_s: returns the processor-seconds that a task would lose, its work
         since the last checkpoint.
     :param already_stopping: tasks that are already being stopped.
     :param budget: maximum number of preemptions.
@@ -190,7 +190,7 @@
 def tasks_over_limit(
     zone: ZoneState, cell: CellState, parts: Mapping[str, int]
 ) -> dict[Ref, str]:
-    """Return the batch tasks to stop where a team's limit was lowered.
+    """Return the batch and urgent tasks to stop where a team's limit was lowered.
 
     Tasks of the newest job go first, since those that have run longest are closest
     to their end.  Services keep running; they only get no replacements.
@@ -214,9 +214,9 @@
 ) -> dict[Ref, str]:
     """Return the tasks to move off workers that are being drained.
 
-    Batch tasks are checkpointed and moved at once.  A service moves one replica at
-    a time, and only while all others are reported as running, so that it never
-    loses two at once.
+    Batch and urgent tasks are checkpointed and moved at once.  A service moves one
+    replica at a time, and only while all its replicas are reported as running, so
+    that it never loses two at once.
 
     :param seen: attempts that their workers report as running.
     """
--- a/src/firhook/decide/_rounds.py
+++ b/src/firhook/decide/_rounds.py
@@ -412,7 +412,7 @@
         term: LeadTerm,
         now: float,
     ) -> tuple[JobNote, ...]:
-        """Return notes on why jobs wait, one for each change of the reason."""
+        """Return notes on changed reasons why jobs wait, at a limited rate."""
         notes = []
         for key, reason in plan.held.items():
             entry = self._cell.jobs[key]
--- a/src/firhook/decide/_schedule.py
+++ b/src/firhook/decide/_schedule.py
@@ -27,7 +27,7 @@
 #: Work whose latest start is further away than this has ample slack.
 _AMPLE_SLACK_S = 1.5
 #: The largest fraction of a worker's cores that is kept free for urgent work.  A
-#: burst of three times the usual number of quotes needs a tenth of the cell.
+#: burst of three times the usual number of short jobs needs a tenth of the cell.
 _URGENT_FRACTION = 0.1
 #: Work that has waited this long may also use the headroom for urgent work.
 _URGENT_HEADROOM_WAIT_S = 2.0
@@ -71,9 +71,9 @@
     :ivar unreserved: the capacity that is free then beside the reservations;
         ``None`` if nothing is reserved.
     :ivar urgent_cpu_m: millicores kept free for work of the first priority.  Without
-        them quotes, which have half a second to start, find every permitted worker
-        full in a burst of plans, each of which holds its capacity for six seconds:
-        27 of 814 were late and 12 worthless even under ordinary load.
+        them short jobs, which have half a second to start, find every permitted
+        worker full in a burst of long jobs, each of which holds its capacity for
+        six seconds: 27 of 814 were late and 12 worthless even under ordinary load.
     """
 
     name: str
@@ -124,17 +124,17 @@
     """Return the sort key of a step in a round; lower keys go first.
 
     Work of different kinds shares a cell whose load is over three quarters of its
-    capacity, with bursts beyond it.  First come, first served would let a charge that
-    has ten seconds take the capacity of a quote that has half a second.  Strict
-    priority would let a burst of plans starve charges until they miss their own
-    objective.
-
-    Work that can still meet its objective goes before work that cannot.  Within it,
-    queues of the first priority, whose work is short, go first, then the work whose
-    latest possible start is soonest.  Late work is still worth running up to three
-    times its objective, so it goes before work that is later than that.  Late work
-    of a first-priority queue becomes worthless within seconds, so it also goes before
-    other work that has ample slack, but after other work that has little.
+    capacity, with bursts beyond it.  First come, first served would let a job that
+    has ten seconds take the capacity of one that has half a second.  Strict priority
+    would let a burst of one kind starve the kinds of lower priority until they miss
+    their own objectives.
+
+    Work that can still meet its objective goes before work that cannot.  Within the
+    former, queues of the first priority, whose work is short, go first, then the
+    work whose latest possible start is soonest.  Late work is still worth running up
+    to three times its objective, so it goes before work that is later than that.
+    Late work of a first-priority queue becomes worthless within seconds, so it also
+    goes before other work that has ample slack, but after other work that has little.
     """
     latest = step.latest_start()
     objective_at = step.job.objective_at(step.occurrence)
--- a/src/firhook/decide/_speeds.py
+++ b/src/firhook/decide/_speeds.py
@@ -9,7 +9,7 @@
 #: fifteenth, well below the third by which workers differ.
 _WEIGHT = 0.1
 #: A worker that takes this many times as long as the mean is slow.  If a third of
-#: the workers takes 1.3 times as long as the others, it takes 1.18 times the mean.
+#: the workers takes 1.3 times as long as the others, each takes 1.18 times the mean.
 SLOW_FACTOR = 1.1
 #: Comparisons before a worker may count as slow.
 _MIN_COMPARISONS = 5
--- a/src/firhook/decide/_stalls.py
+++ b/src/firhook/decide/_stalls.py
@@ -10,7 +10,7 @@
 STALL_TIMEOUT_S = 2.2
 #: A run without any progress since its start is stalled after this time plus a
 #: fraction of its estimate.  Estimates are off by up to 90% and workers up to seven
-#: times as slow as others, so it shows 3% by then.
+#: times as slow as others, so even such a run shows 3% by then.
 _FIRST_PROGRESS_S = 0.8
 _FIRST_PROGRESS_FRACTION = 0.15
 #: How long a run takes to resume from a checkpoint.
@@ -29,7 +29,7 @@
     They and their job would never end, and since similar tasks progress elsewhere,
     nobody would notice before the users do.
 
-    Lasting tasks have no end and thus no progress.  A gang member works only once
+    Long-running tasks have no end and thus no progress.  A gang member works only once
     all members have started.
     """
     spec = run.task.step.spec
@@ -56,7 +56,7 @@
 def _first_progress_timeout_s(run: Run) -> float:
     """Return how long a run may take to show its first progress, in seconds.
 
-    With the timeout of runs that progressed before, ticket tasks of 0.6 s on a
+    With the timeout of runs that progressed before, short tasks of 0.6 s on a
     stalled worker were moved only after 3.4 s.  By then they were worthless, and
     further tasks had been sent to that worker.
     """
--- a/src/firhook/decide/_suspicion.py
+++ b/src/firhook/decide/_suspicion.py
@@ -4,7 +4,8 @@
 
 #: A reply is overdue after this.  Workers usually answer within about 10 ms.
 OVERDUE_S = 0.2
-#: Workers of a zone with overdue replies that make its other workers suspected.
+#: Number of a zone's workers with overdue replies from which on its other workers
+#: are suspected as well.
 _MIN_OVERDUE = 2
 
 
@@ -14,7 +15,7 @@
     Workers crash, or a network partition isolates their zone, while a hundred tasks
     start each second.  Detected only by a timeout, a failed worker would look idle
     for a second or two.  Tasks assigned to it stay bound to it until its lease
-    expires, so that ticket tasks with a second of slack ended nine seconds late.
+    expires, so that short tasks with a second of slack ended nine seconds late.
 
     An overdue reply alone proves nothing.  The worker only receives no new work
     until it answers.
--- a/src/firhook/decide/_waiting.py
+++ b/src/firhook/decide/_waiting.py
@@ -21,7 +21,8 @@
 class WaitingStep:
     """A step that is ready and has no confirmed run.
 
-    :param ready_s: how long ago it became ready, or this lead's term began.
+    :param ready_s: seconds since it became ready, or since this lead's term began if
+        that was later.
     :param reason: why it does not run.
     :param workers: some of the workers that its runs are bound to, if any.
     :param asked: for how many workers the adviser has answered.
