--- a/src/firhook/decide/_queue.py
+++ b/src/firhook/decide/_queue.py
@@ -23,7 +23,7 @@
     :param deadline: when its caller stops waiting, in seconds.
     :param token: opaque value of the queue's user.
     :param expected_s: how long it is expected to hold a slot.
-    :param min_service_s: the service time that is certain, as a lower bound.
+    :param min_service_s: the service time that it is assumed to need at least.
     :param long: whether it would visibly delay short requests.
     :param tried: keys of the runners that failed the request.
     :param kind: properties shared by requests that take about as long.
--- a/src/firhook/decide/_tickets.py
+++ b/src/firhook/decide/_tickets.py
@@ -190,9 +190,10 @@
     second or lose it to others.  If it were requested all the time, the answers
     would take the adviser's time from steps that can start.
 
-    The first request covers all workers, because each adds a hundredth of the call.
-    Later requests cover only permitted workers: before their tickets expire if the
-    answer is slow, and once there is capacity if it is fast.
+    The first request covers all workers, up to the adviser's limit, because each adds
+    only a hundredth of the call's duration.  Later requests cover only permitted
+    workers: before their tickets expire if the answer is slow, and once there is
+    capacity if it is fast.
 
     :param workers: workers that suit the step, with their incarnations, those with
         most free capacity first.
--- a/src/firhook/decide/_times.py
+++ b/src/firhook/decide/_times.py
@@ -60,9 +60,10 @@
         return known.mean_s if known else self.mean_s
 
     def min_service_s(self, kind: tuple[str, ...], now: float) -> float:
-        """Return a lower bound of how long a request of the kind takes.
+        """Return the time that a request of the kind is assumed to need at least.
 
-        The bound is 0 for an unknown kind and decays for a kind not seen recently.
+        This is the mean of the kind, which decays if the kind was not seen recently,
+        or 0 for an unknown kind.
         """
         known = self._kinds.get(kind)
         if known is None:
--- a/src/firhook/state/_zone.py
+++ b/src/firhook/state/_zone.py
@@ -65,6 +65,7 @@
 class ZoneState(StreamState):
     """Attempts by job and task index, worker marks and notes on jobs.
 
+    :ivar marks: mark, such as ``quarantined``, and its reason, by worker.
     :ivar live: attempts that may be running, by worker; derived.
     :ivar running: number of these per team; derived.
     :ivar live_tasks: number of these per job; derived.
