--- a/src/firhook/decide/_queue.py
+++ b/src/firhook/decide/_queue.py
@@ -9,8 +9,8 @@
 CLASSES = ("interactive", "standard", "bulk")
 
 #: One of this many requests of a team is the oldest of its less urgent classes.
-#: Without it, a steady flow of quotes would starve the team's own bulk work; with
-#: more, the bulk work would delay the quotes.
+#: Without it, a steady flow of short requests would starve the team's own bulk work;
+#: with more, the bulk work would delay the short requests.
 _LESS_URGENT_INTERVAL = 8
 
 
@@ -23,7 +23,7 @@
     :param deadline: when its caller stops waiting, in seconds.
     :param token: opaque value of the queue's user.
     :param expected_s: how long it is expected to hold a slot.
-    :param min_service_s: the service time that is certain, as a lower bound.
+    :param min_service_s: the service time that it is assumed to need at least.
     :param long: whether it would visibly delay short requests.
     :param tried: keys of the runners that failed the request.
     :param kind: properties shared by requests that take about as long.
--- a/src/firhook/state/_zone.py
+++ b/src/firhook/state/_zone.py
@@ -30,6 +30,7 @@
 #: zones are 700 a day per zone, so this covers most of a day, in about 1 MB.
 MAX_CLOSED = 500
 
+#: An attempt: the id of its job, the index of its task and its number.
 Ref = tuple[str, int, int]
 
 
@@ -64,6 +65,7 @@
 class ZoneState(StreamState):
     """Attempts by job and task index, worker marks and notes on jobs.
 
+    :ivar marks: mark, such as ``quarantined``, and its reason, by worker.
     :ivar live: attempts that may be running, by worker; derived.
     :ivar running: number of these per team; derived.
     :ivar live_tasks: number of these per job; derived.
