--- a/src/firhook/cell/_job_table.py
+++ b/src/firhook/cell/_job_table.py
@@ -26,7 +26,7 @@
 from firhook.cell._spec import StepSpec
 from firhook.cell._workers import EndedRow, PollReply, RunEnd, RunningRow
 
-#: Progress, in percentage points, from which a run's measured speed is used.
+#: Progress, in percentage points, from which a run's observed speed is used.
 _MIN_MEASURED_PERCENT = 5.0
 #: A worker may still carry out an unanswered order up to 12 s after it was sent.
 MAX_ORDER_DELAY_S = 12.5
