--- a/scripts/mixed_builds.py
+++ b/scripts/mixed_builds.py
@@ -176,7 +176,7 @@
                 new = []
                 for old in entries:
                     new.append(
-                        await cell.add_entry(f"{old.name}-next", old.entry["zone"])
+                        await cell.add_entry(f"{old.name}-next", old.list_entry["zone"])
                     )
                     await cell.wait_ready(new[-1])
                     old.kill(signal.SIGTERM)
